--- /dev/null
+++ b/adapters/src/test/java/applespindle/adapters/FrameSamples.java
@@ -0,0 +1,338 @@
+package applespindle.adapters;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import applespindle.corelogic.Entry;
+import applespindle.corelogic.Envelope;
+import applespindle.corelogic.Epoch;
+import applespindle.corelogic.Fault;
+import applespindle.corelogic.Message;
+import applespindle.corelogic.Message.AskProgress;
+import applespindle.corelogic.Message.BatchEnded;
+import applespindle.corelogic.Message.CoreIs;
+import applespindle.corelogic.Message.CorePing;
+import applespindle.corelogic.Message.FeedFollow;
+import applespindle.corelogic.Message.FeedItem;
+import applespindle.corelogic.Message.FeedNews;
+import applespindle.corelogic.Message.HandoutItem;
+import applespindle.corelogic.Message.KeyAppend;
+import applespindle.corelogic.Message.KeyAppended;
+import applespindle.corelogic.Message.KeyHandOver;
+import applespindle.corelogic.Message.KeyLogAsk;
+import applespindle.corelogic.Message.KeyLogPart;
+import applespindle.corelogic.Message.KeyPlace;
+import applespindle.corelogic.Message.KeyPromise;
+import applespindle.corelogic.Message.KeyPromised;
+import applespindle.corelogic.Message.KeysAsked;
+import applespindle.corelogic.Message.KeysKnown;
+import applespindle.corelogic.Message.RangeHandout;
+import applespindle.corelogic.Message.RangePull;
+import applespindle.corelogic.Message.RangeReport;
+import applespindle.corelogic.Message.RangeReported;
+import applespindle.corelogic.Message.ReportedItem;
+import applespindle.corelogic.Message.Unfinished;
+import applespindle.corelogic.Message.Verdict;
+import applespindle.corelogic.Message.WhereIsCore;
+import applespindle.corelogic.Message.WorkOffer;
+import applespindle.corelogic.Message.WorkerLoads;
+import applespindle.corelogic.Message.WorkerLoads.OwnLoad;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The messages that the frames of {@code fixtures/frames/messages.txt} stand for, by the name of
+ * the frame. Commands between nodes and their responses are in {@link CommandSamples}.
+ */
+final class FrameSamples {
+  static final String EDGE_ID = "d1529810cb40";
+  static final String EDGE_ADDRESS = "10.0.0.1:7400";
+  static final String STORAGE_ID = "ec38dac6edae";
+  static final String STORAGE_ADDRESS = "10.0.1.1:7400";
+  static final String CORE_ID = "27a7d9882d5c";
+  static final String CORE_ADDRESS = "10.0.2.1:7400";
+  static final String PROMPT_BATCH = "b-424f28bc3c3fe839d11cbe446895df32";
+  static final String OPAQUE_BATCH = "o-3c5661974942379614b943d0593e4a5e";
+  static final String PROMPT_BATCH_KEY = "batch/" + PROMPT_BATCH;
+  static final String OPAQUE_BATCH_KEY = "batch/" + OPAQUE_BATCH;
+
+  private static final String ROSTER =
+      "{\"number\":1,\"members\":[{\"id\":\"27a7d9882d5c\",\"peerAddress\":\"10.0.2.1:7400\","
+          + "\"httpAddress\":\"10.0.2.1:8080\",\"zone\":\"zone-0\",\"name\":\"core-1\"}],"
+          + "\"next\":[]}";
+  private static final String CORE_SELF =
+      "{\"member\":{\"id\":\"27a7d9882d5c\",\"peerAddress\":\"10.0.2.1:7400\","
+          + "\"httpAddress\":\"10.0.2.1:8080\",\"zone\":\"zone-0\",\"name\":\"core-1\"},";
+
+  /** An event as it lies in a batch's log when it is large: zlib bytes. */
+  private static final byte[] DEFLATED_EVENT =
+      HexFormat.of()
+          .parseHex(
+              "7801ab56cacecc4b51b2522a4a2d292dca4b4d51d2514a4c4ff52d56b232"
+                  + "363030d041885b552b1525e6a5a72a59190245412cd782fce40c252ba3da5a00241816c3");
+
+  private static final Epoch EPOCH = new Epoch(4, EDGE_ID);
+  private static final Epoch FORMER_EPOCH = new Epoch(3, "24f792a57dbb");
+  private static final List<Entry> ENTRIES =
+      List.of(
+          new Entry(7, FORMER_EPOCH, false, bytes("{\"kind\":\"ended\",\"ageMs\":2990}")),
+          new Entry(8, EPOCH, false, new byte[0]),
+          new Entry(9, EPOCH, true, bytes("{\"kind\":\"removed\",\"ageMs\":125207}")),
+          new Entry(10, EPOCH, false, DEFLATED_EVENT));
+
+  private final Map<String, Envelope> samples = new LinkedHashMap<>();
+
+  private FrameSamples() {}
+
+  /** Every sample of this class, by the name of its frame. */
+  static Map<String, Envelope> all() {
+    FrameSamples made = new FrameSamples();
+    made.addClaims();
+    made.addAppends();
+    made.addCoreMessages();
+    made.addFeed();
+    made.addWorkOfBatches();
+    made.addRangeReports();
+    made.addRest();
+    return made.samples;
+  }
+
+  static byte[] bytes(String text) {
+    return text.getBytes(UTF_8);
+  }
+
+  private void add(String name, Message message) {
+    samples.put(name, new Envelope(EDGE_ID, EDGE_ADDRESS, STORAGE_ID, message));
+  }
+
+  private void addClaims() {
+    add("promise-asked", new KeyPromise(PROMPT_BATCH_KEY, EPOCH, 3, false, 16384, false));
+    add("promise-asked-trial", new KeyPromise(OPAQUE_BATCH_KEY, EPOCH, 3, false, 16384, true));
+    add("promise-asked-handed-over", new KeyPromise(PROMPT_BATCH_KEY, EPOCH, 3, true, 0, false));
+    add(
+        "promise-given-empty-log",
+        new KeyPromised(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, EPOCH, "", "", 0, 0, List.of()));
+    add(
+        "promise-given-with-log",
+        new KeyPromised(
+            PROMPT_BATCH_KEY, EPOCH, Verdict.OK, EPOCH, EDGE_ID, EDGE_ADDRESS, 8, 7, ENTRIES));
+    add(
+        "promise-trial-answered",
+        new KeyPromised(
+            OPAQUE_BATCH_KEY, EPOCH, Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()));
+    for (Verdict verdict :
+        List.of(Verdict.REFUSED, Verdict.BUSY, Verdict.BEHIND, Verdict.OLD_SET)) {
+      add(
+          "promise-verdict-" + verdict.ordinal(),
+          new KeyPromised(
+              PROMPT_BATCH_KEY,
+              EPOCH,
+              verdict,
+              FORMER_EPOCH,
+              EDGE_ID,
+              EDGE_ADDRESS,
+              8,
+              7,
+              List.of()));
+    }
+    add("log-asked", new KeyLogAsk(PROMPT_BATCH_KEY, EPOCH, 1, 140, FORMER_EPOCH));
+    add("log-part", new KeyLogPart(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, ENTRIES));
+    add("log-part-refused", new KeyLogPart(PROMPT_BATCH_KEY, EPOCH, Verdict.REFUSED, List.of()));
+    add("handed-over", new KeyHandOver(PROMPT_BATCH_KEY, EPOCH, 34));
+  }
+
+  private void addAppends() {
+    add(
+        "append-heartbeat",
+        new KeyAppend(PROMPT_BATCH_KEY, EPOCH, 3, 17, 10, FORMER_EPOCH, 9, true, List.of()));
+    add(
+        "append-heartbeat-without-majority",
+        new KeyAppend(PROMPT_BATCH_KEY, EPOCH, 3, 18, 10, FORMER_EPOCH, 9, false, List.of()));
+    add(
+        "append-first",
+        new KeyAppend(
+            OPAQUE_BATCH_KEY,
+            EPOCH,
+            1,
+            1,
+            0,
+            Epoch.NONE,
+            0,
+            true,
+            List.of(new Entry(1, EPOCH, false, bytes("{\"kind\":\"accepted\",\"ageMs\":0}")))));
+    add(
+        "append-entries",
+        new KeyAppend(PROMPT_BATCH_KEY, EPOCH, 3, 19, 6, FORMER_EPOCH, 8, true, ENTRIES));
+    add("appended", new KeyAppended(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OK, EPOCH, 10));
+    add(
+        "appended-refused",
+        new KeyAppended(PROMPT_BATCH_KEY, FORMER_EPOCH, 19, Verdict.REFUSED, EPOCH, 0));
+    add("appended-behind", new KeyAppended(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.BEHIND, EPOCH, 4));
+    add(
+        "appended-old-set",
+        new KeyAppended(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OLD_SET, EPOCH, 4));
+  }
+
+  private void addCoreMessages() {
+    add(
+        "core-ping-blank",
+        new CorePing(
+            bytes(
+                CORE_SELF
+                    + "\"blank\":true,\"candidate\":false,\"voter\":true,"
+                    + "\"heard\":[],\"number\":0,\"owns\":[]}")));
+    add(
+        "core-ping-proposal",
+        new CorePing(
+            bytes(
+                CORE_SELF
+                    + "\"blank\":true,\"candidate\":false,\"voter\":true,\"proposal\":"
+                    + ROSTER
+                    + ",\"accepted\":true,\"heard\":[\"536acd9bcd3f\"],\"number\":0,\"owns\":[]}")));
+    add(
+        "core-ping-with-roster",
+        new CorePing(
+            bytes(
+                CORE_SELF
+                    + "\"blank\":false,\"candidate\":false,\"voter\":true,"
+                    + "\"heard\":[\"536acd9bcd3f\"],\"number\":1,\"owns\":[\"batch-room\",\"roster\"],"
+                    + "\"roster\":"
+                    + ROSTER
+                    + "}")));
+    add("core-members-asked", new WhereIsCore());
+    add("core-members", new CoreIs(1, bytes(ROSTER)));
+    samples.put(
+        "core-members-asked-of-address",
+        new Envelope(STORAGE_ID, STORAGE_ADDRESS, "", new WhereIsCore()));
+  }
+
+  private void addFeed() {
+    add("feed-asked-first", new FeedFollow("", 0, 0, 1000506, 0, 0));
+    add("feed-asked", new FeedFollow(CORE_ID, 2, 41, 1002115, 0x8765432112345678L, 12));
+    add(
+        "feed-empty",
+        new FeedNews(CORE_ID, 1, 0, 0, true, false, 2305843009213693951L, 1000506, List.of()));
+    add(
+        "feed-checkpoint",
+        new FeedNews(
+            CORE_ID, 2, 0, 41, true, false, 12, 1002115, List.of(item("roster", 1, ROSTER))));
+    add(
+        "feed-relayed",
+        new FeedNews(
+            CORE_ID,
+            2,
+            41,
+            43,
+            false,
+            true,
+            35,
+            0,
+            List.of(
+                item("worker-list", 5, "{\"version\":5}"),
+                item("edges", 2, "{\"number\":2,\"addresses\":[\"10.0.0.1:7400\"]}"))));
+    add("keys-known-none", new KeysKnown(EDGE_ADDRESS, List.of()));
+    add(
+        "keys-known",
+        new KeysKnown(
+            EDGE_ADDRESS, List.of(new KeyPlace("bundle", 12), new KeyPlace("workers", 31))));
+    add("keys-asked", new KeysAsked(1002115));
+  }
+
+  private static FeedItem item(String key, long sequence, String value) {
+    return new FeedItem(key, sequence, bytes(value));
+  }
+
+  private void addWorkOfBatches() {
+    add("work-offer-prompts", new WorkOffer(PROMPT_BATCH, 9996, 3, "", ""));
+    add("work-offer-opaque", new WorkOffer(OPAQUE_BATCH, 9996, 0, "h0.example", "/batch-0/b5"));
+    add("range-pull", new RangePull(OPAQUE_BATCH, "i-1", 1015028));
+    add(
+        "range-handout-none",
+        new RangeHandout(PROMPT_BATCH, "w1", 0, 0, true, 0, 1015028, List.of()));
+    add(
+        "range-handout-prompts",
+        new RangeHandout(
+            PROMPT_BATCH,
+            "w1",
+            0,
+            1,
+            false,
+            9990,
+            1015028,
+            List.of(
+                new HandoutItem(
+                    0, bytes("{\"id\":\"i0\",\"prompt\":\"Good day\",\"max_tokens\":160}")),
+                new HandoutItem(
+                    1, bytes("{\"id\":\"i1\",\"prompt\":\"Grüße\",\"max_tokens\":1}")))));
+    add(
+        "range-handout-opaque",
+        new RangeHandout(
+            OPAQUE_BATCH,
+            "i-1",
+            2,
+            2,
+            false,
+            9990,
+            1015028,
+            List.of(
+                new HandoutItem(
+                    6,
+                    bytes(
+                        "{\"id\":\"x7\",\"target\":\"/batch-0/b5/x7\",\"headers\":["
+                            + "{\"name\":\"content-type\",\"value\":\"text/plain\"}],"
+                            + "\"body\":\"Ym9keS14Nw==\",\"tokens\":290}")))));
+    add("batch-ended", new BatchEnded(PROMPT_BATCH));
+  }
+
+  private void addRangeReports() {
+    add(
+        "range-report-without-results",
+        new RangeReport(PROMPT_BATCH, 0, 1, "w1", 1, 0, true, List.of()));
+    add(
+        "range-report-prompts",
+        new RangeReport(
+            PROMPT_BATCH,
+            0,
+            1,
+            "w1",
+            2,
+            2,
+            false,
+            List.of(
+                new ReportedItem(0, "d1529810cb40-1", "w1", "stop", "", bytes("Good day.")),
+                new ReportedItem(1, "d1529810cb40-2", "w1", "length", "", bytes("Grü")),
+                new ReportedItem(
+                    2,
+                    "d1529810cb40-3",
+                    "w1",
+                    "",
+                    new Fault.WorkerCut("w1").type(),
+                    new byte[0]))));
+    add(
+        "range-report-opaque",
+        new RangeReport(
+            OPAQUE_BATCH,
+            2,
+            2,
+            "i-1",
+            1,
+            7,
+            false,
+            List.of(
+                new ReportedItem(
+                    6, "d1529810cb40-1", "i-1", "", "", new byte[] {0, (byte) 0xff, 13, 10}))));
+    add("range-reported-keep", new RangeReported(OPAQUE_BATCH, 2, 2, "i-1", 1, true));
+    add("range-reported-lost", new RangeReported(OPAQUE_BATCH, 2, 2, "i-1", 2, false));
+  }
+
+  private void addRest() {
+    add("ask-progress", new AskProgress(112));
+    add("worker-loads-none", new WorkerLoads(List.of()));
+    add(
+        "worker-loads",
+        new WorkerLoads(List.of(new OwnLoad("i-1", 1, 2048), new OwnLoad("i-3", 0, 0))));
+    add("unfinished-none", new Unfinished(List.of()));
+    add("unfinished", new Unfinished(List.of(PROMPT_BATCH_KEY, OPAQUE_BATCH_KEY)));
+  }
+}
