--- a/adapters/src/main/java/applespindle/adapters/PeerTransport.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerTransport.java
@@ -2,6 +2,7 @@
 
 import applespindle.corelogic.Constants;
 import applespindle.corelogic.Envelope;
+import applespindle.corelogic.MessageNames;
 import io.activej.bytebuf.ByteBuf;
 import io.activej.bytebuf.ByteBufPool;
 import io.activej.eventloop.Eventloop;
@@ -404,7 +405,7 @@
     boolean smaller = deflated.length < frame.length;
     byte[] written = smaller ? deflated : frame;
     bytesOfKind
-        .computeIfAbsent(envelope.message().getClass().getSimpleName(), kind -> new LongAdder())
+        .computeIfAbsent(MessageNames.of(envelope.message()), kind -> new LongAdder())
         .add(HEAD_BYTES + written.length);
     (written.length < Constants.PEER_LARGE_BYTES ? neighbour.small : neighbour.large)
         .add(new Frame(smaller ? written.length | DEFLATED : written.length, written));
--- a/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
@@ -7,6 +7,7 @@
 import applespindle.corelogic.CoreNode;
 import applespindle.corelogic.Fault;
 import applespindle.corelogic.InputReader;
+import applespindle.corelogic.MetadataKeys;
 import applespindle.corelogic.Records.SignedBundle;
 import applespindle.corelogic.Records.StorageState;
 import applespindle.corelogic.Records.WorkerInput;
@@ -181,7 +182,7 @@
         then ->
             core.command(
                 "list-version",
-                CoreNode.LIST_VERSION,
+                MetadataKeys.WORKER_LIST_VERSION,
                 check,
                 response -> {
                   if (response.good()) {
--- a/core-logic/src/main/java/applespindle/corelogic/BatchEvent.java
+++ b/core-logic/src/main/java/applespindle/corelogic/BatchEvent.java
@@ -98,7 +98,7 @@
   }
 
   static String kindOf(byte[] event) {
-    try (JsonParser parser = JSON.createParser(EventCodec.open(event))) {
+    try (JsonParser parser = JSON.createParser(DeflatedEvents.open(event))) {
       boolean kindFirst =
           parser.nextToken() == JsonToken.START_OBJECT && "kind".equals(parser.nextFieldName());
       return kindFirst ? parser.nextTextValue() : "";
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/BatchKeys.java
@@ -0,0 +1,52 @@
+package applespindle.corelogic;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+
+/** The ids of batches and the keys of their records: the same at every edge for one submission. */
+public final class BatchKeys {
+  private static final String PROXIED_ID_PREFIX = "o-";
+  private static final String PROMPT_ID_PREFIX = "b-";
+  private static final int ID_DIGEST_LENGTH = 32;
+
+  private BatchKeys() {}
+
+  /** The id of a batch of prompts. */
+  public static String batchId(String sender, String idempotencyKey) {
+    return PROMPT_ID_PREFIX + shortDigest(sender.length() + ":" + sender + idempotencyKey);
+  }
+
+  /** The id of an opaque batch by its client's id for it; never that of a batch of prompts. */
+  static String opaqueId(String clientId) {
+    return PROXIED_ID_PREFIX + shortDigest(clientId);
+  }
+
+  /** Whether this is the key of an opaque batch. */
+  static boolean isOpaque(String key) {
+    return key.startsWith(MetadataKeys.BATCH_PREFIX + PROXIED_ID_PREFIX);
+  }
+
+  static String keyOf(String batch) {
+    return MetadataKeys.BATCH_PREFIX + batch;
+  }
+
+  static String batchOf(String key) {
+    return key.substring(MetadataKeys.BATCH_PREFIX.length());
+  }
+
+  private static String shortDigest(String text) {
+    return digest(text.getBytes(UTF_8)).substring(0, ID_DIGEST_LENGTH);
+  }
+
+  /** SHA-256 in hexadecimal digits. */
+  static String digest(byte[] bytes) {
+    try {
+      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
+    } catch (NoSuchAlgorithmException missing) {
+      throw new IllegalStateException("every Java runtime has SHA-256", missing);
+    }
+  }
+}
--- a/core-logic/src/main/java/applespindle/corelogic/BatchRoomDuty.java
+++ b/core-logic/src/main/java/applespindle/corelogic/BatchRoomDuty.java
@@ -115,6 +115,6 @@
   }
 
   private void sendAudit(Member edge, String batch) {
-    sender.reply(edge.peerAddress(), edge.id(), new Unfinished(List.of("batch/" + batch)));
+    sender.reply(edge.peerAddress(), edge.id(), new Unfinished(List.of(BatchKeys.keyOf(batch))));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchRoomLedger.java
+++ b/core-logic/src/main/java/applespindle/corelogic/BatchRoomLedger.java
@@ -13,9 +13,6 @@
  * listed.
  */
 final class BatchRoomLedger {
-  /** The core key whose log holds the changes of the ledger. */
-  static final String KEY = "batch-room";
-
   /** An event to append: one batch's change, or now and then the whole ledger. */
   record Event(boolean whole, byte[] content) {}
 
--- a/core-logic/src/main/java/applespindle/corelogic/CoreCommands.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreCommands.java
@@ -50,12 +50,13 @@
         then,
         id -> {
           StorageState emptying = new StorageState(id, name, StorageState.EMPTYING);
-          send("storage", CoreTable.STORAGE + id, emptying, then);
+          send("storage", MetadataKeys.STORAGE_PREFIX + id, emptying, then);
         });
   }
 
   void storagePlace(String name, Consumer<Response> then) {
-    withStorageId(name, then, id -> send("storage-place", CoreTable.STORAGE + id, NO_BODY, then));
+    withStorageId(
+        name, then, id -> send("storage-place", MetadataKeys.STORAGE_PREFIX + id, NO_BODY, then));
   }
 
   private void withStorageId(String name, Consumer<Response> then, Consumer<String> next) {
--- a/core-logic/src/main/java/applespindle/corelogic/CoreDiscovery.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreDiscovery.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
 /**
@@ -17,7 +18,10 @@
   private final Node.Place place;
   private final Bounds bounds;
   private final CoreMembership membership;
-  private final FeedFreshness freshness;
+
+  /** Milliseconds since the last updates from a majority of the core. */
+  private final LongSupplier viewAgeMs;
+
   private final Supplier<List<String>> seeds;
   private final KeyReplicas.Replies sender;
   private long searches;
@@ -26,13 +30,13 @@
       Node.Place place,
       Bounds bounds,
       CoreMembership membership,
-      FeedFreshness freshness,
+      LongSupplier viewAgeMs,
       Supplier<List<String>> seeds,
       KeyReplicas.Replies sender) {
     this.place = place;
     this.bounds = bounds;
     this.membership = membership;
-    this.freshness = freshness;
+    this.viewAgeMs = viewAgeMs;
     this.seeds = seeds;
     this.sender = sender;
   }
@@ -54,7 +58,7 @@
       return true;
     }
     return membership.isMember()
-        ? freshness.ageMs() > Constants.CORE_SILENT_MS
+        ? viewAgeMs.getAsLong() > Constants.CORE_SILENT_MS
         : bounds.voter() && membership.liveMembers().isEmpty();
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/CoreHeartbeat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreHeartbeat.java
@@ -26,7 +26,7 @@
   private final CoreMembership membership;
   private final CoreFounding founding;
   private final boolean listedFounders;
-  private final CoreKeys keys;
+  private final KeyLeadership keys;
   private final KeyReplicas replicas;
   private final KeyReplicas.Replies sender;
   private final Consumer<Roster> learnRoster;
@@ -38,7 +38,7 @@
       CoreMembership membership,
       CoreFounding founding,
       boolean listedFounders,
-      CoreKeys keys,
+      KeyLeadership keys,
       KeyReplicas replicas,
       KeyReplicas.Replies sender,
       Consumer<Roster> learnRoster) {
@@ -106,7 +106,7 @@
     boolean wasInContact = membership.inContact(peer);
     read(body, peer);
     if (peer.hearsUs) {
-      keys.led().values().forEach(state -> state.key.heardBy(peer.member.id()));
+      keys.heardBy(peer.member.id());
     }
     body.path("owns")
         .forEach(key -> replicas.ownerLives(key.asText(), peer.member.id(), fromAddress));
--- a/core-logic/src/main/java/applespindle/corelogic/CoreKeyState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreKeyState.java
@@ -49,7 +49,7 @@
     if (entry.isTakeover()) {
       return;
     }
-    if (key.key.equals(BatchRoomLedger.KEY)) {
+    if (key.key.equals(MetadataKeys.BATCH_CAPACITY)) {
       room.replay(entry);
       return;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/CoreKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreKeys.java
@@ -18,7 +18,7 @@
  * from a won claim until its leadership is lost, transferred or given up; of the live members the
  * first in the key's agreed order claims it, and only once its leader has been silent.
  */
-final class CoreKeys {
+final class CoreKeys implements KeyLeadership {
   private final Surroundings surroundings;
   private final Node.Place place;
   private final CoreMembership membership;
@@ -65,14 +65,19 @@
     return led.get(key);
   }
 
-  /** The keys whose leader here is in contact with a majority; others may claim the rest. */
-  List<String> inContact() {
+  @Override
+  public List<String> inContact() {
     return led.values().stream()
         .filter(state -> state.key.hearsMajority())
         .map(state -> state.key.key)
         .toList();
   }
 
+  @Override
+  public void heardBy(String replicaId) {
+    led.values().forEach(state -> state.key.heardBy(replicaId));
+  }
+
   // ---- taking the leadership
 
   void claim(String key) {
@@ -121,10 +126,10 @@
    */
   private boolean needsLeader(String key) {
     FeedItem item = table.get(key);
-    if (item != null && key.startsWith(CoreTable.MEMBER)) {
+    if (item != null && key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       return Json.read(item.value(), Member.class).live();
     }
-    return item != null || key.equals(BatchRoomLedger.KEY);
+    return item != null || key.equals(MetadataKeys.BATCH_CAPACITY);
   }
 
   private void begin(OwnedKey leadership) {
--- a/core-logic/src/main/java/applespindle/corelogic/CoreMembership.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreMembership.java
@@ -15,9 +15,6 @@
  * pass one way only, neither counts on the other.
  */
 final class CoreMembership {
-  /** The core key that holds the membership. */
-  static final String KEY = "roster";
-
   /** The name under which all core keys change their replicas together. */
   static final String SET_NAME = "core";
 
--- a/core-logic/src/main/java/applespindle/corelogic/CoreMembershipChange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreMembershipChange.java
@@ -44,9 +44,9 @@
 
   /** Takes the next step, if there is one to take and this node leads the key. */
   void advance() {
-    CoreKeyState state = keys.get(CoreMembership.KEY);
+    CoreKeyState state = keys.get(MetadataKeys.MEMBERSHIP);
     if (state == null) {
-      keys.claimIfVacant(CoreMembership.KEY);
+      keys.claimIfVacant(MetadataKeys.MEMBERSHIP);
       return;
     }
     Roster present = state.value.isNull() ? membership.current() : state.as(Roster.class);
--- a/core-logic/src/main/java/applespindle/corelogic/CoreNewcomer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreNewcomer.java
@@ -51,7 +51,7 @@
     node.ask(
         this::memberToAsk,
         "copied",
-        CoreMembership.KEY,
+        MetadataKeys.MEMBERSHIP,
         report,
         Constants.ASK_EXPIRY_MS,
         response -> {});
--- a/core-logic/src/main/java/applespindle/corelogic/CoreNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreNode.java
@@ -35,14 +35,6 @@
  * them; each duty is a class of its own.
  */
 public final class CoreNode extends Node {
-  static final String BUNDLE = "bundle";
-
-  /** The outside list of workers as one value; workers listed one by one have keys of their own. */
-  static final String WORKERS = "workers";
-
-  /** Apart from the keys of single workers, which begin with worker/. */
-  public static final String LIST_VERSION = "worker-list";
-
   private final Bounds bounds;
 
   /** The committed values known here. */
@@ -120,7 +112,8 @@
         new CoreFeed(
             surroundings, place, membership, replicas, table, journal, this::send, this::learn);
     this.discovery =
-        new CoreDiscovery(place, bounds, membership, feed.freshness(), () -> seeds, this::send);
+        new CoreDiscovery(
+            place, bounds, membership, feed.freshness()::ageMs, () -> seeds, this::send);
     this.inForce = newNewsInForce();
     this.replies = new CommandReplies(this::respond, inForce, journal);
     this.commands = new CoreCommands(this, membership);
@@ -157,7 +150,7 @@
     return new NewsInForce(
         surroundings,
         bounds.edgesConfirm(),
-        () -> EdgeListDuty.edges(table),
+        () -> NewsInForce.Edges.of(table),
         () -> membership.isMember() && feed.freshness().isFresh(),
         address -> send(address, "", new KeysAsked(surroundings.now())));
   }
@@ -194,7 +187,12 @@
 
   private DiskRecord rosterRecord() {
     return new DiskRecord(
-        Kind.ROSTER, CoreMembership.KEY, Epoch.NONE, roster.number(), true, Json.bytes(roster));
+        Kind.ROSTER,
+        MetadataKeys.MEMBERSHIP,
+        Epoch.NONE,
+        roster.number(),
+        true,
+        Json.bytes(roster));
   }
 
   @Override
@@ -282,8 +280,11 @@
   }
 
   private void committed(String key, Entry entry) {
-    if (!entry.isTakeover() && entry.whole() && !key.equals(BatchRoomLedger.KEY)) {
-      byte[] value = key.equals(BUNDLE) ? BundleDuty.forFeed(entry.event()) : entry.event();
+    if (!entry.isTakeover() && entry.whole() && !key.equals(MetadataKeys.BATCH_CAPACITY)) {
+      byte[] value =
+          key.equals(MetadataKeys.CONFIGURATION)
+              ? BundleDuty.forFeed(entry.event())
+              : entry.event();
       learn(new FeedItem(key, entry.sequence(), value));
     }
   }
@@ -294,11 +295,12 @@
     if (!table.put(item)) {
       return;
     }
-    if (item.key().equals(CoreMembership.KEY)) {
+    if (item.key().equals(MetadataKeys.MEMBERSHIP)) {
       learnRoster(Json.read(item.value(), Roster.class));
     }
     if (membership.isMember()
-        && (item.key().startsWith(CoreTable.MEMBER) || item.key().startsWith(CoreTable.STORAGE))) {
+        && (item.key().startsWith(MetadataKeys.MEMBER_PREFIX)
+            || item.key().startsWith(MetadataKeys.STORAGE_PREFIX))) {
       duties.storage().lookSoon();
     }
     feed.publish(item);
--- a/core-logic/src/main/java/applespindle/corelogic/CoreTable.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreTable.java
@@ -19,11 +19,6 @@
  * is folded once, at its change.
  */
 final class CoreTable {
-  static final String MEMBER = "member/";
-  static final String SHARD = "shard/";
-  static final String STORAGE = "storage/";
-  static final String EDGES = "edges";
-
   private final Map<String, FeedItem> items = new TreeMap<>();
   private final SharedDigest sharedDigest = new SharedDigest();
   private final Map<String, Member> members = new TreeMap<>();
@@ -48,14 +43,15 @@
     items.put(item.key(), item);
     sharedDigest.replaced(known, item);
     String key = item.key();
-    if (key.startsWith(MEMBER)) {
+    if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       fold(Json.read(item.value(), Member.class));
-    } else if (key.startsWith(SHARD)) {
+    } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
       shards.put(key, Json.read(item.value(), Shard.class));
-    } else if (key.startsWith(STORAGE)) {
+    } else if (key.startsWith(MetadataKeys.STORAGE_PREFIX)) {
       storageStates.put(
-          key.substring(STORAGE.length()), Json.read(item.value(), StorageState.class));
-    } else if (key.equals(EDGES)) {
+          key.substring(MetadataKeys.STORAGE_PREFIX.length()),
+          Json.read(item.value(), StorageState.class));
+    } else if (key.equals(MetadataKeys.EDGE_LIST)) {
       edges = Json.read(item.value(), EdgeList.class);
     }
     return true;
--- a/core-logic/src/main/java/applespindle/corelogic/CoreView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/CoreView.java
@@ -15,8 +15,6 @@
  * and a view that may be old carries its age.
  */
 final class CoreView {
-  private static final String WORKER = "worker/";
-
   private final CoreTable table;
   private final FeedFreshness freshness;
 
@@ -30,14 +28,14 @@
     ObjectNode body = JSON.createObjectNode();
     ArrayNode workers = body.putArray("workers");
     table
-        .under(WORKER)
+        .under(MetadataKeys.WORKER_PREFIX)
         .map(item -> Json.tree(item.value()))
         .filter(worker -> !worker.path("state").asText().equals(Worker.GONE))
         .forEach(workers::add);
-    if (table.has(CoreNode.WORKERS)) {
-      Json.tree(table.get(CoreNode.WORKERS).value()).path("workers").forEach(workers::add);
+    if (table.has(MetadataKeys.WORKER_LIST)) {
+      Json.tree(table.get(MetadataKeys.WORKER_LIST).value()).path("workers").forEach(workers::add);
     }
-    FeedItem version = table.get(CoreNode.LIST_VERSION);
+    FeedItem version = table.get(MetadataKeys.WORKER_LIST_VERSION);
     body.put("version", version == null ? 0 : Json.tree(version.value()).path("version").asLong());
     return body.put("ageMs", freshness.ageMs());
   }
@@ -45,7 +43,7 @@
   /** Ids of the workers that were listed by commands of their own. */
   List<String> workerIds() {
     return table
-        .under(WORKER)
+        .under(MetadataKeys.WORKER_PREFIX)
         .map(item -> Json.read(item.value(), Worker.class))
         .filter(worker -> !worker.state().equals(Worker.GONE))
         .map(Worker::id)
@@ -58,16 +56,17 @@
     table.live().forEach(member -> members.add(JSON.<JsonNode>valueToTree(member)));
     status.set("workers", workers().get("workers"));
     ArrayNode edges = status.putArray("edges");
-    EdgeListDuty.edges(table).listed().forEach(edges::add);
-    FeedItem bundle = table.get(CoreNode.BUNDLE);
+    NewsInForce.Edges.of(table).listed().forEach(edges::add);
+    FeedItem bundle = table.get(MetadataKeys.CONFIGURATION);
     status.put(
         "bundle", bundle == null ? 0 : Json.read(bundle.value(), SignedBundle.class).number());
     ObjectNode shards = status.putObject("shards");
     table
-        .under(CoreTable.SHARD)
+        .under(MetadataKeys.SHARD_PREFIX)
         .forEach(
             item ->
                 shards.set(
-                    item.key().substring(CoreTable.SHARD.length()), Json.tree(item.value())));
+                    item.key().substring(MetadataKeys.SHARD_PREFIX.length()),
+                    Json.tree(item.value())));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/DataNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/DataNode.java
@@ -16,7 +16,6 @@
 import applespindle.corelogic.Records.Roster;
 import applespindle.corelogic.Records.Shard;
 import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.StorageReplica;
 import applespindle.corelogic.Records.Worker;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -210,7 +209,7 @@
   }
 
   private FeedFollow follow(String coreId, long incarnation, long number) {
-    FeedItem bundleItem = table.get(CoreNode.BUNDLE);
+    FeedItem bundleItem = table.get(MetadataKeys.CONFIGURATION);
     return new FeedFollow(
         coreId,
         incarnation,
@@ -296,7 +295,7 @@
             bounds.linkMegabits());
     askCore(
         "grant",
-        "member/" + place.id(),
+        MetadataKeys.MEMBER_PREFIX + place.id(),
         self,
         Constants.GRANT_LENGTH_MS,
         response -> {
@@ -319,7 +318,7 @@
     }
     askCore(
         "leave",
-        "member/" + place.id(),
+        MetadataKeys.MEMBER_PREFIX + place.id(),
         new byte[] {'{', '}'},
         Constants.GRANT_LENGTH_MS,
         response -> whenDone.run());
@@ -392,11 +391,6 @@
             .toList();
   }
 
-  /** Keys whose news must be in force before somebody is told yes. */
-  static boolean mustBeInForce(String key) {
-    return key.equals("bundle") || key.equals("edges") || key.startsWith("worker/");
-  }
-
   /**
    * Says how far this edge knows what has to be in force. One that has not heard the core itself
    * says nothing.
@@ -405,7 +399,7 @@
     tellKnown(
         addresses,
         table.values().stream()
-            .filter(item -> mustBeInForce(item.key()))
+            .filter(item -> MetadataKeys.mustBeInForce(item.key()))
             .map(item -> new KeyPlace(item.key(), item.sequence()))
             .toList());
   }
@@ -442,7 +436,7 @@
         table.put(item.key(), item);
         sharedDigest.replaced(known, item);
         fold(item);
-        if (mustBeInForce(item.key())) {
+        if (MetadataKeys.mustBeInForce(item.key())) {
           learned.add(new KeyPlace(item.key(), item.sequence()));
         }
       }
@@ -472,7 +466,7 @@
   private void fold(FeedItem item) {
     String key = item.key();
     journal.add("known", key, "sequence " + item.sequence());
-    if (key.startsWith("member/")) {
+    if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       leaderPlacement = null;
       Member member = Json.read(item.value(), Member.class);
       if (member.live()) {
@@ -480,25 +474,25 @@
       } else {
         members.remove(member.id());
       }
-    } else if (key.startsWith("worker/")) {
+    } else if (key.startsWith(MetadataKeys.WORKER_PREFIX)) {
       Worker worker = Json.read(item.value(), Worker.class);
       if (worker.state().equals(GONE)) {
         workers.remove(worker.id());
       } else {
         workers.put(worker.id(), worker);
       }
-    } else if (key.equals(CoreNode.WORKERS)) {
+    } else if (key.equals(MetadataKeys.WORKER_LIST)) {
       outsideWorkers.forEach(workers::remove);
       List<Worker> listed = Json.read(item.value(), ListedWorkers.class).workers();
       listed.forEach(worker -> workers.put(worker.id(), worker));
       outsideWorkers = listed.stream().map(Worker::id).toList();
-    } else if (key.equals("edges")) {
+    } else if (key.equals(MetadataKeys.EDGE_LIST)) {
       listedEdges = Json.read(item.value(), EdgeList.class).addresses();
-    } else if (key.equals("roster")) {
+    } else if (key.equals(MetadataKeys.MEMBERSHIP)) {
       learnRoster(Json.read(item.value(), Roster.class));
-    } else if (key.startsWith("shard/")) {
+    } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
       shards.put(key, Json.read(item.value(), Shard.class));
-    } else if (key.equals("bundle")) {
+    } else if (key.equals(MetadataKeys.CONFIGURATION)) {
       SignedBundle signed = Json.read(item.value(), SignedBundle.class);
       Bundle.Checked checked = Bundle.kept(signed.bytes());
       if (checked.fault() == null) {
@@ -546,22 +540,10 @@
     return leaderPlacement;
   }
 
-  static String shardOf(String key) {
-    return "shard/" + Math.floorMod(Rendezvous.hash(key), Constants.SHARDS);
-  }
-
   /** The replica sets of the shard a key belongs to; none while the shard has none. */
-  ReplicaSets setsOf(String key) {
-    Shard shard = shards.get(shardOf(key));
-    return shard == null ? ReplicaSets.NONE : sets(shard);
-  }
-
-  static ReplicaSets sets(Shard shard) {
-    return new ReplicaSets(shard.number(), replicas(shard.replicas()), replicas(shard.next()));
-  }
-
-  static List<OwnedKey.Replica> replicas(List<StorageReplica> replicas) {
-    return replicas.stream().map(each -> new OwnedKey.Replica(each.id(), each.address())).toList();
+  protected ReplicaSets setsOf(String key) {
+    Shard shard = shards.get(MetadataKeys.shardOf(key));
+    return shard == null ? ReplicaSets.NONE : ReplicaSets.of(shard);
   }
 
   protected Map<String, Shard> shards() {
--- a/core-logic/src/main/java/applespindle/corelogic/EdgeListDuty.java
+++ b/core-logic/src/main/java/applespindle/corelogic/EdgeListDuty.java
@@ -1,10 +1,7 @@
 package applespindle.corelogic;
 
 import applespindle.corelogic.Records.EdgeList;
-import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /**
  * What the leader of the edge list's key does: keeps the list of edges whose confirmation counts in
@@ -35,26 +32,19 @@
     this.listing = new EdgeListing(surroundings);
   }
 
-  /** The listed edges and the live ones, as committed and known here. */
-  static NewsInForce.Edges edges(CoreTable table) {
-    Map<String, String> live = new TreeMap<>();
-    table.live("edge").forEach(member -> live.put(member.peerAddress(), member.name()));
-    List<String> listed = table.edges() == null ? List.of() : table.edges().addresses();
-    return new NewsInForce.Edges(listed, live);
-  }
-
   void tick() {
-    CoreKeyState state = keys.get(CoreTable.EDGES);
-    Set<String> live = edges(table).live().keySet();
+    CoreKeyState state = keys.get(MetadataKeys.EDGE_LIST);
+    Set<String> live = NewsInForce.Edges.of(table).live().keySet();
     if (state == null) {
-      boolean needed = !table.has(CoreTable.EDGES) && !live.isEmpty();
-      if (needed && membership.isFirstFor(CoreTable.EDGES)) {
-        keys.claim(CoreTable.EDGES);
+      boolean needed = !table.has(MetadataKeys.EDGE_LIST) && !live.isEmpty();
+      if (needed && membership.isFirstFor(MetadataKeys.EDGE_LIST)) {
+        keys.claim(MetadataKeys.EDGE_LIST);
       }
       return;
     }
     EdgeList list = state.as(EdgeList.class);
-    boolean knownToMost = list != null && inForce.knownToMost(CoreTable.EDGES, state.valueSequence);
+    boolean knownToMost =
+        list != null && inForce.knownToMost(MetadataKeys.EDGE_LIST, state.valueSequence);
     EdgeList next = listing.next(list, live, knownToMost);
     if (next != null) {
       surroundings.log(
--- a/core-logic/src/main/java/applespindle/corelogic/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/EdgeNode.java
@@ -1,7 +1,6 @@
 package applespindle.corelogic;
 
 import static applespindle.corelogic.Json.JSON;
-import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.BatchEvent.Accepted;
 import applespindle.corelogic.Bundle.Route;
@@ -24,12 +23,9 @@
 import applespindle.corelogic.Records.Worker;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -167,18 +163,18 @@
 
   @Override
   protected void changed(String key) {
-    if (key.startsWith("worker/") || key.equals(CoreNode.WORKERS)) {
+    if (key.startsWith(MetadataKeys.WORKER_PREFIX) || key.equals(MetadataKeys.WORKER_LIST)) {
       feederOfWorker.clear();
       book.follow(workers);
-    } else if (key.equals("bundle") && bundle != null) {
+    } else if (key.equals(MetadataKeys.CONFIGURATION) && bundle != null) {
       routes = RouteTable.compile(bundle);
       whenBundleChanges.accept(bundle);
-    } else if (key.startsWith("member/")) {
+    } else if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       feederOfWorker.clear();
-    } else if (key.startsWith("shard/")) {
+    } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
       leaders.values().stream()
           .map(leader -> leader.key)
-          .filter(owned -> shardOf(owned.key).equals(key))
+          .filter(owned -> MetadataKeys.shardOf(owned.key).equals(key))
           .toList()
           .forEach(owned -> owned.changeSets(setsOf(owned.key)));
       claims.changeSets();
@@ -273,7 +269,7 @@
     }
     StageTrace trace = new StageTrace(surroundings);
     byte[] body = new BatchSubmission.Sent(submission, bundle.number()).encode();
-    String batch = opaqueId(submission.id());
+    String batch = BatchKeys.opaqueId(submission.id());
     long expiryMs = Constants.ASK_EXPIRY_MS + toReplicasMs(body.length);
     long open = submissions.begin(batch, surroundings.now() + expiryMs + Constants.ANSWER_SLACK_MS);
     askLeader(
@@ -307,19 +303,6 @@
     return bytes * (2L * bounds.lossesToBear() + 1) / Constants.SLOW_LINK_BYTES_PER_MS;
   }
 
-  /**
-   * Of an opaque batch by the client's id for it: the same at every edge, and apart from ids of
-   * batches of prompts.
-   */
-  static String opaqueId(String clientId) {
-    return "o-" + digest(clientId.getBytes(UTF_8)).substring(0, 32);
-  }
-
-  /** By the key of its record. */
-  static boolean isOpaque(String key) {
-    return key.startsWith("batch/o-");
-  }
-
   @Override
   public void opaqueResults(String batch, long from, long wantedHoldMs, Consumer<Response> then) {
     long holdMs = Math.min(wantedHoldMs, Constants.HOLD_MOST_MS);
@@ -339,7 +322,7 @@
       String duty, String batch, ObjectNode body, long holdMs, Consumer<Response> then) {
     askLeader(
         duty,
-        opaqueId(batch),
+        BatchKeys.opaqueId(batch),
         body,
         holdMs + Constants.READ_TRY_MS,
         holdMs + Constants.READ_EXPIRY_MS,
@@ -355,21 +338,7 @@
 
   @Override
   public void endOpaque(String batch, Consumer<Response> then) {
-    endBatch(opaqueId(batch), then);
-  }
-
-  public static String batchId(String sender, String idempotencyKey) {
-    return "b-"
-        + digest((sender.length() + ":" + sender + idempotencyKey).getBytes(UTF_8))
-            .substring(0, 32);
-  }
-
-  static String digest(byte[] bytes) {
-    try {
-      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
-    } catch (NoSuchAlgorithmException missing) {
-      throw new IllegalStateException(missing);
-    }
+    endBatch(BatchKeys.opaqueId(batch), then);
   }
 
   public void submit(
@@ -386,8 +355,13 @@
         input.items().stream().map(item -> JSON.<JsonNode>valueToTree(item)).toList();
     var accepted =
         new Accepted(
-            sender, digest(Json.bytes(input)), input.dueInMs(), input.expiresInMs(), items, null);
-    askLeader(Ask.SUBMIT, batchId(sender, idempotencyKey), accepted, then);
+            sender,
+            BatchKeys.digest(Json.bytes(input)),
+            input.dueInMs(),
+            input.expiresInMs(),
+            items,
+            null);
+    askLeader(Ask.SUBMIT, BatchKeys.batchId(sender, idempotencyKey), accepted, then);
   }
 
   public void readBatch(String batch, Consumer<Response> then) {
@@ -409,7 +383,7 @@
 
   private void askLeader(
       String duty, String batch, Object body, long tryMs, long expiryMs, Consumer<Response> then) {
-    String key = "batch/" + batch;
+    String key = BatchKeys.keyOf(batch);
     ask(attempt -> leaderOf(key, duty, attempt), duty, key, body, tryMs, expiryMs, then);
   }
 
@@ -422,7 +396,7 @@
     if (leaders.containsKey(key)) {
       return new Target(place.id(), place.peerAddress());
     }
-    Target known = leaderOfBatch.get(batchOf(key));
+    Target known = leaderOfBatch.get(BatchKeys.batchOf(key));
     if (known != null
         && attempt == 0
         && members.containsKey(known.id())
@@ -430,7 +404,7 @@
       return known;
     }
     int rank = known == null ? attempt : Math.max(0, attempt - 1);
-    if (!duty.equals(Ask.SUBMIT) || !isOpaque(key)) {
+    if (!duty.equals(Ask.SUBMIT) || !BatchKeys.isOpaque(key)) {
       return leaderPlacement().edge(key, rank);
     }
     return leaderPlacement().edgeFrom(place, key, rank);
@@ -461,7 +435,7 @@
               serveFound(
                   ask,
                   peeked,
-                  Response.of(new Fault.NoSuchBatch(batchOf(ask.key()))),
+                  Response.of(new Fault.NoSuchBatch(BatchKeys.batchOf(ask.key()))),
                   led -> serve(ask, led)));
     }
   }
@@ -538,10 +512,6 @@
     }
   }
 
-  private static String batchOf(String key) {
-    return key.substring("batch/".length());
-  }
-
   private void serve(Ask ask, BatchLeader leader) {
     if (!leader.key.hearsMajority()) {
       respond(ask, Response.of(new Fault.NoMajority(ask.key())));
@@ -584,8 +554,8 @@
     Consumer<BatchLeader> whenLed = leader -> serveSubmission(ask, leader, accepted);
     askCore(
         "room",
-        "batch-room",
-        reservation(batchOf(ask.key()), accepted),
+        MetadataKeys.BATCH_CAPACITY,
+        reservation(BatchKeys.batchOf(ask.key()), accepted),
         Constants.RESERVATION_EXPIRY_MS,
         response -> {
           trace.mark("reserve");
@@ -595,7 +565,7 @@
               || response.faultType().equals("BatchOverCeiling")) {
             peek(ask.key(), peeked -> serveFound(ask, peeked, response, whenLed));
           } else {
-            respond(ask, Response.of(new Fault.NoMajority("batch-room")));
+            respond(ask, Response.of(new Fault.NoMajority(MetadataKeys.BATCH_CAPACITY)));
           }
         });
   }
@@ -628,7 +598,7 @@
               "Leadership asked for: duty="
                   + ask.duty()
                   + " batch="
-                  + batchOf(ask.key())
+                  + BatchKeys.batchOf(ask.key())
                   + " outcome="
                   + outcome.claim()
                   + trace
@@ -659,7 +629,7 @@
 
   private void begin(OwnedKey ownedKey) {
     String key = ownedKey.key;
-    leaders.put(key, new BatchLeader(surroundings, this, batchOf(key), ownedKey));
+    leaders.put(key, new BatchLeader(surroundings, this, BatchKeys.batchOf(key), ownedKey));
     journal.add("leads", key, "epoch " + ownedKey.epoch().counter());
     ownedKey.whenLost(
         () -> {
@@ -748,7 +718,7 @@
   public void reportRoom(String batch, long room, LongConsumer then) {
     askCore(
         "room",
-        "batch-room",
+        MetadataKeys.BATCH_CAPACITY,
         JSON.createObjectNode().put("batch", batch).put("items", room),
         Constants.COMMAND_EXPIRY_MS,
         response -> {
@@ -844,7 +814,7 @@
 
   @Override
   public void claimOnce(String id, String token, Consumer<Fault> then) {
-    String key = "once/" + id;
+    String key = MetadataKeys.ONCE_PREFIX + id;
     ReplicaSets sets = setsOf(key);
     if (sets.isEmpty()) {
       then.accept(new Fault.NoMajority(key));
@@ -884,7 +854,7 @@
 
   @Override
   public void unclaimOnce(String id, String token) {
-    String key = "once/" + id;
+    String key = MetadataKeys.ONCE_PREFIX + id;
     setsOf(key)
         .all()
         .forEach(
@@ -923,14 +893,14 @@
       leaderOfBatch.put(offer.batch(), new Target(fromId, fromAddress));
       feeder.offered(offer, fromId, fromAddress);
     } else if (message instanceof RangePull pull) {
-      BatchLeader leader = leaders.get("batch/" + pull.batch());
+      BatchLeader leader = leaders.get(BatchKeys.keyOf(pull.batch()));
       if (leader != null) {
         leader.pulled(pull, fromId, fromAddress);
       }
     } else if (message instanceof RangeHandout handout) {
       feeder.handedOut(handout, fromId, fromAddress);
     } else if (message instanceof RangeReport report) {
-      BatchLeader leader = leaders.get("batch/" + report.batch());
+      BatchLeader leader = leaders.get(BatchKeys.keyOf(report.batch()));
       if (leader != null) {
         leader.reported(report, fromId, fromAddress);
       }
--- a/core-logic/src/main/java/applespindle/corelogic/EventCodec.java
+++ b/core-logic/src/main/java/applespindle/corelogic/EventCodec.java
@@ -2,75 +2,23 @@
 
 import static applespindle.corelogic.Json.JSON;
 
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.io.UncheckedIOException;
-import java.util.List;
-import java.util.zip.Deflater;
-import java.util.zip.DeflaterOutputStream;
-import java.util.zip.InflaterInputStream;
 
-/**
- * The bytes of a batch's event in its log: JSON, deflated where it is large. So a large event is
- * made small once, by its leader, and not again for each replica, each disk and each claimant.
- * Plain JSON, as of the versions before, is still read.
- */
+/** The bytes of a batch's event in its log: JSON, deflated where it is large. */
 final class EventCodec {
-  /** From this size on an event is deflated. */
-  private static final int DEFLATED_FROM_BYTES = 4 << 10;
-
-  /** The first byte of deflated bytes; JSON of an event begins with a brace. */
-  private static final byte ZLIB = 0x78;
+  private EventCodec() {}
 
   static byte[] encode(BatchEvent event) {
-    byte[] plain = Json.bytes(event);
-    return plain.length < DEFLATED_FROM_BYTES ? plain : deflate(plain);
-  }
-
-  private static byte[] deflate(byte[] plain) {
-    Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-    ByteArrayOutputStream deflated = new ByteArrayOutputStream(plain.length);
-    try (OutputStream out = new DeflaterOutputStream(deflated, deflater)) {
-      out.write(plain);
-    } catch (IOException fault) {
-      throw new UncheckedIOException(fault);
-    } finally {
-      deflater.end();
-    }
-    return deflated.toByteArray();
+    return DeflatedEvents.pack(Json.bytes(event));
   }
 
   static BatchEvent decode(byte[] bytes) {
-    try (InputStream in = open(bytes)) {
+    try (InputStream in = DeflatedEvents.open(bytes)) {
       return JSON.readValue(in, BatchEvent.class);
     } catch (IOException fault) {
       throw new UncheckedIOException(fault);
     }
   }
-
-  /** The plain bytes; of deflated ones only as many are inflated as are read. */
-  static InputStream open(byte[] bytes) {
-    InputStream in = new ByteArrayInputStream(bytes);
-    return isDeflated(bytes) ? new InflaterInputStream(in) : in;
-  }
-
-  private static boolean isDeflated(byte[] bytes) {
-    return bytes.length > 0 && bytes[0] == ZLIB;
-  }
-
-  /** Whether most of these entries' bytes are deflated, so that doing it again wins nothing. */
-  static boolean mostlyDeflated(List<Entry> entries) {
-    long all = 0;
-    long deflated = 0;
-    for (Entry entry : entries) {
-      all += entry.event().length;
-      deflated += isDeflated(entry.event()) ? entry.event().length : 0;
-    }
-    return deflated * 2 > all;
-  }
-
-  private EventCodec() {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/Fault.java
+++ b/core-logic/src/main/java/applespindle/corelogic/Fault.java
@@ -151,17 +151,18 @@
   record InternalFault(String kind) implements Fault {}
 
   /**
-   * Status, whether a repeat may succeed, the sentence for a reader, and when to come back where
-   * nothing tells better.
+   * The name on the wire, the HTTP status, whether a repeat may succeed, the sentence for a reader,
+   * and when to come back where nothing tells better.
    */
-  record Row(int status, boolean retryable, String message, int comeBackSeconds) {
-    Row(int status, boolean retryable, String message) {
-      this(status, retryable, message, status == 429 || status == 503 ? 1 : 0);
+  record Row(String type, int status, boolean retryable, String message, int comeBackSeconds) {
+    Row(String type, int status, boolean retryable, String message) {
+      this(type, status, retryable, message, status == 429 || status == 503 ? 1 : 0);
     }
   }
 
+  /** The name by which clients and other processes know this error; it never changes. */
   default String type() {
-    return getClass().getSimpleName();
+    return row().type();
   }
 
   default Row row() {
@@ -196,93 +197,166 @@
 
   private static Map<Class<? extends Fault>, Row> table() {
     Map<Class<? extends Fault>, Row> rows = new LinkedHashMap<>();
-    rows.put(InvalidInput.class, new Row(400, false, "The input has faulty fields."));
-    rows.put(InputTooLarge.class, new Row(413, false, "The input is too large."));
-    rows.put(HeadTooLarge.class, new Row(431, false, "The request's head is too large."));
-    rows.put(NoSuchPath.class, new Row(404, false, "There is no such path."));
-    rows.put(MethodNotAllowed.class, new Row(405, false, "The path does not take this method."));
     rows.put(
-        SignatureRefused.class, new Row(403, false, "The signature is missing, unknown or wrong."));
-    rows.put(InvalidBundle.class, new Row(422, false, "The bundle has faults."));
+        InvalidInput.class, new Row("InvalidInput", 400, false, "The input has faulty fields."));
+    rows.put(InputTooLarge.class, new Row("InputTooLarge", 413, false, "The input is too large."));
+    rows.put(
+        HeadTooLarge.class,
+        new Row("HeadTooLarge", 431, false, "The request's head is too large."));
+    rows.put(NoSuchPath.class, new Row("NoSuchPath", 404, false, "There is no such path."));
+    rows.put(
+        MethodNotAllowed.class,
+        new Row("MethodNotAllowed", 405, false, "The path does not take this method."));
+    rows.put(
+        SignatureRefused.class,
+        new Row("SignatureRefused", 403, false, "The signature is missing, unknown or wrong."));
+    rows.put(InvalidBundle.class, new Row("InvalidBundle", 422, false, "The bundle has faults."));
     rows.put(
         BundleConflict.class,
         new Row(
+            "BundleConflict",
             409,
             false,
             "The bundle's number is not above the one in force, or has other content."));
-    rows.put(VersionConflict.class, new Row(409, false, "The version is not the one in force."));
-    rows.put(NoSuchWorker.class, new Row(404, false, "There is no such worker."));
-    rows.put(NoSuchBatch.class, new Row(404, false, "A majority of replicas has no such batch."));
-    rows.put(NoBundle.class, new Row(503, true, "No bundle is in force.", TAKEOVER_S));
     rows.put(
-        NoMatchingRule.class, new Row(404, false, "No rule of the bundle matches the request."));
+        VersionConflict.class,
+        new Row("VersionConflict", 409, false, "The version is not the one in force."));
+    rows.put(NoSuchWorker.class, new Row("NoSuchWorker", 404, false, "There is no such worker."));
+    rows.put(
+        NoSuchBatch.class,
+        new Row("NoSuchBatch", 404, false, "A majority of replicas has no such batch."));
+    rows.put(NoBundle.class, new Row("NoBundle", 503, true, "No bundle is in force.", TAKEOVER_S));
+    rows.put(
+        NoMatchingRule.class,
+        new Row("NoMatchingRule", 404, false, "No rule of the bundle matches the request."));
     rows.put(
         KeyContentConflict.class,
-        new Row(409, false, "The idempotency key was used with other content."));
-    rows.put(BatchRefused.class, new Row(409, false, "The batch was refused; nothing of it runs."));
+        new Row(
+            "KeyContentConflict", 409, false, "The idempotency key was used with other content."));
+    rows.put(
+        BatchRefused.class,
+        new Row("BatchRefused", 409, false, "The batch was refused; nothing of it runs."));
     rows.put(
         NoRoom.class,
-        new Row(429, true, "Waiting batch work is at its ceiling; nothing was accepted."));
+        new Row(
+            "NoRoom", 429, true, "Waiting batch work is at its ceiling; nothing was accepted."));
     rows.put(
         BatchOverCeiling.class,
-        new Row(413, false, "The batch alone is larger than the ceiling of waiting items."));
+        new Row(
+            "BatchOverCeiling",
+            413,
+            false,
+            "The batch alone is larger than the ceiling of waiting items."));
     rows.put(
         QueueFull.class,
-        new Row(429, true, "The queue of this class is full; the request did not run."));
+        new Row(
+            "QueueFull", 429, true, "The queue of this class is full; the request did not run."));
     rows.put(
         ExpiryPassed.class,
-        new Row(503, true, "The request could not start within its expiry; it did not run."));
+        new Row(
+            "ExpiryPassed",
+            503,
+            true,
+            "The request could not start within its expiry; it did not run."));
     rows.put(
         NoWorker.class,
-        new Row(503, true, "No worker of the pool can take the request; it did not run."));
+        new Row(
+            "NoWorker", 503, true, "No worker of the pool can take the request; it did not run."));
     rows.put(
         NoMajority.class,
         new Row(
-            503, true, "A majority of replicas can not be reached; nothing was done.", TAKEOVER_S));
+            "NoMajority",
+            503,
+            true,
+            "A majority of replicas can not be reached; nothing was done.",
+            TAKEOVER_S));
     rows.put(
-        NotReady.class, new Row(503, true, "The node is not ready; nothing was done.", TAKEOVER_S));
+        NotReady.class,
+        new Row("NotReady", 503, true, "The node is not ready; nothing was done.", TAKEOVER_S));
     rows.put(
         NodeIsolated.class,
-        new Row(503, true, "The node is cut off from the others; nothing was done.", STALE_S));
-    rows.put(NodeStopping.class, new Row(503, true, "The node is stopping; nothing was done."));
+        new Row(
+            "NodeIsolated",
+            503,
+            true,
+            "The node is cut off from the others; nothing was done.",
+            STALE_S));
+    rows.put(
+        NodeStopping.class,
+        new Row("NodeStopping", 503, true, "The node is stopping; nothing was done."));
     rows.put(
         NotOwner.class,
-        new Row(503, true, "The node does not own the key; nothing was done.", TAKEOVER_S));
+        new Row(
+            "NotOwner", 503, true, "The node does not own the key; nothing was done.", TAKEOVER_S));
     rows.put(
         OldReplicaSet.class,
-        new Row(503, true, "The replica set has changed; nothing was done.", TAKEOVER_S));
-    rows.put(NoSuchStorage.class, new Row(404, false, "There is no such storage node."));
+        new Row(
+            "OldReplicaSet",
+            503,
+            true,
+            "The replica set has changed; nothing was done.",
+            TAKEOVER_S));
+    rows.put(
+        NoSuchStorage.class,
+        new Row("NoSuchStorage", 404, false, "There is no such storage node."));
     rows.put(
         TooFewCopies.class,
-        new Row(409, false, "This would leave fewer nodes than a shard has replicas."));
-    rows.put(StorageRetired.class, new Row(409, false, "The storage node is retired already."));
-    rows.put(StorageNotEmpty.class, new Row(409, true, "The storage node still holds shards."));
+        new Row(
+            "TooFewCopies", 409, false, "This would leave fewer nodes than a shard has replicas."));
+    rows.put(
+        StorageRetired.class,
+        new Row("StorageRetired", 409, false, "The storage node is retired already."));
+    rows.put(
+        StorageNotEmpty.class,
+        new Row("StorageNotEmpty", 409, true, "The storage node still holds shards."));
     rows.put(
         OutcomeUnknown.class,
-        new Row(504, true, "The outcome is not known: it may or may not have taken effect."));
+        new Row(
+            "OutcomeUnknown",
+            504,
+            true,
+            "The outcome is not known: it may or may not have taken effect."));
     rows.put(
         AlreadyClaimed.class,
-        new Row(409, false, "The once-id is already claimed; this request did not run."));
+        new Row(
+            "AlreadyClaimed",
+            409,
+            false,
+            "The once-id is already claimed; this request did not run."));
     rows.put(
-        WorkerRefused.class, new Row(503, true, "The worker refused; the request did not run."));
+        WorkerRefused.class,
+        new Row("WorkerRefused", 503, true, "The worker refused; the request did not run."));
     rows.put(
         WorkerUnreachable.class,
-        new Row(503, true, "The worker could not be reached; the request did not run."));
-    rows.put(WorkerCut.class, new Row(502, true, "The worker's output was cut off."));
-    rows.put(WorkerGarbage.class, new Row(502, true, "The worker's output could not be read."));
-    rows.put(WorkerSilent.class, new Row(504, true, "The worker fell silent."));
-    rows.put(WorkerFailed.class, new Row(502, true, "The worker failed the request."));
-    rows.put(RunCancelled.class, new Row(503, true, "The run was cancelled."));
+        new Row(
+            "WorkerUnreachable",
+            503,
+            true,
+            "The worker could not be reached; the request did not run."));
+    rows.put(WorkerCut.class, new Row("WorkerCut", 502, true, "The worker's output was cut off."));
+    rows.put(
+        WorkerGarbage.class,
+        new Row("WorkerGarbage", 502, true, "The worker's output could not be read."));
+    rows.put(WorkerSilent.class, new Row("WorkerSilent", 504, true, "The worker fell silent."));
+    rows.put(
+        WorkerFailed.class, new Row("WorkerFailed", 502, true, "The worker failed the request."));
+    rows.put(RunCancelled.class, new Row("RunCancelled", 503, true, "The run was cancelled."));
     rows.put(
         ItemExpired.class,
-        new Row(504, false, "The batch's expiry passed before the item was done."));
-    rows.put(ItemFailed.class, new Row(502, true, "The worker ran the item and failed."));
+        new Row("ItemExpired", 504, false, "The batch's expiry passed before the item was done."));
+    rows.put(
+        ItemFailed.class, new Row("ItemFailed", 502, true, "The worker ran the item and failed."));
     rows.put(
         ItemImpossible.class,
-        new Row(422, false, "The worker says that the item can never be done."));
-    rows.put(UnknownDuty.class, new Row(501, false, "The node does not know this ask."));
-    rows.put(Overloaded.class, new Row(503, true, "The node is overloaded; nothing was done."));
-    rows.put(InternalFault.class, new Row(500, true, "The node met a fault of its own."));
+        new Row("ItemImpossible", 422, false, "The worker says that the item can never be done."));
+    rows.put(
+        UnknownDuty.class, new Row("UnknownDuty", 501, false, "The node does not know this ask."));
+    rows.put(
+        Overloaded.class,
+        new Row("Overloaded", 503, true, "The node is overloaded; nothing was done."));
+    rows.put(
+        InternalFault.class,
+        new Row("InternalFault", 500, true, "The node met a fault of its own."));
     return Map.copyOf(rows);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/FeedFollower.java
+++ b/core-logic/src/main/java/applespindle/corelogic/FeedFollower.java
@@ -47,7 +47,10 @@
 
   private void poll(CoreMember member) {
     CorePeer peer = membership.peer(member.peerAddress());
-    long bundleSequence = table.has(CoreNode.BUNDLE) ? table.get(CoreNode.BUNDLE).sequence() : 0;
+    long bundleSequence =
+        table.has(MetadataKeys.CONFIGURATION)
+            ? table.get(MetadataKeys.CONFIGURATION).sequence()
+            : 0;
     sender.reply(
         member.peerAddress(),
         member.id(),
--- a/core-logic/src/main/java/applespindle/corelogic/FeedFreshness.java
+++ b/core-logic/src/main/java/applespindle/corelogic/FeedFreshness.java
@@ -66,6 +66,8 @@
    */
   boolean lacksDecision() {
     return replicas.anyUndecided(
-        key -> !key.equals(BatchRoomLedger.KEY) && !key.startsWith(CoreTable.MEMBER));
+        key ->
+            !key.equals(MetadataKeys.BATCH_CAPACITY)
+                && !key.startsWith(MetadataKeys.MEMBER_PREFIX));
   }
 }
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/KeyLeadership.java
@@ -0,0 +1,12 @@
+package applespindle.corelogic;
+
+import java.util.List;
+
+/** What heartbeats say and need to know of the keys that this node leads. */
+interface KeyLeadership {
+  /** The keys whose leader here is in contact with a majority; others may claim the rest. */
+  List<String> inContact();
+
+  /** A replica's process showed that it hears this one. */
+  void heardBy(String replicaId);
+}
--- a/core-logic/src/main/java/applespindle/corelogic/LeaderDuties.java
+++ b/core-logic/src/main/java/applespindle/corelogic/LeaderDuties.java
@@ -61,9 +61,9 @@
         new WorkerListDuty(
             surroundings,
             bounds,
-            state -> core.keys.get(CoreNode.WORKERS) == state,
+            state -> core.keys.get(MetadataKeys.WORKER_LIST) == state,
             keys::put,
-            () -> core.keys.transfer(CoreNode.WORKERS));
+            () -> core.keys.transfer(MetadataKeys.WORKER_LIST));
     this.batchRoom = new BatchRoomDuty(surroundings, core.table, replies, core::send);
     this.edgeList = new EdgeListDuty(surroundings, core.table, membership, keys, inForce);
     this.storage = new StorageSets(surroundings, core, bounds);
@@ -80,7 +80,7 @@
 
   /** Called when this node has just taken the leadership of a key. */
   void begin(CoreKeyState state) {
-    if (state.key.key.equals(CoreNode.WORKERS) && bounds.listCallsPerS() > 0) {
+    if (state.key.key.equals(MetadataKeys.WORKER_LIST) && bounds.listCallsPerS() > 0) {
       workerList.begin(state);
     }
   }
@@ -104,13 +104,13 @@
 
   /** Somebody always reads the list, also before its key has a first value. */
   private void claimWorkerList() {
-    if (bounds.listCallsPerS() > 0 && keys.get(CoreNode.WORKERS) == null) {
-      keys.claimIfVacant(CoreNode.WORKERS);
+    if (bounds.listCallsPerS() > 0 && keys.get(MetadataKeys.WORKER_LIST) == null) {
+      keys.claimIfVacant(MetadataKeys.WORKER_LIST);
     }
   }
 
   private void auditBatchRoom() {
-    CoreKeyState state = keys.get(BatchRoomLedger.KEY);
+    CoreKeyState state = keys.get(MetadataKeys.BATCH_CAPACITY);
     if (state != null) {
       batchRoom.audit(state);
     }
@@ -157,7 +157,7 @@
   private void copied(Ask ask, CoreKeyState state, JsonNode body) {
     state.copied.put(body.path("id").asText(), body.path("number").asLong());
     replies.respond(ask, Response.of(200, body));
-    if (state.key.key.equals(CoreMembership.KEY)) {
+    if (state.key.key.equals(MetadataKeys.MEMBERSHIP)) {
       membershipChange.advance();
     } else {
       storage.lookSoon();
@@ -172,7 +172,7 @@
     status.put("replicas", bounds.replicas());
     status.put("shardsWithReducedRedundancy", storage.reduced());
     lossMargin.show(status, surroundings.now());
-    CoreKeyState room = keys.get(BatchRoomLedger.KEY);
+    CoreKeyState room = keys.get(MetadataKeys.BATCH_CAPACITY);
     if (room != null) {
       status.put("waitingBatchItems", room.room.waiting());
     }
--- a/core-logic/src/main/java/applespindle/corelogic/MemberLeases.java
+++ b/core-logic/src/main/java/applespindle/corelogic/MemberLeases.java
@@ -61,7 +61,8 @@
   }
 
   private static boolean isLive(CoreKeyState state) {
-    return state.key.key.startsWith(CoreTable.MEMBER) && state.value.path("live").asBoolean();
+    return state.key.key.startsWith(MetadataKeys.MEMBER_PREFIX)
+        && state.value.path("live").asBoolean();
   }
 
   private static Member ended(Member member) {
@@ -99,7 +100,7 @@
             member ->
                 member.peerAddress().equals(joined.peerAddress())
                     && !member.id().equals(joined.id()))
-        .forEach(former -> endMembership.accept(CoreTable.MEMBER + former.id()));
+        .forEach(former -> endMembership.accept(MetadataKeys.MEMBER_PREFIX + former.id()));
   }
 
   void leave(Ask ask, CoreKeyState state) {
--- a/core-logic/src/main/java/applespindle/corelogic/Message.java
+++ b/core-logic/src/main/java/applespindle/corelogic/Message.java
@@ -85,7 +85,7 @@
 
     @Override
     public boolean worthDeflating() {
-      return !EventCodec.mostlyDeflated(entries);
+      return !DeflatedEvents.mostlyDeflated(entries);
     }
   }
 
@@ -101,7 +101,7 @@
       implements Message {
     @Override
     public boolean worthDeflating() {
-      return !EventCodec.mostlyDeflated(entries);
+      return !DeflatedEvents.mostlyDeflated(entries);
     }
   }
 
@@ -122,7 +122,7 @@
       implements Message {
     @Override
     public boolean worthDeflating() {
-      return !EventCodec.mostlyDeflated(entries);
+      return !DeflatedEvents.mostlyDeflated(entries);
     }
   }
 
@@ -160,7 +160,7 @@
      * Whether the follower is known to hold this value or a newer one: told of the largest only.
      */
     boolean holds(FeedItem item) {
-      return item.key().equals(CoreNode.BUNDLE) && item.sequence() <= bundleSequence;
+      return item.key().equals(MetadataKeys.CONFIGURATION) && item.sequence() <= bundleSequence;
     }
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/NewsInForce.java
+++ b/core-logic/src/main/java/applespindle/corelogic/NewsInForce.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -23,7 +24,15 @@
  */
 final class NewsInForce {
   /** The listed edges by address, and the addresses of all that hold a grant, with their names. */
-  record Edges(List<String> listed, Map<String, String> live) {}
+  record Edges(List<String> listed, Map<String, String> live) {
+    /** The edges as committed and known here. */
+    static Edges of(CoreTable table) {
+      Map<String, String> live = new TreeMap<>();
+      table.live("edge").forEach(member -> live.put(member.peerAddress(), member.name()));
+      List<String> listed = table.edges() == null ? List.of() : table.edges().addresses();
+      return new Edges(listed, live);
+    }
+  }
 
   private record Waiting(
       String key, long sequence, long begunAt, ObjectNode body, Consumer<Response> then) {}
--- a/core-logic/src/main/java/applespindle/corelogic/ReplicaSets.java
+++ b/core-logic/src/main/java/applespindle/corelogic/ReplicaSets.java
@@ -1,5 +1,7 @@
 package applespindle.corelogic;
 
+import applespindle.corelogic.Records.Shard;
+import applespindle.corelogic.Records.StorageReplica;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -15,6 +17,15 @@
 record ReplicaSets(long number, List<OwnedKey.Replica> present, List<OwnedKey.Replica> next) {
   static final ReplicaSets NONE = new ReplicaSets(0, List.of(), List.of());
 
+  /** The replicas of a shard. */
+  static ReplicaSets of(Shard shard) {
+    return new ReplicaSets(shard.number(), replicas(shard.replicas()), replicas(shard.next()));
+  }
+
+  static List<OwnedKey.Replica> replicas(List<StorageReplica> replicas) {
+    return replicas.stream().map(each -> new OwnedKey.Replica(each.id(), each.address())).toList();
+  }
+
   boolean isEmpty() {
     return present.isEmpty();
   }
--- a/core-logic/src/main/java/applespindle/corelogic/SharedDigest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/SharedDigest.java
@@ -12,7 +12,7 @@
   private long sum;
 
   static boolean covers(String key) {
-    return !key.startsWith(CoreTable.MEMBER);
+    return !key.startsWith(MetadataKeys.MEMBER_PREFIX);
   }
 
   /** A value took the place of an older one; known is null where the key is new. */
--- a/core-logic/src/main/java/applespindle/corelogic/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/StorageNode.java
@@ -46,8 +46,8 @@
 
   public StorageNode(Surroundings surroundings, Place place, Bounds bounds) {
     super(surroundings, place, bounds);
-    replicas = new KeyReplicas(surroundings, this::send, this::committed, DataNode::shardOf);
-    copier = new ReplicaCopier(surroundings, this, replicas, claims, DataNode::shardOf);
+    replicas = new KeyReplicas(surroundings, this::send, this::committed, MetadataKeys::shardOf);
+    copier = new ReplicaCopier(surroundings, this, replicas, claims, MetadataKeys::shardOf);
   }
 
   public KeyReplicas replicas() {
@@ -98,7 +98,7 @@
         .filter(
             entry ->
                 now - entry.getValue()
-                    > (EdgeNode.isOpaque(entry.getKey())
+                    > (BatchKeys.isOpaque(entry.getKey())
                         ? bounds.keepBatchesMs()
                         : bundle.limits().batch().keptMs()))
         .map(Map.Entry::getKey)
@@ -189,7 +189,7 @@
 
   /** True, and told so, if the asker speaks of an older replica set than the one known here. */
   private boolean refusesOldSet(Ask ask) {
-    long known = replicas.setNumber(shardOf(ask.key()));
+    long known = replicas.setNumber(MetadataKeys.shardOf(ask.key()));
     boolean old = Json.tree(ask.body()).path("setNumber").asLong() < known;
     if (old) {
       respond(ask, Response.of(new Fault.OldReplicaSet(known)));
@@ -248,7 +248,7 @@
 
   @Override
   protected void changed(String key) {
-    if (key.startsWith("shard/")) {
+    if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
       follow(key);
     }
   }
@@ -303,7 +303,7 @@
     copier.copyIn(
         name,
         shard.number(),
-        replicas(shard.replicas()),
+        ReplicaSets.replicas(shard.replicas()),
         () -> stillPending(name, shard.number()),
         () -> {
           journal.add("copied", name, "set " + shard.number());
--- a/core-logic/src/main/java/applespindle/corelogic/StorageSets.java
+++ b/core-logic/src/main/java/applespindle/corelogic/StorageSets.java
@@ -80,7 +80,7 @@
     }
     List<String> live = core.membership.liveMembers();
     for (int shard = 0; shard < Constants.SHARDS; shard++) {
-      String key = CoreTable.SHARD + shard;
+      String key = MetadataKeys.SHARD_PREFIX + shard;
       if (table.has(key) || !core.place().id().equals(Rendezvous.first(key, live))) {
         continue;
       }
@@ -122,7 +122,8 @@
 
   private List<CoreKeyState> ownedShards() {
     return core.keys.led().values().stream()
-        .filter(state -> state.key.key.startsWith(CoreTable.SHARD) && !state.value.isNull())
+        .filter(
+            state -> state.key.key.startsWith(MetadataKeys.SHARD_PREFIX) && !state.value.isNull())
         .toList();
   }
 
@@ -277,7 +278,7 @@
     int shards =
         (int) table.shards().values().stream().filter(shard -> names(shard, sent.id())).count();
     Fault refusal = null;
-    if (known == null && !table.has(CoreTable.MEMBER + sent.id())) {
+    if (known == null && !table.has(MetadataKeys.MEMBER_PREFIX + sent.id())) {
       refusal = new Fault.NoSuchStorage(sent.id());
     } else if (sent.state().equals(StorageState.EMPTYING)) {
       int others = othersThan(sent.id());
@@ -350,7 +351,7 @@
    * a set that names the node may still be on its way here.
    */
   void place(Ask ask, CoreKeyState state) {
-    String id = state.key.key.substring(CoreTable.STORAGE.length());
+    String id = state.key.key.substring(MetadataKeys.STORAGE_PREFIX.length());
     state.key.confirm(
         fault -> {
           StorageState known = state.as(StorageState.class);
@@ -375,7 +376,7 @@
     }
     core.command(
         "read",
-        CoreTable.SHARD + number,
+        MetadataKeys.SHARD_PREFIX + number,
         JSON.createObjectNode(),
         response -> {
           Shard shard =
@@ -435,7 +436,7 @@
   int lossesBearable() {
     Set<String> live = live().keySet();
     return table.shards().values().stream()
-        .mapToInt(shard -> LossMargin.bearable(DataNode.sets(shard), live::contains))
+        .mapToInt(shard -> LossMargin.bearable(ReplicaSets.of(shard), live::contains))
         .min()
         .orElse(replicas / 2);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -63,7 +63,7 @@
   }
 
   private void send(String trafficClass, String once, int repeats) {
-    new LiveRequest(trafficClass, once, repeats).send();
+    new SentRequest(trafficClass, once, repeats).send();
   }
 
   /**
@@ -95,7 +95,7 @@
   /**
    * One request at one edge, from its sending to its answer or the end of its client's patience.
    */
-  private final class LiveRequest implements LiveDesk.Listener, Caller<Runnable> {
+  private final class SentRequest implements LiveDesk.Listener, Caller<Runnable> {
     private final String trafficClass;
     private final String once;
     private final int repeats;
@@ -110,7 +110,7 @@
     private Consumer<Runnable> answer;
     private boolean done;
 
-    LiveRequest(String trafficClass, String once, int repeats) {
+    SentRequest(String trafficClass, String once, int repeats) {
       this.trafficClass = trafficClass;
       this.once = once;
       this.repeats = repeats;
--- a/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
@@ -4,7 +4,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.adapters.NumbersOnly;
-import applespindle.corelogic.EdgeNode;
+import applespindle.corelogic.BatchKeys;
 import applespindle.corelogic.Json;
 import applespindle.testfleet.Fleet.Member;
 import applespindle.testfleet.History.Kind;
@@ -137,7 +137,7 @@
                 Kind.SUBMIT_ANSWERED,
                 key,
                 answer.path("type").asText(""),
-                EdgeNode.batchId("fleet", key),
+                BatchKeys.batchId("fleet", key),
                 status);
             if (status == 201) {
               batch = answer.path("batch").asText();
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -4,6 +4,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.BatchInput;
+import applespindle.corelogic.BatchKeys;
 import applespindle.corelogic.CoreNode;
 import applespindle.corelogic.EdgeNode;
 import applespindle.corelogic.Records.SignedBundle;
@@ -85,7 +86,7 @@
     private void submitted(Response response) {
       int status = response == null ? 0 : response.status();
       String id =
-          status == 201 ? response.body().path("batch").asText() : EdgeNode.batchId("sender", key);
+          status == 201 ? response.body().path("batch").asText() : BatchKeys.batchId("sender", key);
       simulation.history.add(
           simulation.nowMs(),
           Kind.SUBMIT_ANSWERED,
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -16,6 +16,7 @@
 import applespindle.corelogic.Invariant;
 import applespindle.corelogic.KeyReplicas;
 import applespindle.corelogic.Message;
+import applespindle.corelogic.MessageNames;
 import applespindle.corelogic.Node;
 import applespindle.corelogic.OpaqueRequest;
 import applespindle.corelogic.StorageNode;
@@ -666,9 +667,7 @@
     }
 
     static String kindOf(Message message) {
-      return message instanceof Message.Ask ask
-          ? "Ask:" + ask.duty()
-          : message.getClass().getSimpleName();
+      return message instanceof Message.Ask ask ? "Ask:" + ask.duty() : MessageNames.of(message);
     }
 
     /** True if the message must not go out. */
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -14,6 +14,7 @@
 import applespindle.corelogic.Message;
 import applespindle.corelogic.Message.FeedItem;
 import applespindle.corelogic.Message.FeedNews;
+import applespindle.corelogic.MessageNames;
 import applespindle.corelogic.Node;
 import applespindle.corelogic.Records.SignedBundle;
 import applespindle.corelogic.Records.WorkerInput;
@@ -311,7 +312,7 @@
     if (message instanceof FeedNews news) {
       return kindOfNews(news);
     }
-    return message.getClass().getSimpleName();
+    return MessageNames.of(message);
   }
 
   private static String kindOfNews(FeedNews news) {
