--- a/adapters/src/main/java/applespindle/adapters/DiskLog.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskLog.java
@@ -1,11 +1,11 @@
 package applespindle.adapters;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
 import applespindle.adapters.DiskFolder.DiskFile;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.Json;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.DiskConstants;
+import applespindle.corelogic.log.LogRecord;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
@@ -48,7 +48,7 @@
   private final PeerCodec codec = new PeerCodec();
 
   /** Whatever is written passes through here, so that no more than this lies outside the heap. */
-  private final ByteBuffer buffer = ByteBuffer.allocateDirect(Constants.DISK_BUFFER_BYTES);
+  private final ByteBuffer buffer = ByteBuffer.allocateDirect(DiskConstants.WRITE_BUFFER_BYTES);
 
   private String id;
   private long incarnation;
@@ -76,13 +76,13 @@
     this.log = log;
   }
 
-  public static DiskLog open(Path folder, Consumer<DiskRecord> replay, Consumer<String> log) {
+  public static DiskLog open(Path folder, Consumer<LogRecord> replay, Consumer<String> log) {
     return open(folder, DiskSizes.of(0), replay, log);
   }
 
   /** Opens a folder that no other process may have open. */
   static DiskLog open(
-      Path path, DiskSizes sizes, Consumer<DiskRecord> replay, Consumer<String> log) {
+      Path path, DiskSizes sizes, Consumer<LogRecord> replay, Consumer<String> log) {
     try {
       return open(PlainFolder.open(path), sizes, replay, log);
     } catch (IOException fault) {
@@ -95,10 +95,10 @@
    * of it aside: the node then starts as a new, empty one under a new id.
    */
   static DiskLog open(
-      DiskFolder folder, DiskSizes sizes, Consumer<DiskRecord> replay, Consumer<String> log)
+      DiskFolder folder, DiskSizes sizes, Consumer<LogRecord> replay, Consumer<String> log)
       throws IOException {
     DiskLog opened = new DiskLog(folder, sizes, log);
-    List<DiskRecord> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     try {
       opened.readIdentity();
       opened.readAll(records::add);
@@ -207,11 +207,11 @@
         dropCovered();
         return;
       } catch (IOException refused) {
-        if (tries == Constants.DISK_START_TRIES) {
+        if (tries == DiskConstants.MAX_STARTUP_ATTEMPTS) {
           throw refused;
         }
         noteRefusing(true, refused.getMessage());
-        LockSupport.parkNanos(Constants.DISK_AGAIN_MS * 1_000_000L);
+        LockSupport.parkNanos(DiskConstants.STARTUP_RETRY_DELAY_MS * 1_000_000L);
       }
     }
   }
@@ -238,7 +238,7 @@
 
   // ---- reading
 
-  private void readAll(Consumer<DiskRecord> replay) throws IOException {
+  private void readAll(Consumer<LogRecord> replay) throws IOException {
     List<String> checkpoints = files("checkpoint-");
     if (!checkpoints.isEmpty()) {
       String newest = checkpoints.get(checkpoints.size() - 1);
@@ -277,14 +277,14 @@
   }
 
   private void readFile(
-      String name, Consumer<DiskRecord> replay, boolean newestSegment, boolean checkpoint)
+      String name, Consumer<LogRecord> replay, boolean newestSegment, boolean checkpoint)
       throws IOException {
     long size = folder.size(name);
     long good = 0;
     boolean ended = false;
     try (DataInputStream bytes =
         new DataInputStream(
-            new BufferedInputStream(folder.read(name), Constants.DISK_BUFFER_BYTES))) {
+            new BufferedInputStream(folder.read(name), DiskConstants.WRITE_BUFFER_BYTES))) {
       while (good < size) {
         byte[] content = readRecord(bytes, size - good);
         if (content == null) {
@@ -404,7 +404,7 @@
    * Appends and syncs. A refused write is tried again at the same place until it is taken: nothing
    * of it was answered for. A failed sync is final: what a later one would say can not be trusted.
    */
-  void append(List<DiskRecord> records) {
+  void append(List<LogRecord> records) {
     if (records.isEmpty()) {
       return;
     }
@@ -418,11 +418,11 @@
     segmentBytes = end;
   }
 
-  private long writeUntilTaken(List<DiskRecord> records) {
+  private long writeUntilTaken(List<LogRecord> records) {
     while (true) {
       try {
         FrameWriter writer = new FrameWriter(file, segmentBytes);
-        for (DiskRecord record : records) {
+        for (LogRecord record : records) {
           writer.add(TYPE_RECORD, codec.encode(record));
         }
         long end = writer.flush();
@@ -430,7 +430,7 @@
         return end;
       } catch (IOException refused) {
         noteRefusing(true, refused.getMessage());
-        LockSupport.parkNanos(Constants.DISK_AGAIN_MS * 1_000_000L);
+        LockSupport.parkNanos(DiskConstants.STARTUP_RETRY_DELAY_MS * 1_000_000L);
       }
     }
   }
@@ -469,7 +469,7 @@
    * the old. A disk that refuses it keeps the old segments, which say the same, and is asked again
    * after as many bytes more.
    */
-  void checkpoint(List<DiskRecord> records) {
+  void checkpoint(List<LogRecord> records) {
     long last = segment;
     bytesSinceCheckpoint = 0;
     DiskFile before = file;
@@ -489,11 +489,11 @@
     }
   }
 
-  private void writeCheckpoint(String name, List<DiskRecord> records) throws IOException {
+  private void writeCheckpoint(String name, List<LogRecord> records) throws IOException {
     String temporary = "new-" + name;
     try (DiskFile written = folder.create(temporary)) {
       FrameWriter writer = new FrameWriter(written, 0);
-      for (DiskRecord record : records) {
+      for (LogRecord record : records) {
         writer.add(TYPE_RECORD, codec.encode(record));
       }
       writer.add(TYPE_END_OF_CHECKPOINT, new byte[0]);
--- a/adapters/src/main/java/applespindle/adapters/DiskSizes.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskSizes.java
@@ -1,6 +1,6 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Constants;
+import applespindle.corelogic.constants.DiskConstants;
 
 /**
  * The sizes of a log, which follow from its disk: as much of it as a part may take, and never more
@@ -10,10 +10,10 @@
   /** diskBytes is the whole disk, shared with others; 0 where it was not told. */
   static DiskSizes of(long diskBytes) {
     if (diskBytes <= 0) {
-      return new DiskSizes(Constants.SEGMENT_BYTES, Constants.DISK_LEFT_BYTES);
+      return new DiskSizes(DiskConstants.SEGMENT_BYTES, DiskConstants.MIN_FREE_BYTES);
     }
     return new DiskSizes(
-        Math.min(Constants.SEGMENT_BYTES, diskBytes / Constants.SEGMENTS_ON_A_DISK),
-        Math.min(Constants.DISK_LEFT_BYTES, diskBytes / Constants.DISK_LEFT_PART));
+        Math.min(DiskConstants.SEGMENT_BYTES, diskBytes / DiskConstants.SEGMENTS_PER_DISK),
+        Math.min(DiskConstants.MIN_FREE_BYTES, diskBytes / DiskConstants.MIN_FREE_ONE_IN));
   }
 }
--- a/adapters/src/main/java/applespindle/adapters/EventSplitter.java
+++ b/adapters/src/main/java/applespindle/adapters/EventSplitter.java
@@ -2,20 +2,20 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.OpaqueRequest.Piece;
+import applespindle.corelogic.constants.WorkerConnectionConstants;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
 import java.util.Arrays;
 import java.util.function.Consumer;
 
 /** Splits an event stream into whole events, bytes unchanged; each ends with its blank line. */
 final class EventSplitter {
-  private final Consumer<Piece> events;
+  private final Consumer<ResponseChunk> events;
   private byte[] bytes = new byte[512];
   private int length;
   private int lineFrom;
   private String eventId = "";
 
-  EventSplitter(Consumer<Piece> events) {
+  EventSplitter(Consumer<ResponseChunk> events) {
     this.events = events;
   }
 
@@ -36,7 +36,7 @@
       if (lineTo > lineFrom) {
         noteId(lineFrom, lineTo);
       } else {
-        events.accept(new Piece(eventId, Arrays.copyOfRange(bytes, eventFrom, at + 1)));
+        events.accept(new ResponseChunk(eventId, Arrays.copyOfRange(bytes, eventFrom, at + 1)));
         eventId = "";
         eventFrom = at + 1;
       }
@@ -47,7 +47,7 @@
       length -= eventFrom;
       lineFrom -= eventFrom;
     }
-    return length <= Constants.EVENT_BYTES_MOST;
+    return length <= WorkerConnectionConstants.MAX_EVENT_BYTES;
   }
 
   /** Nothing of a further event has come. */
--- a/adapters/src/main/java/applespindle/adapters/ExchangeClient.java
+++ b/adapters/src/main/java/applespindle/adapters/ExchangeClient.java
@@ -2,16 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.HttpSyntax;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.Surroundings.ExchangeListener;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.HttpSyntax;
+import applespindle.corelogic.constants.WorkerConnectionConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 import io.activej.bytebuf.ByteBuf;
 import io.activej.eventloop.Eventloop;
 import io.activej.net.socket.tcp.TcpSocket;
@@ -38,7 +39,8 @@
  * address by the Host header, which here is the client's.
  */
 final class ExchangeClient {
-  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(Constants.WORKER_CONNECT_MS);
+  private static final Duration CONNECT_TIMEOUT =
+      Duration.ofMillis(WorkerConnectionConstants.CONNECT_TIMEOUT_MS);
   private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
@@ -99,8 +101,8 @@
       byte[] request = render(call);
       if (request == null) {
         fail(
-            new Fault.InvalidInput(
-                List.of(new Fault.Field("head", "holds what HTTP/1.1 can not carry"))),
+            new ApiError.InvalidInput(
+                List.of(new ApiError.Field("head", "holds what HTTP/1.1 can not carry"))),
             false);
         return;
       }
@@ -114,7 +116,7 @@
           .whenComplete(
               (socket, fault) -> {
                 if (fault != null) {
-                  fail(new Fault.WorkerUnreachable(call.workerId()), false);
+                  fail(new ApiError.WorkerUnreachable(call.workerId()), false);
                   return;
                 }
                 Connection made = new Connection(call.address(), socket);
@@ -134,7 +136,7 @@
       }
     }
 
-    void fail(Fault fault, boolean mayHaveRun) {
+    void fail(ApiError fault, boolean mayHaveRun) {
       if (!over) {
         over = true;
         told.add(() -> listener.fault(fault, mayHaveRun));
@@ -154,7 +156,7 @@
         told.add(() -> listener.load(load));
       }
       if (format.saysNotRun(status, values)) {
-        fail(new Fault.WorkerRefused(status), false);
+        fail(new ApiError.WorkerRejected(status), false);
         connection.limitRest();
         return true;
       }
@@ -165,7 +167,7 @@
       if (type != null && type.toLowerCase(Locale.ROOT).startsWith("text/event-stream")) {
         events = new EventSplitter(event -> told.add(() -> listener.piece(event)));
       }
-      Head head = new Head(status, endToEnd(headers));
+      ResponseHead head = new ResponseHead(status, endToEnd(headers));
       told.add(() -> listener.head(head));
       return true;
     }
@@ -185,7 +187,7 @@
       if (events != null) {
         return events.take(bytes, offset, size);
       }
-      Piece piece = new Piece("", Arrays.copyOfRange(bytes, offset, offset + size));
+      ResponseChunk piece = new ResponseChunk("", Arrays.copyOfRange(bytes, offset, offset + size));
       told.add(() -> listener.piece(piece));
       return true;
     }
@@ -243,7 +245,7 @@
    * or let one request look like two. Headers that concern one connection only are left out.
    */
   private byte[] render(WorkerExchange call) {
-    OpaqueRequest request = call.request();
+    ProxiedRequest request = call.request();
     StringBuilder head = new StringBuilder(512);
     head.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1\r\n");
     boolean clean = HttpSyntax.isToken(request.method()) && HttpSyntax.isTarget(request.target());
@@ -303,7 +305,7 @@
     }
     sweeping = true;
     eventloop.delayBackground(
-        Constants.IDLE_SWEEP_MS,
+        WorkerConnectionConstants.IDLE_SWEEP_INTERVAL_MS,
         () -> {
           sweeping = false;
           long now = eventloop.currentTimeMillis();
@@ -370,7 +372,7 @@
               (done, fault) -> {
                 written = true;
                 if (fault != null) {
-                  lose(new Fault.WorkerCut(exchange.call.workerId()));
+                  lose(new ApiError.WorkerStreamTruncated(exchange.call.workerId()));
                 } else if (this.exchange == null) {
                   rest();
                 }
@@ -393,7 +395,10 @@
                 }
                 Exchange present = exchange;
                 if (chunk == null) {
-                  lose(present == null ? null : new Fault.WorkerCut(present.call.workerId()));
+                  lose(
+                      present == null
+                          ? null
+                          : new ApiError.WorkerStreamTruncated(present.call.workerId()));
                   return;
                 }
                 boolean readable =
@@ -405,7 +410,10 @@
                   readable = parser.goOn();
                 }
                 if (!readable) {
-                  lose(present == null ? null : new Fault.WorkerGarbage(present.call.workerId()));
+                  lose(
+                      present == null
+                          ? null
+                          : new ApiError.MalformedWorkerResponse(present.call.workerId()));
                 } else if (!closed) {
                   present.flush();
                   readOn();
@@ -478,14 +486,16 @@
       long told = parser.keepAliveMs();
       long keptMs =
           told == 0
-              ? Constants.IDLE_UNTOLD_MS
-              : Math.min(Constants.IDLE_MOST_MS, told - Constants.IDLE_MARGIN_MS);
+              ? WorkerConnectionConstants.DEFAULT_IDLE_TIMEOUT_MS
+              : Math.min(
+                  WorkerConnectionConstants.MAX_IDLE_TIMEOUT_MS,
+                  told - WorkerConnectionConstants.IDLE_TIMEOUT_MARGIN_MS);
       idleUntil = eventloop.currentTimeMillis() + keptMs;
       ArrayDeque<Connection> connections =
           idle.computeIfAbsent(address, unseen -> new ArrayDeque<>());
       connections.addLast(this);
       sweep();
-      if (connections.size() > Constants.IDLE_CONNECTIONS_MOST) {
+      if (connections.size() > WorkerConnectionConstants.MAX_IDLE_CONNECTIONS) {
         connections.peekFirst().close();
       }
     }
@@ -494,7 +504,7 @@
     void limitRest() {
       Exchange refused = exchange;
       eventloop.delayBackground(
-          Constants.REFUSAL_REST_MS,
+          WorkerConstants.REJECTION_BACKOFF_MS,
           () -> {
             if (exchange == refused) {
               close();
@@ -502,7 +512,7 @@
           });
     }
 
-    private void lose(Fault fault) {
+    private void lose(ApiError fault) {
       Exchange lost = exchange;
       close();
       if (lost != null) {
--- a/adapters/src/main/java/applespindle/adapters/FrameDeflation.java
+++ b/adapters/src/main/java/applespindle/adapters/FrameDeflation.java
@@ -1,6 +1,7 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Constants;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.constants.SizeLimits;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.zip.DataFormatException;
@@ -48,7 +49,9 @@
     int length = ByteBuffer.wrap(bytes, from, LENGTH_BYTES).getInt();
     if (length <= 0
         || length
-            > Math.min(Constants.FRAME_BYTES_MOST, (long) Constants.PEER_INFLATE_MOST * size)) {
+            > Math.min(
+                SizeLimits.MAX_FRAME_BYTES,
+                (long) PeerConnectionConstants.MAX_INFLATE_RATIO * size)) {
       throw new UnreadableFrame(UnreadableFrame.Kind.TOO_LARGE);
     }
     if (inflater == null) {
--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -1,11 +1,12 @@
 package applespindle.adapters;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.constants.LifecycleConstants;
+import applespindle.corelogic.constants.SizeLimits;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.activej.bytebuf.ByteBuf;
@@ -45,10 +46,10 @@
       Pattern.compile("(?<quote>\"?)(?<revision>[0-9]{1,18})\\k<quote>");
 
   /** The refusal of a change whose {@link Call#revisionMatched} is empty. */
-  public static final Fault NO_REVISION_MATCHED =
-      new Fault.InvalidInput(
+  public static final ApiError NO_REVISION_MATCHED =
+      new ApiError.InvalidInput(
           List.of(
-              new Fault.Field(
+              new ApiError.Field(
                   "header " + HttpHeaders.IF_MATCH,
                   "must be the revision that this one builds on")));
 
@@ -121,7 +122,7 @@
                           process
                               .node()
                               .journal()
-                              .about(call.query("key"), Constants.JOURNAL_KEPT)));
+                              .about(call.query("key"), LifecycleConstants.MAX_TRACE_EVENTS)));
                   then.accept(Response.of(200, body));
                 }));
   }
@@ -134,7 +135,7 @@
     String reason = process.diskFull() ? "the disk is full" : process.node().notReadyBecause();
     return reason.isEmpty()
         ? Response.of(200, JSON.createObjectNode().put("ready", true))
-        : Response.of(new Fault.NotReady(reason));
+        : Response.of(new ApiError.NotReady(reason));
   }
 
   private Promise<HttpResponse> metrics() {
@@ -237,7 +238,8 @@
             fault ->
                 Promise.of(
                     render(
-                        Response.of(new Fault.InternalFault(fault.getClass().getSimpleName())))));
+                        Response.of(
+                            new ApiError.InternalError(fault.getClass().getSimpleName())))));
   }
 
   /**
@@ -277,10 +279,10 @@
       allowed.add(path.method().name());
     }
     if (allowed.isEmpty()) {
-      return Promise.of(render(Response.of(new Fault.NoSuchPath(request.getPath()))));
+      return Promise.of(render(Response.of(new ApiError.NoSuchPath(request.getPath()))));
     }
     return Promise.of(
-        begin(Response.of(new Fault.MethodNotAllowed(request.getMethod().name())))
+        begin(Response.of(new ApiError.MethodNotAllowed(request.getMethod().name())))
             .withHeader(HttpHeaders.ALLOW, String.join(", ", allowed))
             .build());
   }
@@ -292,16 +294,16 @@
   private Promise<HttpResponse> load(HttpRequest request, WithBody handler) {
     String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
     if (length != null
-        && (length.length() > 9 || Long.parseLong(length) > Constants.BODY_BYTES_MOST)) {
+        && (length.length() > 9 || Long.parseLong(length) > SizeLimits.MAX_BODY_BYTES)) {
       return Promise.of(tooLarge());
     }
     return request
-        .loadBody(Constants.BODY_BYTES_MOST)
+        .loadBody(SizeLimits.MAX_BODY_BYTES)
         .then(body -> handler.handle(body.getArray()), fault -> Promise.of(tooLarge()));
   }
 
   private static HttpResponse tooLarge() {
-    return render(Response.of(new Fault.InputTooLarge(Constants.BODY_BYTES_MOST)));
+    return render(Response.of(new ApiError.InputTooLarge(SizeLimits.MAX_BODY_BYTES)));
   }
 
   private static Map<String, String> match(String[] pattern, String[] segments) {
@@ -322,7 +324,7 @@
   /** Runs on the logic thread and comes back to the http thread with what the logic answers. */
   public Promise<HttpResponse> ask(Consumer<Consumer<Response>> question) {
     return this.<Response>onLogic(question)
-        .map(HttpInterface::render, fault -> render(Response.of(new Fault.Overloaded("logic"))));
+        .map(HttpInterface::render, fault -> render(Response.of(new ApiError.Overloaded("logic"))));
   }
 
   private <T> Promise<T> onLogic(Consumer<Consumer<T>> question) {
@@ -340,7 +342,7 @@
     return PeerTransport.socketAddress(address);
   }
 
-  public static Promise<HttpResponse> refuse(Fault fault) {
+  public static Promise<HttpResponse> refuse(ApiError fault) {
     return Promise.of(render(Response.of(fault)));
   }
 
--- a/adapters/src/main/java/applespindle/adapters/NodeProcess.java
+++ b/adapters/src/main/java/applespindle/adapters/NodeProcess.java
@@ -1,12 +1,23 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.DiskConstants;
+import applespindle.corelogic.constants.LifecycleConstants;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
 import io.activej.eventloop.Eventloop;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -37,7 +48,7 @@
  * logic alone touches the node, and what comes from elsewhere waits for it in a bounded number.
  * Where there is but one processor, the first three share a thread.
  */
-public final class NodeProcess implements Surroundings {
+public final class NodeProcess implements Environment {
   private static final String PART = "process";
 
   /**
@@ -97,7 +108,7 @@
     }
   }
 
-  private record DiskJob(List<DiskRecord> records, Runnable whenSynced, boolean checkpoint) {}
+  private record DiskJob(List<LogRecord> records, Runnable whenSynced, boolean checkpoint) {}
 
   /**
    * The formats in which opaque requests and the outside list of workers are spoken; null where
@@ -120,7 +131,7 @@
   private final AtomicInteger waiting = new AtomicInteger();
 
   private final OneToOneConcurrentArrayQueue<DiskJob> diskRing =
-      new OneToOneConcurrentArrayQueue<>(Constants.RING_SLOTS);
+      new OneToOneConcurrentArrayQueue<>(DiskConstants.WRITE_RING_SLOTS);
   private final RandomGenerator random;
   private final PeerTransport transport;
   private final WorkerClient workers;
@@ -135,19 +146,19 @@
   private volatile long diskWakeUps;
   private double startSeconds;
 
-  public NodeProcess(Startup startup, BiFunction<Surroundings, Node.Place, Node> maker) {
-    this(startup, Bounds.DEFAULT, maker, Outside.NONE);
+  public NodeProcess(Startup startup, BiFunction<Environment, NodeIdentity, Node> maker) {
+    this(startup, NodeSettings.DEFAULT, maker, Outside.NONE);
   }
 
   public NodeProcess(
-      Startup startup, BiFunction<Surroundings, Node.Place, Node> maker, Outside outside) {
-    this(startup, Bounds.DEFAULT, maker, outside);
+      Startup startup, BiFunction<Environment, NodeIdentity, Node> maker, Outside outside) {
+    this(startup, NodeSettings.DEFAULT, maker, outside);
   }
 
   public NodeProcess(
       Startup startup,
-      Bounds bounds,
-      BiFunction<Surroundings, Node.Place, Node> maker,
+      NodeSettings bounds,
+      BiFunction<Environment, NodeIdentity, Node> maker,
       Outside outside) {
     this(startup, bounds, maker, outside, Runtime.getRuntime().availableProcessors() == 1);
   }
@@ -158,8 +169,8 @@
    */
   NodeProcess(
       Startup startup,
-      Bounds bounds,
-      BiFunction<Surroundings, Node.Place, Node> maker,
+      NodeSettings bounds,
+      BiFunction<Environment, NodeIdentity, Node> maker,
       Outside outside,
       boolean sharedThread) {
     this.startup = startup;
@@ -169,7 +180,7 @@
     random =
         new SplittableRandom(
             System.nanoTime() ^ System.currentTimeMillis() << 20 ^ startup.peer().hashCode());
-    List<DiskRecord> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     disk =
         startup.data() == null
             ? null
@@ -182,7 +193,7 @@
         disk == null ? UUID.randomUUID().toString().replace("-", "").substring(0, 12) : disk.id();
     long incarnation = disk == null ? 1 : disk.incarnation();
     var place =
-        new Node.Place(
+        new NodeIdentity(
             id,
             incarnation,
             startup.name(),
@@ -298,7 +309,9 @@
     try {
       done =
           stopped.await(
-              Constants.STOP_NOTICE_MS + Constants.DRAIN_MS + Constants.GRANT_LENGTH_MS,
+              LifecycleConstants.SHUTDOWN_NOTICE_MS
+                  + LifecycleConstants.DRAIN_TIMEOUT_MS
+                  + MembershipConstants.LEASE_DURATION_MS,
               TimeUnit.MILLISECONDS);
     } catch (InterruptedException cutShort) {
       // It ends now.
@@ -311,7 +324,7 @@
    * Hands a task to the logic thread; false when too much waits for it, and then nothing was done.
    */
   public boolean toLogic(Runnable task) {
-    if (waiting.incrementAndGet() > Constants.RING_SLOTS) {
+    if (waiting.incrementAndGet() > DiskConstants.WRITE_RING_SLOTS) {
       waiting.decrementAndGet();
       return false;
     }
@@ -384,7 +397,7 @@
         if (jobs.isEmpty() && !diskFull) {
           LockSupport.park(this);
         } else if (jobs.isEmpty()) {
-          LockSupport.parkNanos(this, Constants.DISK_LOOK_MS * 1_000_000L);
+          LockSupport.parkNanos(this, DiskConstants.FREE_SPACE_CHECK_INTERVAL_MS * 1_000_000L);
         }
         List<DiskJob> group = new ArrayList<>();
         for (DiskJob job : jobs) {
@@ -397,7 +410,7 @@
           }
         }
         write(group);
-        if (now() - spaceReadAt >= Constants.DISK_LOOK_MS) {
+        if (now() - spaceReadAt >= DiskConstants.FREE_SPACE_CHECK_INTERVAL_MS) {
           noteSpace();
         }
         if (!checkpointAsked && disk.wantsCheckpoint(diskFull)) {
@@ -416,7 +429,7 @@
     if (group.isEmpty()) {
       return;
     }
-    List<DiskRecord> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     group.forEach(job -> records.addAll(job.records()));
     disk.append(records);
     List<Runnable> synced = group.stream().map(DiskJob::whenSynced).toList();
@@ -445,10 +458,13 @@
   }
 
   @Override
-  public Schedule after(long millis, Runnable task) {
+  public ScheduledTask after(long millis, Runnable task) {
     long due = now() + Math.max(0, millis);
-    if (millis >= Constants.BEAT_LEAST_MS) {
-      due = (due + Constants.BEAT_GRAIN_MS - 1) / Constants.BEAT_GRAIN_MS * Constants.BEAT_GRAIN_MS;
+    if (millis >= LifecycleConstants.MIN_COALESCED_TIMER_MS) {
+      due =
+          (due + LifecycleConstants.TIMER_GRANULARITY_MS - 1)
+              / LifecycleConstants.TIMER_GRANULARITY_MS
+              * LifecycleConstants.TIMER_GRANULARITY_MS;
     }
     return logic.loop.schedule(due, () -> runSafely(task))::cancel;
   }
@@ -463,7 +479,7 @@
   }
 
   @Override
-  public void write(List<DiskRecord> records, Runnable whenSynced) {
+  public void write(List<LogRecord> records, Runnable whenSynced) {
     if (disk == null) {
       throw new IllegalStateException("a node without a data folder keeps no records");
     }
@@ -472,7 +488,7 @@
 
   @Override
   public boolean takesWrites() {
-    return diskRing.size() < Constants.RING_SLOTS / 2 && !diskFull && !disk.refusing();
+    return diskRing.size() < DiskConstants.WRITE_RING_SLOTS / 2 && !diskFull && !disk.refusing();
   }
 
   /** So little is left on the disk that nothing new is taken; what is there stays. */
@@ -481,14 +497,14 @@
   }
 
   @Override
-  public WorkerRun run(WorkerCall call, WorkerListener listener) {
+  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
     WorkerClient.Run[] run = new WorkerClient.Run[1];
     toHttp(
         () ->
             run[0] =
                 workers.run(
                     call,
-                    new WorkerListener() {
+                    new WorkerCallListener() {
                       @Override
                       public void text(String text) {
                         backToLogic(() -> listener.text(text));
@@ -500,7 +516,7 @@
                       }
 
                       @Override
-                      public void fault(Fault fault, boolean mayHaveRun) {
+                      public void fault(ApiError fault, boolean mayHaveRun) {
                         backToLogic(() -> listener.fault(fault, mayHaveRun));
                       }
                     }));
@@ -508,7 +524,7 @@
   }
 
   @Override
-  public WorkerRun exchange(WorkerExchange exchange, ExchangeListener listener) {
+  public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
     ExchangeClient.Exchange begun = exchanges.prepare(exchange, listener);
     toHttp(begun::start);
     return () -> toHttp(begun::cancel);
@@ -516,7 +532,7 @@
 
   @Override
   public void readLoad(
-      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
     toHttp(
         () ->
             workers.readLoad(
@@ -527,7 +543,7 @@
 
   @Override
   public void listWorkers(
-      String pageToken, Consumer<WorkerPage> whenRead, Consumer<Fault> whenFaulty) {
+      String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty) {
     toHttp(
         () ->
             outside
--- a/adapters/src/main/java/applespindle/adapters/PeerCodec.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerCodec.java
@@ -1,41 +1,41 @@
 package applespindle.adapters;
 
 import applespindle.adapters.sbe.*;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.Entry;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Epoch;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.AskProgress;
-import applespindle.corelogic.Message.AskResponse;
-import applespindle.corelogic.Message.BatchEnded;
-import applespindle.corelogic.Message.CoreIs;
-import applespindle.corelogic.Message.CorePing;
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyHandOver;
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPlace;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.KeysAsked;
-import applespindle.corelogic.Message.KeysKnown;
-import applespindle.corelogic.Message.RangeHandout;
-import applespindle.corelogic.Message.RangePull;
-import applespindle.corelogic.Message.RangeReport;
-import applespindle.corelogic.Message.RangeReported;
-import applespindle.corelogic.Message.ReportedItem;
-import applespindle.corelogic.Message.Unfinished;
-import applespindle.corelogic.Message.Verdict;
-import applespindle.corelogic.Message.WhereIsCore;
-import applespindle.corelogic.Message.WorkOffer;
-import applespindle.corelogic.Message.WorkerLoads;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.AppliedPositions;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.protocol.Message.BatchEnded;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
+import applespindle.corelogic.protocol.Message.KeyPosition;
+import applespindle.corelogic.protocol.Message.LeaderlessBatches;
+import applespindle.corelogic.protocol.Message.LeadershipTransfer;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.Message.PeerLoadReport;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.PeerRequestProgress;
+import applespindle.corelogic.protocol.Message.PeerResponse;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
+import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
+import applespindle.corelogic.protocol.Message.RangeAssignment;
+import applespindle.corelogic.protocol.Message.RangeReport;
+import applespindle.corelogic.protocol.Message.RangeReportResponse;
+import applespindle.corelogic.protocol.Message.RangeRequest;
+import applespindle.corelogic.protocol.Message.Verdict;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -136,7 +136,7 @@
   }
 
   private void encode(Message message) {
-    if (message instanceof Ask ask) {
+    if (message instanceof PeerRequest ask) {
       AskBodyEncoder body = begin(new AskBodyEncoder());
       body.correlation(ask.correlation())
           .hops(ask.hops())
@@ -146,16 +146,16 @@
           .originAddress(ask.originAddress())
           .putBody(ask.body(), 0, ask.body().length);
       finish(body);
-    } else if (message instanceof AskResponse response) {
+    } else if (message instanceof PeerResponse response) {
       AskResponseBodyEncoder body = begin(new AskResponseBodyEncoder());
       body.correlation(response.correlation())
           .status(response.status())
           .comeBackSeconds(response.comeBackSeconds())
           .putBody(response.body(), 0, response.body().length);
       finish(body);
-    } else if (message instanceof AskProgress progress) {
+    } else if (message instanceof PeerRequestProgress progress) {
       finish(begin(new AskProgressBodyEncoder()).correlation(progress.correlation()));
-    } else if (message instanceof KeyPromise promise) {
+    } else if (message instanceof VoteRequest promise) {
       KeyPromiseBodyEncoder body = begin(new KeyPromiseBodyEncoder());
       body.epochCounter(promise.epoch().counter())
           .handedOver(flag(promise.handedOver()))
@@ -165,7 +165,7 @@
           .key(promise.key())
           .epochNode(promise.epoch().node());
       finish(body);
-    } else if (message instanceof KeyPromised promised) {
+    } else if (message instanceof VoteResponse promised) {
       KeyPromisedBodyEncoder body = begin(new KeyPromisedBodyEncoder());
       body.verdict((short) promised.verdict().ordinal())
           .askedCounter(promised.asked().counter())
@@ -173,7 +173,7 @@
           .committed(promised.committed())
           .logStart(promised.logStart());
       KeyPromisedBodyEncoder.EntriesEncoder entries = body.entriesCount(promised.entries().size());
-      for (Entry entry : promised.entries()) {
+      for (LogEntry entry : promised.entries()) {
         entries
             .next()
             .sequence(entry.sequence())
@@ -188,7 +188,7 @@
           .owner(promised.owner())
           .ownerAddress(promised.ownerAddress());
       finish(body);
-    } else if (message instanceof KeyLogAsk ask) {
+    } else if (message instanceof LogFetchRequest ask) {
       KeyLogAskBodyEncoder body = begin(new KeyLogAskBodyEncoder());
       body.epochCounter(ask.epoch().counter())
           .from(ask.from())
@@ -198,11 +198,11 @@
           .epochNode(ask.epoch().node())
           .nextEpochNode(ask.nextEpoch().node());
       finish(body);
-    } else if (message instanceof KeyLogPart part) {
+    } else if (message instanceof LogFetchResponse part) {
       KeyLogPartBodyEncoder body = begin(new KeyLogPartBodyEncoder());
       body.verdict((short) part.verdict().ordinal()).epochCounter(part.epoch().counter());
       KeyLogPartBodyEncoder.EntriesEncoder entries = body.entriesCount(part.entries().size());
-      for (Entry entry : part.entries()) {
+      for (LogEntry entry : part.entries()) {
         entries
             .next()
             .sequence(entry.sequence())
@@ -213,7 +213,7 @@
       }
       body.key(part.key()).epochNode(part.epoch().node());
       finish(body);
-    } else if (message instanceof KeyAppend append) {
+    } else if (message instanceof AppendRequest append) {
       KeyAppendBodyEncoder body = begin(new KeyAppendBodyEncoder());
       body.epochCounter(append.epoch().counter())
           .round(append.round())
@@ -223,7 +223,7 @@
           .setNumber(append.setNumber())
           .hearsMajority(flag(append.hearsMajority()));
       KeyAppendBodyEncoder.EntriesEncoder entries = body.entriesCount(append.entries().size());
-      for (Entry entry : append.entries()) {
+      for (LogEntry entry : append.entries()) {
         entries
             .next()
             .sequence(entry.sequence())
@@ -236,7 +236,7 @@
           .epochNode(append.epoch().node())
           .previousNode(append.previousEpoch().node());
       finish(body);
-    } else if (message instanceof KeyAppended appended) {
+    } else if (message instanceof AppendResponse appended) {
       KeyAppendedBodyEncoder body = begin(new KeyAppendedBodyEncoder());
       body.verdict((short) appended.verdict().ordinal())
           .epochCounter(appended.epoch().counter())
@@ -247,20 +247,20 @@
           .epochNode(appended.epoch().node())
           .promisedNode(appended.promised().node());
       finish(body);
-    } else if (message instanceof KeyHandOver handOver) {
+    } else if (message instanceof LeadershipTransfer handOver) {
       KeyHandOverBodyEncoder body = begin(new KeyHandOverBodyEncoder());
       body.epochCounter(handOver.epoch().counter())
           .lastSequence(handOver.lastSequence())
           .key(handOver.key())
           .epochNode(handOver.epoch().node());
       finish(body);
-    } else if (message instanceof CorePing ping) {
+    } else if (message instanceof QuorumHeartbeat ping) {
       CorePingBodyEncoder body = begin(new CorePingBodyEncoder());
       body.putBody(ping.body(), 0, ping.body().length);
       finish(body);
-    } else if (message instanceof WhereIsCore) {
+    } else if (message instanceof QuorumDiscoveryRequest) {
       finish(begin(new WhereIsCoreBodyEncoder()));
-    } else if (message instanceof CoreIs told) {
+    } else if (message instanceof QuorumDiscoveryResponse told) {
       CoreIsBodyEncoder body = begin(new CoreIsBodyEncoder());
       body.rosterNumber(told.rosterNumber()).putBody(told.body(), 0, told.body().length);
       finish(body);
@@ -270,7 +270,7 @@
   }
 
   private void encodeRest(Message message) {
-    if (message instanceof FeedFollow follow) {
+    if (message instanceof ChangeFeedPoll follow) {
       FeedFollowBodyEncoder body = begin(new FeedFollowBodyEncoder());
       body.incarnation(follow.incarnation())
           .number(follow.number())
@@ -279,7 +279,7 @@
           .bundleSequence(follow.bundleSequence())
           .coreId(follow.coreId());
       finish(body);
-    } else if (message instanceof FeedNews news) {
+    } else if (message instanceof ChangeFeedUpdate news) {
       FeedNewsBodyEncoder body = begin(new FeedNewsBodyEncoder());
       body.incarnation(news.incarnation())
           .fromNumber(news.fromNumber())
@@ -289,7 +289,7 @@
           .ageMs(news.ageMs())
           .echoedAt(news.echoedAt());
       FeedNewsBodyEncoder.ItemsEncoder items = body.itemsCount(news.items().size());
-      for (FeedItem item : news.items()) {
+      for (MetadataRecord item : news.items()) {
         items
             .next()
             .sequence(item.sequence())
@@ -298,15 +298,15 @@
       }
       body.coreId(news.coreId());
       finish(body);
-    } else if (message instanceof KeysKnown known) {
+    } else if (message instanceof AppliedPositions known) {
       KeysKnownBodyEncoder body = begin(new KeysKnownBodyEncoder());
       KeysKnownBodyEncoder.PlacesEncoder places = body.placesCount(known.places().size());
       known.places().forEach(place -> places.next().sequence(place.sequence()).key(place.key()));
       body.edgeAddress(known.edgeAddress());
       finish(body);
-    } else if (message instanceof KeysAsked asked) {
+    } else if (message instanceof AppliedPositionsRequest asked) {
       finish(begin(new KeysAskedBodyEncoder()).sentAt(asked.sentAt()));
-    } else if (message instanceof WorkOffer offer) {
+    } else if (message instanceof BatchOffer offer) {
       finish(
           begin(new WorkOfferBodyEncoder())
               .dueInMs(offer.dueInMs())
@@ -314,13 +314,13 @@
               .batch(offer.batch())
               .host(offer.host())
               .path(offer.path()));
-    } else if (message instanceof RangePull pull) {
+    } else if (message instanceof RangeRequest pull) {
       finish(
           begin(new RangePullBodyEncoder())
               .sentAt(pull.sentAt())
               .batch(pull.batch())
               .worker(pull.worker()));
-    } else if (message instanceof RangeHandout handout) {
+    } else if (message instanceof RangeAssignment handout) {
       RangeHandoutBodyEncoder body = begin(new RangeHandoutBodyEncoder());
       body.range(handout.range())
           .rangeEpoch(handout.rangeEpoch())
@@ -328,7 +328,7 @@
           .dueInMs(handout.dueInMs())
           .pulledAt(handout.pulledAt());
       RangeHandoutBodyEncoder.ItemsEncoder items = body.itemsCount(handout.items().size());
-      for (HandoutItem item : handout.items()) {
+      for (AssignedItem item : handout.items()) {
         items.next().index(item.index()).putBody(item.body(), 0, item.body().length);
       }
       body.batch(handout.batch()).worker(handout.worker());
@@ -341,7 +341,7 @@
           .rangeOffset(report.offset())
           .giveBack(flag(report.giveBack()));
       RangeReportBodyEncoder.ResultsEncoder results = body.resultsCount(report.results().size());
-      for (ReportedItem item : report.results()) {
+      for (ItemOutcome item : report.results()) {
         results
             .next()
             .index(item.index())
@@ -353,7 +353,7 @@
       }
       body.batch(report.batch()).worker(report.worker());
       finish(body);
-    } else if (message instanceof RangeReported reported) {
+    } else if (message instanceof RangeReportResponse reported) {
       finish(
           begin(new RangeReportedBodyEncoder())
               .range(reported.range())
@@ -362,7 +362,7 @@
               .keep(flag(reported.keep()))
               .batch(reported.batch())
               .worker(reported.worker()));
-    } else if (message instanceof WorkerLoads told) {
+    } else if (message instanceof PeerLoadReport told) {
       WorkerLoadsBodyEncoder body = begin(new WorkerLoadsBodyEncoder());
       WorkerLoadsBodyEncoder.LoadsEncoder loads = body.loadsCount(told.loads().size());
       told.loads()
@@ -372,7 +372,7 @@
       finish(body);
     } else if (message instanceof BatchEnded ended) {
       finish(begin(new BatchEndedBodyEncoder()).batch(ended.batch()));
-    } else if (message instanceof Unfinished unfinished) {
+    } else if (message instanceof LeaderlessBatches unfinished) {
       UnfinishedBodyEncoder body = begin(new UnfinishedBodyEncoder());
       UnfinishedBodyEncoder.KeysEncoder keys = body.keysCount(unfinished.keys().size());
       unfinished.keys().forEach(key -> keys.next().key(key));
@@ -386,7 +386,7 @@
         AskBodyDecoder body = open(new AskBodyDecoder());
         long correlation = body.correlation();
         int hops = body.hops();
-        return new Ask(
+        return new PeerRequest(
             correlation,
             body.duty(),
             body.key(),
@@ -397,7 +397,7 @@
       }
       case AskResponseBodyDecoder.TEMPLATE_ID -> {
         AskResponseBodyDecoder body = open(new AskResponseBodyDecoder());
-        return new AskResponse(
+        return new PeerResponse(
             body.correlation(),
             body.status(),
             body.comeBackSeconds(),
@@ -405,7 +405,7 @@
       }
       case KeyPromiseBodyDecoder.TEMPLATE_ID -> {
         KeyPromiseBodyDecoder body = open(new KeyPromiseBodyDecoder());
-        return new KeyPromise(
+        return new VoteRequest(
             body.key(),
             new Epoch(body.epochCounter(), body.epochNode()),
             body.setNumber(),
@@ -415,16 +415,16 @@
       }
       case KeyPromisedBodyDecoder.TEMPLATE_ID -> {
         KeyPromisedBodyDecoder body = open(new KeyPromisedBodyDecoder());
-        List<Entry> entries = new ArrayList<>();
+        List<LogEntry> entries = new ArrayList<>();
         for (KeyPromisedBodyDecoder.EntriesDecoder each : body.entries()) {
           entries.add(
-              new Entry(
+              new LogEntry(
                   each.sequence(),
                   new Epoch(each.epochCounter(), each.epochNode()),
                   each.whole() == 1,
                   bytes(each.eventLength(), (bytes, length) -> each.getEvent(bytes, 0, length))));
         }
-        return new KeyPromised(
+        return new VoteResponse(
             body.key(),
             new Epoch(body.askedCounter(), body.askedNode()),
             Verdict.values()[body.verdict()],
@@ -437,7 +437,7 @@
       }
       case KeyLogAskBodyDecoder.TEMPLATE_ID -> {
         KeyLogAskBodyDecoder body = open(new KeyLogAskBodyDecoder());
-        return new KeyLogAsk(
+        return new LogFetchRequest(
             body.key(),
             new Epoch(body.epochCounter(), body.epochNode()),
             body.from(),
@@ -446,16 +446,16 @@
       }
       case KeyLogPartBodyDecoder.TEMPLATE_ID -> {
         KeyLogPartBodyDecoder body = open(new KeyLogPartBodyDecoder());
-        List<Entry> entries = new ArrayList<>();
+        List<LogEntry> entries = new ArrayList<>();
         for (KeyLogPartBodyDecoder.EntriesDecoder each : body.entries()) {
           entries.add(
-              new Entry(
+              new LogEntry(
                   each.sequence(),
                   new Epoch(each.epochCounter(), each.epochNode()),
                   each.whole() == 1,
                   bytes(each.eventLength(), (bytes, length) -> each.getEvent(bytes, 0, length))));
         }
-        return new KeyLogPart(
+        return new LogFetchResponse(
             body.key(),
             new Epoch(body.epochCounter(), body.epochNode()),
             Verdict.values()[body.verdict()],
@@ -463,16 +463,16 @@
       }
       case KeyAppendBodyDecoder.TEMPLATE_ID -> {
         KeyAppendBodyDecoder body = open(new KeyAppendBodyDecoder());
-        List<Entry> entries = new ArrayList<>();
+        List<LogEntry> entries = new ArrayList<>();
         for (KeyAppendBodyDecoder.EntriesDecoder each : body.entries()) {
           entries.add(
-              new Entry(
+              new LogEntry(
                   each.sequence(),
                   new Epoch(each.epochCounter(), each.epochNode()),
                   each.whole() == 1,
                   bytes(each.eventLength(), (bytes, length) -> each.getEvent(bytes, 0, length))));
         }
-        return new KeyAppend(
+        return new AppendRequest(
             body.key(),
             new Epoch(body.epochCounter(), body.epochNode()),
             body.setNumber(),
@@ -485,7 +485,7 @@
       }
       case KeyAppendedBodyDecoder.TEMPLATE_ID -> {
         KeyAppendedBodyDecoder body = open(new KeyAppendedBodyDecoder());
-        return new KeyAppended(
+        return new AppendResponse(
             body.key(),
             new Epoch(body.epochCounter(), body.epochNode()),
             body.round(),
@@ -495,23 +495,23 @@
       }
       case KeyHandOverBodyDecoder.TEMPLATE_ID -> {
         KeyHandOverBodyDecoder body = open(new KeyHandOverBodyDecoder());
-        return new KeyHandOver(
+        return new LeadershipTransfer(
             body.key(), new Epoch(body.epochCounter(), body.epochNode()), body.lastSequence());
       }
       case CorePingBodyDecoder.TEMPLATE_ID -> {
         CorePingBodyDecoder body = open(new CorePingBodyDecoder());
-        return new CorePing(
+        return new QuorumHeartbeat(
             bytes(body.bodyLength(), (bytes, length) -> body.getBody(bytes, 0, length)));
       }
       case AskProgressBodyDecoder.TEMPLATE_ID -> {
-        return new AskProgress(open(new AskProgressBodyDecoder()).correlation());
+        return new PeerRequestProgress(open(new AskProgressBodyDecoder()).correlation());
       }
       case WhereIsCoreBodyDecoder.TEMPLATE_ID -> {
-        return new WhereIsCore();
+        return new QuorumDiscoveryRequest();
       }
       case CoreIsBodyDecoder.TEMPLATE_ID -> {
         CoreIsBodyDecoder body = open(new CoreIsBodyDecoder());
-        return new CoreIs(
+        return new QuorumDiscoveryResponse(
             body.rosterNumber(),
             bytes(body.bodyLength(), (bytes, length) -> body.getBody(bytes, 0, length)));
       }
@@ -525,7 +525,7 @@
     switch (templateId) {
       case FeedFollowBodyDecoder.TEMPLATE_ID -> {
         FeedFollowBodyDecoder body = open(new FeedFollowBodyDecoder());
-        return new FeedFollow(
+        return new ChangeFeedPoll(
             body.coreId(),
             body.incarnation(),
             body.number(),
@@ -535,15 +535,15 @@
       }
       case FeedNewsBodyDecoder.TEMPLATE_ID -> {
         FeedNewsBodyDecoder body = open(new FeedNewsBodyDecoder());
-        List<FeedItem> items = new ArrayList<>();
+        List<MetadataRecord> items = new ArrayList<>();
         for (FeedNewsBodyDecoder.ItemsDecoder each : body.items()) {
           items.add(
-              new FeedItem(
+              new MetadataRecord(
                   each.key(),
                   each.sequence(),
                   bytes(each.valueLength(), (bytes, length) -> each.getValue(bytes, 0, length))));
         }
-        return new FeedNews(
+        return new ChangeFeedUpdate(
             body.coreId(),
             body.incarnation(),
             body.fromNumber(),
@@ -556,37 +556,37 @@
       }
       case KeysKnownBodyDecoder.TEMPLATE_ID -> {
         KeysKnownBodyDecoder body = open(new KeysKnownBodyDecoder());
-        List<KeyPlace> places = new ArrayList<>();
+        List<KeyPosition> places = new ArrayList<>();
         body.places()
             .forEach(
                 place -> {
                   long sequence = place.sequence();
-                  places.add(new KeyPlace(place.key(), sequence));
+                  places.add(new KeyPosition(place.key(), sequence));
                 });
-        return new KeysKnown(body.edgeAddress(), places);
+        return new AppliedPositions(body.edgeAddress(), places);
       }
       case KeysAskedBodyDecoder.TEMPLATE_ID -> {
-        return new KeysAsked(open(new KeysAskedBodyDecoder()).sentAt());
+        return new AppliedPositionsRequest(open(new KeysAskedBodyDecoder()).sentAt());
       }
       case WorkOfferBodyDecoder.TEMPLATE_ID -> {
         WorkOfferBodyDecoder body = open(new WorkOfferBodyDecoder());
         String batch = body.batch();
-        return new WorkOffer(batch, body.dueInMs(), body.unassigned(), body.host(), body.path());
+        return new BatchOffer(batch, body.dueInMs(), body.unassigned(), body.host(), body.path());
       }
       case RangePullBodyDecoder.TEMPLATE_ID -> {
         RangePullBodyDecoder body = open(new RangePullBodyDecoder());
-        return new RangePull(body.batch(), body.worker(), body.sentAt());
+        return new RangeRequest(body.batch(), body.worker(), body.sentAt());
       }
       case RangeHandoutBodyDecoder.TEMPLATE_ID -> {
         RangeHandoutBodyDecoder body = open(new RangeHandoutBodyDecoder());
-        List<HandoutItem> items = new ArrayList<>();
+        List<AssignedItem> items = new ArrayList<>();
         for (RangeHandoutBodyDecoder.ItemsDecoder each : body.items()) {
           items.add(
-              new HandoutItem(
+              new AssignedItem(
                   each.index(),
                   bytes(each.bodyLength(), (bytes, length) -> each.getBody(bytes, 0, length))));
         }
-        return new RangeHandout(
+        return new RangeAssignment(
             body.batch(),
             body.worker(),
             body.range(),
@@ -598,10 +598,10 @@
       }
       case RangeReportBodyDecoder.TEMPLATE_ID -> {
         RangeReportBodyDecoder body = open(new RangeReportBodyDecoder());
-        List<ReportedItem> results = new ArrayList<>();
+        List<ItemOutcome> results = new ArrayList<>();
         for (RangeReportBodyDecoder.ResultsDecoder each : body.results()) {
           results.add(
-              new ReportedItem(
+              new ItemOutcome(
                   each.index(),
                   each.run(),
                   each.worker(),
@@ -622,7 +622,7 @@
       }
       case RangeReportedBodyDecoder.TEMPLATE_ID -> {
         RangeReportedBodyDecoder body = open(new RangeReportedBodyDecoder());
-        return new RangeReported(
+        return new RangeReportResponse(
             body.batch(),
             body.range(),
             body.rangeEpoch(),
@@ -632,15 +632,15 @@
       }
       case WorkerLoadsBodyDecoder.TEMPLATE_ID -> {
         WorkerLoadsBodyDecoder body = open(new WorkerLoadsBodyDecoder());
-        List<WorkerLoads.OwnLoad> loads = new ArrayList<>();
+        List<PeerLoadReport.OwnLoad> loads = new ArrayList<>();
         body.loads()
             .forEach(
                 load -> {
                   int running = load.running();
                   int unread = load.unread();
-                  loads.add(new WorkerLoads.OwnLoad(load.worker(), running, unread));
+                  loads.add(new PeerLoadReport.OwnLoad(load.worker(), running, unread));
                 });
-        return new WorkerLoads(loads);
+        return new PeerLoadReport(loads);
       }
       case BatchEndedBodyDecoder.TEMPLATE_ID -> {
         return new BatchEnded(open(new BatchEndedBodyDecoder()).batch());
@@ -648,7 +648,7 @@
       case UnfinishedBodyDecoder.TEMPLATE_ID -> {
         List<String> keys = new ArrayList<>();
         open(new UnfinishedBodyDecoder()).keys().forEach(each -> keys.add(each.key()));
-        return new Unfinished(keys);
+        return new LeaderlessBatches(keys);
       }
       default -> throw new UnreadableFrame(UnreadableFrame.Kind.UNKNOWN_MESSAGE);
     }
@@ -656,7 +656,7 @@
 
   // ---- disk records
 
-  public byte[] encode(DiskRecord record) {
+  public byte[] encode(LogRecord record) {
     end = 0;
     LogRecordEncoder body = begin(new LogRecordEncoder());
     body.kind((short) record.kind().ordinal())
@@ -670,7 +670,7 @@
     return Arrays.copyOf(out.byteArray(), end);
   }
 
-  DiskRecord decodeRecord(byte[] bytes) throws UnreadableFrame {
+  LogRecord decodeRecord(byte[] bytes) throws UnreadableFrame {
     in = new UnsafeBuffer(bytes);
     at = 0;
     try {
@@ -681,8 +681,8 @@
       LogRecordDecoder body = open(new LogRecordDecoder());
       String key = body.key();
       Epoch epoch = new Epoch(body.epochCounter(), body.epochNode());
-      return new DiskRecord(
-          DiskRecord.Kind.values()[body.kind()],
+      return new LogRecord(
+          LogRecord.Kind.values()[body.kind()],
           key,
           epoch,
           body.sequence(),
--- a/adapters/src/main/java/applespindle/adapters/PeerTransport.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerTransport.java
@@ -1,8 +1,10 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.MessageNames;
+import applespindle.corelogic.constants.DiskConstants;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.constants.SizeLimits;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.MessageNames;
 import io.activej.bytebuf.ByteBuf;
 import io.activej.bytebuf.ByteBufPool;
 import io.activej.eventloop.Eventloop;
@@ -41,7 +43,8 @@
   private static final Frame SIGN_OF_LIFE = new Frame(0, new byte[0]);
   private static final SocketSettings SOCKETS =
       SocketSettings.builder().withTcpNoDelay(true).withKeepAlive(true).build();
-  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(Constants.PEER_CONNECT_MS);
+  private static final Duration CONNECT_TIMEOUT =
+      Duration.ofMillis(PeerConnectionConstants.CONNECT_TIMEOUT_MS);
 
   /** As it is written: the head, which is its length and whether it is deflated, then the bytes. */
   private record Frame(int head, byte[] bytes) {}
@@ -89,7 +92,8 @@
     }
 
     void add(Frame frame) {
-      if (!waiting.isEmpty() && waitingBytes + frame.bytes.length > Constants.PEER_WAITING_BYTES) {
+      if (!waiting.isEmpty()
+          && waitingBytes + frame.bytes.length > PeerConnectionConstants.MAX_QUEUED_BYTES) {
         return;
       }
       doubt();
@@ -109,9 +113,9 @@
         return;
       }
       long now = eventloop.currentTimeMillis();
-      if (askedAt != 0 && now - askedAt > Constants.PEER_SILENT_MS) {
+      if (askedAt != 0 && now - askedAt > PeerConnectionConstants.SILENCE_TIMEOUT_MS) {
         lose(socket);
-      } else if (askedAt == 0 && now - unheardSince > Constants.PEER_SILENT_MS) {
+      } else if (askedAt == 0 && now - unheardSince > PeerConnectionConstants.SILENCE_TIMEOUT_MS) {
         askedAt = now;
         waiting.add(SIGN_OF_LIFE);
       }
@@ -135,7 +139,8 @@
           .whenComplete(
               (connected, fault) -> {
                 connecting = false;
-                nextTryAt = eventloop.currentTimeMillis() + Constants.PEER_RECONNECT_MS;
+                nextTryAt =
+                    eventloop.currentTimeMillis() + PeerConnectionConstants.RECONNECT_DELAY_MS;
                 if (fault != null) {
                   dropWaiting();
                   return;
@@ -172,7 +177,9 @@
       }
       ByteBuf some =
           ByteBufPool.allocate(
-              Math.min(Constants.PEER_WRITE_BYTES, waitingBytes + HEAD_BYTES * waiting.size()));
+              Math.min(
+                  PeerConnectionConstants.MAX_WRITE_BYTES,
+                  waitingBytes + HEAD_BYTES * waiting.size()));
       while (!waiting.isEmpty() && some.writeRemaining() > HEAD_BYTES) {
         Frame frame = waiting.peek();
         if (begun == 0) {
@@ -278,7 +285,7 @@
       while (length - at >= HEAD_BYTES) {
         int head = ByteBuffer.wrap(bytes, at, HEAD_BYTES).getInt();
         int size = head & ~DEFLATED;
-        if (size > Constants.FRAME_BYTES_MOST) {
+        if (size > SizeLimits.MAX_FRAME_BYTES) {
           throw new UnreadableFrame(UnreadableFrame.Kind.TOO_LARGE);
         }
         if (length - at - HEAD_BYTES < size) {
@@ -302,7 +309,7 @@
       }
       if (at > 0) {
         length -= at;
-        if (bytes.length > Constants.PEER_WRITE_BYTES && length <= SMALL_BYTES) {
+        if (bytes.length > PeerConnectionConstants.MAX_WRITE_BYTES && length <= SMALL_BYTES) {
           bytes = Arrays.copyOfRange(bytes, at, at + SMALL_BYTES);
         } else {
           System.arraycopy(bytes, at, bytes, 0, length);
@@ -356,9 +363,12 @@
     try {
       if (channel.supportedOptions().contains(ExtendedSocketOptions.TCP_KEEPIDLE)) {
         channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
-        channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, Constants.PEER_PROBE_AFTER_S);
-        channel.setOption(ExtendedSocketOptions.TCP_KEEPINTERVAL, Constants.PEER_PROBE_EVERY_S);
-        channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, Constants.PEER_PROBES);
+        channel.setOption(
+            ExtendedSocketOptions.TCP_KEEPIDLE, PeerConnectionConstants.KEEPALIVE_IDLE_S);
+        channel.setOption(
+            ExtendedSocketOptions.TCP_KEEPINTERVAL, PeerConnectionConstants.KEEPALIVE_INTERVAL_S);
+        channel.setOption(
+            ExtendedSocketOptions.TCP_KEEPCOUNT, PeerConnectionConstants.KEEPALIVE_PROBES);
       }
     } catch (IOException closedAlready) {
       // Its next read says so.
@@ -383,7 +393,7 @@
       take(toAddress, envelope);
       return;
     }
-    if (handed.incrementAndGet() > Constants.RING_SLOTS) {
+    if (handed.incrementAndGet() > DiskConstants.WRITE_RING_SLOTS) {
       handed.decrementAndGet();
       return;
     }
@@ -400,14 +410,15 @@
         neighbours.computeIfAbsent(
             toAddress, address -> new Neighbour(new Lane(address), new Lane(address)));
     boolean deflates =
-        frame.length >= Constants.PEER_DEFLATE_BYTES && envelope.message().worthDeflating();
+        frame.length >= PeerConnectionConstants.MIN_DEFLATE_BYTES
+            && envelope.message().worthDeflating();
     byte[] deflated = deflates ? deflation.deflate(frame) : frame;
     boolean smaller = deflated.length < frame.length;
     byte[] written = smaller ? deflated : frame;
     bytesOfKind
         .computeIfAbsent(MessageNames.of(envelope.message()), kind -> new LongAdder())
         .add(HEAD_BYTES + written.length);
-    (written.length < Constants.PEER_LARGE_BYTES ? neighbour.small : neighbour.large)
+    (written.length < PeerConnectionConstants.LARGE_FRAME_BYTES ? neighbour.small : neighbour.large)
         .add(new Frame(smaller ? written.length | DEFLATED : written.length, written));
   }
 
--- a/adapters/src/main/java/applespindle/adapters/Program.java
+++ b/adapters/src/main/java/applespindle/adapters/Program.java
@@ -1,8 +1,9 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.function.BiFunction;
@@ -17,7 +18,7 @@
       String name,
       String role,
       String[] arguments,
-      Function<Startup, BiFunction<Surroundings, Node.Place, Node>> maker,
+      Function<Startup, BiFunction<Environment, NodeIdentity, Node>> maker,
       Consumer<NodeProcess> openInterface) {
     System.setProperty("org.jboss.logging.provider", "slf4j");
     Startup.Read read = Startup.read(name, role, arguments);
@@ -25,7 +26,7 @@
       System.exit(EXIT_STARTUP);
     }
     if (!read.faults().isEmpty()) {
-      for (Fault.Field fault : read.faults()) {
+      for (ApiError.Field fault : read.faults()) {
         System.err.println("startup: " + fault.path() + ": " + fault.reason());
       }
       System.exit(EXIT_STARTUP);
--- a/adapters/src/main/java/applespindle/adapters/ResponseParser.java
+++ b/adapters/src/main/java/applespindle/adapters/ResponseParser.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.HttpSyntax;
-import applespindle.corelogic.OpaqueRequest.Header;
+import applespindle.corelogic.common.HttpSyntax;
+import applespindle.corelogic.constants.WorkerConnectionConstants;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -114,9 +114,9 @@
         case HEAD -> {
           int end = headEnd();
           if (end < 0) {
-            return to - from <= Constants.WORKER_HEAD_BYTES_MOST && beginsLikeResponse();
+            return to - from <= WorkerConnectionConstants.MAX_HEAD_BYTES && beginsLikeResponse();
           }
-          if (end - from > Constants.WORKER_HEAD_BYTES_MOST || !head(end)) {
+          if (end - from > WorkerConnectionConstants.MAX_HEAD_BYTES || !head(end)) {
             return false;
           }
           if (state == State.LENGTH && left == 0) {
@@ -141,11 +141,11 @@
         case CHUNK_SIZE, CHUNK_END, TRAILER -> {
           int lineEnd = find('\n', from);
           if (lineEnd < 0) {
-            return to - from <= Constants.WORKER_HEAD_BYTES_MOST;
+            return to - from <= WorkerConnectionConstants.MAX_HEAD_BYTES;
           }
           if (lineEnd == from
               || bytes[lineEnd - 1] != '\r'
-              || lineEnd + 1 - from > Constants.WORKER_HEAD_BYTES_MOST) {
+              || lineEnd + 1 - from > WorkerConnectionConstants.MAX_HEAD_BYTES) {
             return false;
           }
           String line = new String(bytes, from, lineEnd - 1 - from, ISO_8859_1);
@@ -162,7 +162,7 @@
             state = left == 0 ? State.TRAILER : State.CHUNK;
           } else if (line.isEmpty()) {
             return end();
-          } else if (trailerBytes > Constants.WORKER_HEAD_BYTES_MOST) {
+          } else if (trailerBytes > WorkerConnectionConstants.MAX_HEAD_BYTES) {
             return false;
           }
         }
@@ -181,7 +181,7 @@
       from = 0;
       to = 0;
       searched = 0;
-      if (bytes.length > Constants.WORKER_HEAD_BYTES_MOST) {
+      if (bytes.length > WorkerConnectionConstants.MAX_HEAD_BYTES) {
         bytes = new byte[1024];
       }
     }
@@ -227,7 +227,8 @@
     int status = Integer.parseInt(first.substring(9, 12));
     if (status < 200) {
       searched = from;
-      return status != SWITCHING_PROTOCOLS && ++interimHeads <= Constants.WORKER_INTERIM_HEADS_MOST;
+      return status != SWITCHING_PROTOCOLS
+          && ++interimHeads <= WorkerConnectionConstants.MAX_INTERIM_HEADS;
     }
     List<Header> headers = new ArrayList<>(lines.length);
     closes = first.startsWith("HTTP/1.0");
--- a/adapters/src/main/java/applespindle/adapters/Startup.java
+++ b/adapters/src/main/java/applespindle/adapters/Startup.java
@@ -1,9 +1,9 @@
 package applespindle.adapters;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.InputReader;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.InputReader;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import jakarta.validation.constraints.NotBlank;
 import jakarta.validation.constraints.NotEmpty;
@@ -46,7 +46,7 @@
       List.of("name", "zone", "http", "peer", "listen", "data");
 
   /** The startup, or the faults; checkOnly asks for no more than this. */
-  public record Read(Startup startup, List<Fault.Field> faults, boolean checkOnly) {}
+  public record Read(Startup startup, List<ApiError.Field> faults, boolean checkOnly) {}
 
   /**
    * Reads flags and file; a call that can not be parsed at all, or asks for help, yields null after
@@ -84,11 +84,13 @@
             instanceof ObjectNode read) {
           tree = read;
         } else {
-          return new Read(null, List.of(new Fault.Field("$", "must be an object")), false);
+          return new Read(null, List.of(new ApiError.Field("$", "must be an object")), false);
         }
       } catch (IOException fault) {
         return new Read(
-            null, List.of(new Fault.Field("$", "the startup file can not be read as JSON")), false);
+            null,
+            List.of(new ApiError.Field("$", "the startup file can not be read as JSON")),
+            false);
       }
     }
     for (String field : TEXT_FIELDS) {
@@ -110,9 +112,10 @@
 
   static Read check(ObjectNode tree, boolean checkOnly) {
     InputReader.Input<Startup> input = InputReader.read(tree, Startup.class);
-    List<Fault.Field> faults = new ArrayList<>(input.faults());
+    List<ApiError.Field> faults = new ArrayList<>(input.faults());
     if (input.good() && !input.value().role().equals("edge") && input.value().data() == null) {
-      faults.add(new Fault.Field("$.data", "a " + input.value().role() + " needs a data folder"));
+      faults.add(
+          new ApiError.Field("$.data", "a " + input.value().role() + " needs a data folder"));
     }
     return new Read(faults.isEmpty() ? input.value() : null, faults, checkOnly);
   }
--- a/adapters/src/main/java/applespindle/adapters/WorkerClient.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerClient.java
@@ -1,13 +1,15 @@
 package applespindle.adapters;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Surroundings.WorkerCall;
-import applespindle.corelogic.Surroundings.WorkerListener;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.LiveRequestConstants;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.activej.async.exception.AsyncCloseException;
 import io.activej.bytebuf.ByteBuf;
@@ -25,7 +27,8 @@
 
 /** Runs at workers over HTTP, by the published format of streaming completions; and their load. */
 final class WorkerClient {
-  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(Constants.CORE_SILENT_MS);
+  private static final Duration CONNECT_TIMEOUT =
+      Duration.ofMillis(MembershipConstants.QUORUM_PEER_TIMEOUT_MS);
   private static final int LINE_BYTES_MOST = 1 << 20;
 
   private final Eventloop eventloop;
@@ -44,11 +47,11 @@
         HttpClient.builder(eventloop, numbersOnly)
             .withNoKeepAlive()
             .withConnectTimeout(CONNECT_TIMEOUT)
-            .withReadWriteTimeout(Duration.ofMillis(Constants.LOAD_STALE_MS))
+            .withReadWriteTimeout(Duration.ofMillis(WorkerConstants.LOAD_STALE_AFTER_MS))
             .build();
   }
 
-  void readLoad(String address, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+  void readLoad(String address, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
     loads
         .request(HttpRequest.get("http://" + address + "/load").build())
         .then(
@@ -75,12 +78,12 @@
               if (fault == null) {
                 whenRead.accept(load);
               } else {
-                whenFaulty.accept(new Fault.WorkerUnreachable(address));
+                whenFaulty.accept(new ApiError.WorkerUnreachable(address));
               }
             });
   }
 
-  Run run(WorkerCall call, WorkerListener listener) {
+  Run run(WorkerCall call, WorkerCallListener listener) {
     Run run = new Run(call, listener);
     run.start();
     return run;
@@ -89,7 +92,7 @@
   /** One run on one connection, which is closed after it, whole or cut. */
   final class Run {
     private final WorkerCall call;
-    private final WorkerListener listener;
+    private final WorkerCallListener listener;
     private final long startedAt = eventloop.currentTimeMillis();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private long heardAt = startedAt;
@@ -97,7 +100,7 @@
     private String finishReason;
     private boolean over;
 
-    Run(WorkerCall call, WorkerListener listener) {
+    Run(WorkerCall call, WorkerCallListener listener) {
       this.call = call;
       this.listener = listener;
     }
@@ -122,15 +125,15 @@
                           || hasCause(fault, "AsyncTimeoutException");
                   fail(
                       unconnected
-                          ? new Fault.WorkerUnreachable(call.workerAddress())
-                          : new Fault.WorkerCut(call.workerAddress()),
+                          ? new ApiError.WorkerUnreachable(call.workerAddress())
+                          : new ApiError.WorkerStreamTruncated(call.workerAddress()),
                       !unconnected);
                 } else if (response.getCode() != 200) {
                   boolean refused =
                       response.getCode() == 429
                           || response.getCode() == 503
                           || response.getCode() == 400;
-                  fail(new Fault.WorkerRefused(response.getCode()), !refused);
+                  fail(new ApiError.WorkerRejected(response.getCode()), !refused);
                 } else {
                   body = response.takeBodyStream();
                   readOn();
@@ -150,14 +153,15 @@
 
     private void watch() {
       eventloop.delayBackground(
-          Constants.LOAD_POLL_MS,
+          WorkerConstants.LOAD_POLL_INTERVAL_MS,
           () -> {
             long now = eventloop.currentTimeMillis();
             if (over) {
               return;
             }
-            if (now - heardAt > Constants.STREAM_SILENCE_MS || now - startedAt > call.expiryMs()) {
-              fail(new Fault.WorkerSilent(call.workerAddress()), true);
+            if (now - heardAt > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
+                || now - startedAt > call.expiryMs()) {
+              fail(new ApiError.WorkerTimeout(call.workerAddress()), true);
             } else {
               watch();
             }
@@ -175,7 +179,7 @@
                   return;
                 }
                 if (fault != null || chunk == null) {
-                  fail(new Fault.WorkerCut(call.workerAddress()), true);
+                  fail(new ApiError.WorkerStreamTruncated(call.workerAddress()), true);
                   return;
                 }
                 heardAt = eventloop.currentTimeMillis();
@@ -191,7 +195,7 @@
                     return;
                   }
                   if (line.size() > LINE_BYTES_MOST) {
-                    fail(new Fault.WorkerGarbage(call.workerAddress()), true);
+                    fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
                     return;
                   }
                 }
@@ -205,13 +209,13 @@
         return;
       }
       if (!text.startsWith("data:")) {
-        fail(new Fault.WorkerGarbage(call.workerAddress()), true);
+        fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
         return;
       }
       String data = text.substring(5).strip();
       if (data.equals("[DONE]")) {
         if (finishReason == null) {
-          fail(new Fault.WorkerGarbage(call.workerAddress()), true);
+          fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
         } else {
           close();
           listener.end(finishReason);
@@ -221,7 +225,7 @@
       try {
         JsonNode choice = JSON.readTree(data).path("choices").path(0);
         if (!choice.path("text").isTextual() || finishReason != null) {
-          fail(new Fault.WorkerGarbage(call.workerAddress()), true);
+          fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
           return;
         }
         String piece = choice.path("text").asText();
@@ -232,11 +236,11 @@
           finishReason = choice.path("finish_reason").asText();
         }
       } catch (IOException garbage) {
-        fail(new Fault.WorkerGarbage(call.workerAddress()), true);
+        fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
       }
     }
 
-    private void fail(Fault fault, boolean mayHaveRun) {
+    private void fail(ApiError fault, boolean mayHaveRun) {
       if (!over) {
         close();
         listener.fault(fault, mayHaveRun);
--- a/adapters/src/main/java/applespindle/adapters/WorkerFormat.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerFormat.java
@@ -1,8 +1,8 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
 import java.util.List;
 import java.util.function.UnaryOperator;
 
--- a/adapters/src/main/java/applespindle/adapters/WorkerList.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerList.java
@@ -1,7 +1,7 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Surroundings.WorkerPage;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
 import java.util.function.Consumer;
 
 /** Reads the list of workers that is kept outside. On the http thread. */
@@ -9,5 +9,5 @@
   /**
    * An empty token asks for the first page. A refusal for calling too often is Fault.Overloaded.
    */
-  void read(String pageToken, Consumer<WorkerPage> whenRead, Consumer<Fault> whenFaulty);
+  void read(String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty);
 }
--- a/adapters/src/test/java/applespindle/adapters/CommandSamples.java
+++ b/adapters/src/test/java/applespindle/adapters/CommandSamples.java
@@ -12,10 +12,10 @@
 import static applespindle.adapters.FrameSamples.STORAGE_ID;
 import static applespindle.adapters.FrameSamples.bytes;
 
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.AskResponse;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.PeerResponse;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.ByteBuffer;
 import java.util.LinkedHashMap;
@@ -63,13 +63,13 @@
 
   private void ask(String name, String duty, String key, byte[] body) {
     correlation++;
-    Ask ask = new Ask(correlation, duty, key, EDGE_ID, EDGE_ADDRESS, HOPS, body);
+    PeerRequest ask = new PeerRequest(correlation, duty, key, EDGE_ID, EDGE_ADDRESS, HOPS, body);
     samples.put(name, new Envelope(EDGE_ID, EDGE_ADDRESS, CORE_ID, ask));
   }
 
   /** The response to the command added last. */
   private void respond(String name, int status, int comeBackSeconds, String body) {
-    AskResponse response = new AskResponse(correlation, status, comeBackSeconds, bytes(body));
+    PeerResponse response = new PeerResponse(correlation, status, comeBackSeconds, bytes(body));
     samples.put(name, new Envelope(CORE_ID, CORE_ADDRESS, EDGE_ID, response));
   }
 
@@ -77,7 +77,7 @@
    * The refusal of the command added last. The sentence for a reader is given as it was written
    * then, since it may be put better at any time.
    */
-  private void refuse(String name, int comeBackSeconds, Fault fault, String message) {
+  private void refuse(String name, int comeBackSeconds, ApiError fault, String message) {
     String body = ((ObjectNode) fault.toJson()).put("message", message).toString();
     respond(name, fault.row().status(), comeBackSeconds, body);
   }
@@ -130,10 +130,10 @@
         200,
         0,
         summary(PROMPT_BATCH, "finished")
-            + ",\"results\":[{\"n\":1,\"id\":\"i0\",\"type\":\"succeeded\",\"output\":\"Good day.\","
-            + "\"finish_reason\":\"stop\",\"run\":\"d1529810cb40-1\",\"worker\":\"w1\"},"
+            + ",\"results\":[{\"n\":1,\"id\":\"i0\",\"type\":\"succeeded\",\"output\":\"Good"
+            + " day.\",\"finish_reason\":\"stop\",\"run\":\"d1529810cb40-1\",\"worker\":\"w1\"},"
             + "{\"n\":2,\"id\":\"i1\",\"type\":\"failed\",\"fault\":\""
-            + new Fault.ItemExpired().type()
+            + new ApiError.ItemExpired().type()
             + "\",\"run\":\"d1529810cb40-2\",\"worker\":\"w1\"}],\"next\":2}");
     ask("end", "end", PROMPT_BATCH_KEY, NO_BODY);
     respond("end-200", 200, 0, summary(PROMPT_BATCH, "ended") + "}");
@@ -141,7 +141,7 @@
     refuse(
         "remove-404",
         0,
-        new Fault.NoSuchBatch(OPAQUE_BATCH),
+        new ApiError.NoSuchBatch(OPAQUE_BATCH),
         "A majority of replicas has no such batch.");
   }
 
@@ -187,7 +187,7 @@
     refuse(
         "bundle-signed-409",
         0,
-        new Fault.VersionConflict(11),
+        new ApiError.VersionConflict(11),
         "The version is not the one in force.");
     ask(
         "patch-bundle",
@@ -242,7 +242,7 @@
     refuse(
         "room-reserve-prompts-429",
         3,
-        new Fault.NoRoom(760, 800),
+        new ApiError.CapacityExceeded(760, 800),
         "Waiting batch work is at its ceiling; nothing was accepted.");
     ask("room-report", "room", "batch-room", "{\"batch\":\"" + PROMPT_BATCH + "\",\"items\":11}");
     respond("room-report-200", 200, 0, "{\"waiting\":11}");
@@ -310,13 +310,13 @@
     refuse(
         "unknown-duty-501",
         0,
-        new Fault.UnknownDuty("no-such-duty"),
+        new ApiError.UnknownRequest("no-such-duty"),
         "The node does not know this ask.");
     ask("old-set", "claim", "once/once-4", "{\"token\":\"0e8a80636900-1\",\"setNumber\":1}");
     refuse(
         "old-set-503",
         4,
-        new Fault.OldReplicaSet(3),
+        new ApiError.StaleReplicaConfiguration(3),
         "The replica set has changed; nothing was done.");
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/DiskCheckpointTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskCheckpointTest.java
@@ -3,9 +3,9 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Epoch;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,8 +19,8 @@
   private static final int STEPS_OF_A_CHECKPOINT = 24;
   private static final int SEEDS = 40;
 
-  private static DiskRecord change(long sequence) {
-    return new DiskRecord(
+  private static LogRecord change(long sequence) {
+    return new LogRecord(
         Kind.ENTRY, "bundle", new Epoch(1, "node"), sequence, true, new byte[CHANGE_BYTES]);
   }
 
--- a/adapters/src/test/java/applespindle/adapters/DiskCrashTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskCrashTest.java
@@ -4,9 +4,9 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Epoch;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -38,7 +38,7 @@
       long last = known.isEmpty() ? 0 : known.get(known.size() - 1);
       Random random = new Random(Long.parseLong(arguments[1]));
       for (int appends = 1; ; appends++) {
-        List<DiskRecord> records = new ArrayList<>();
+        List<LogRecord> records = new ArrayList<>();
         for (int count = 1 + random.nextInt(5); count > 0; count--) {
           records.add(record(++last, random.nextInt(4_000)));
         }
@@ -51,8 +51,8 @@
       }
     }
 
-    private static DiskRecord record(long sequence, int bytes) {
-      return new DiskRecord(
+    private static LogRecord record(long sequence, int bytes) {
+      return new LogRecord(
           Kind.ENTRY, "key", new Epoch(1, "node"), sequence, false, new byte[bytes]);
     }
   }
--- a/adapters/src/test/java/applespindle/adapters/DiskLogTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskLogTest.java
@@ -3,9 +3,9 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Epoch;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,8 +19,8 @@
 class DiskLogTest {
   @TempDir Path folder;
 
-  private static DiskRecord record(long sequence) {
-    return new DiskRecord(
+  private static LogRecord record(long sequence) {
+    return new LogRecord(
         Kind.ENTRY,
         "key",
         new Epoch(1, "node"),
--- a/adapters/src/test/java/applespindle/adapters/DiskLossSweepTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskLossSweepTest.java
@@ -4,9 +4,9 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Epoch;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -83,13 +83,13 @@
       }
     }
 
-    DiskLog open(Consumer<DiskRecord> replay) throws IOException {
+    DiskLog open(Consumer<LogRecord> replay) throws IOException {
       return DiskLog.open(folder, SIZES, replay, sentence -> {});
     }
   }
 
-  private static DiskRecord record(long sequence) {
-    return new DiskRecord(
+  private static LogRecord record(long sequence) {
+    return new LogRecord(
         Kind.ENTRY, "key", new Epoch(1, "node"), sequence, false, new byte[RECORD_BYTES]);
   }
 
--- a/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
@@ -3,9 +3,9 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Epoch;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,9 +22,8 @@
   private static final int STEPS_MOST = 60;
   private static final DiskSizes SIZES = new DiskSizes(2_000, 0);
 
-  private static DiskRecord record(long sequence, int bytes) {
-    return new DiskRecord(
-        Kind.ENTRY, "key", new Epoch(1, "node"), sequence, false, new byte[bytes]);
+  private static LogRecord record(long sequence, int bytes) {
+    return new LogRecord(Kind.ENTRY, "key", new Epoch(1, "node"), sequence, false, new byte[bytes]);
   }
 
   private static List<Long> replay(VolatileFolder folder, List<DiskLog> opened) throws IOException {
@@ -110,7 +109,7 @@
       log.append(List.of(record(sequence, 1_000)));
       if (log.wantsCheckpoint(false)) {
         checkpoints++;
-        List<DiskRecord> all = new ArrayList<>();
+        List<LogRecord> all = new ArrayList<>();
         for (long each = 1; each <= sequence; each++) {
           all.add(record(each, 1_000));
         }
--- a/adapters/src/test/java/applespindle/adapters/ExchangeClientFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ExchangeClientFuzzTest.java
@@ -5,14 +5,14 @@
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import applespindle.adapters.WorkerFormat.Attribution;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.Surroundings.ExchangeListener;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 import io.activej.eventloop.Eventloop;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -78,12 +78,12 @@
     int status;
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
       status = head.status();
     }
 
     @Override
-    public void piece(Piece piece) {
+    public void piece(ResponseChunk piece) {
       body.append(new String(piece.bytes(), ISO_8859_1));
     }
 
@@ -96,7 +96,7 @@
     public void load(WorkerLoad load) {}
 
     @Override
-    public void fault(Fault fault, boolean mayHaveRun) {
+    public void fault(ApiError fault, boolean mayHaveRun) {
       assertThat(end.complete(mayHaveRun ? "uncertain" : "not run")).isTrue();
     }
 
@@ -129,8 +129,8 @@
   }
 
   private static Heard send() {
-    OpaqueRequest request =
-        new OpaqueRequest(
+    ProxiedRequest request =
+        new ProxiedRequest(
             ID, "GET", "/a", "h", List.of(), new byte[0], 1_000, "", 0, 0, List.of(), "");
     String address = "127.0.0.1:" + worker.getLocalPort();
     Heard heard = new Heard();
--- a/adapters/src/test/java/applespindle/adapters/ExchangeClientTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ExchangeClientTest.java
@@ -3,14 +3,14 @@
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.Surroundings.ExchangeListener;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 import io.activej.eventloop.Eventloop;
 import java.io.IOException;
 import java.io.InputStream;
@@ -78,12 +78,12 @@
     final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
       lines.add("head " + head.status() + " " + head.headers().stream().map(Header::name).toList());
     }
 
     @Override
-    public void piece(Piece piece) {
+    public void piece(ResponseChunk piece) {
       lines.add("piece " + piece.eventId() + "|" + new String(piece.bytes(), ISO_8859_1));
     }
 
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void fault(Fault fault, boolean mayHaveRun) {
+    public void fault(ApiError fault, boolean mayHaveRun) {
       lines.add(fault.type() + " " + mayHaveRun);
     }
 
@@ -137,12 +137,12 @@
     worker.close();
   }
 
-  private static OpaqueRequest request(String id) {
+  private static ProxiedRequest request(String id) {
     return request(id, new Header("X-Own", "1"));
   }
 
-  private static OpaqueRequest request(String id, Header... headers) {
-    return new OpaqueRequest(
+  private static ProxiedRequest request(String id, Header... headers) {
+    return new ProxiedRequest(
         id,
         "POST",
         "/a/b?c=%20d",
@@ -157,13 +157,13 @@
         "");
   }
 
-  private Heard send(OpaqueRequest request) {
+  private Heard send(ProxiedRequest request) {
     Heard heard = new Heard();
     begin(request, heard);
     return heard;
   }
 
-  private ExchangeClient.Exchange begin(OpaqueRequest request, Heard heard) {
+  private ExchangeClient.Exchange begin(ProxiedRequest request, Heard heard) {
     var call =
         new WorkerExchange("127.0.0.1:" + worker.getLocalPort(), "w1", request, 0, 1_000, "");
     ExchangeClient.Exchange exchange = client.prepare(call, heard);
@@ -575,8 +575,8 @@
 
   @Test
   void sendsNothingThatCouldLookLikeTwoRequests() throws Exception {
-    OpaqueRequest smuggling =
-        new OpaqueRequest(
+    ProxiedRequest smuggling =
+        new ProxiedRequest(
             "1",
             "POST",
             "/a HTTP/1.1\r\nX: y",
@@ -590,8 +590,8 @@
             List.of(),
             "");
     assertThat(send(smuggling).toTheEnd()).containsExactly("InvalidInput false");
-    OpaqueRequest inHeader =
-        new OpaqueRequest(
+    ProxiedRequest inHeader =
+        new ProxiedRequest(
             "1",
             "POST",
             "/a",
--- a/adapters/src/test/java/applespindle/adapters/FrameDeflationTest.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameDeflationTest.java
@@ -4,7 +4,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import applespindle.corelogic.Constants;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.constants.SizeLimits;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.Random;
@@ -55,7 +56,9 @@
   void aLengthThatTheBytesCannotStandForTakesNoMemory() {
     byte[] claims = new byte[100];
     for (int length :
-        new int[] {-1, 0, Constants.FRAME_BYTES_MOST, Constants.PEER_INFLATE_MOST * 100 + 1}) {
+        new int[] {
+          -1, 0, SizeLimits.MAX_FRAME_BYTES, PeerConnectionConstants.MAX_INFLATE_RATIO * 100 + 1
+        }) {
       ByteBuffer.wrap(claims).putInt(length);
       assertThrows(UnreadableFrame.class, () -> deflation.inflate(claims, 0, claims.length));
     }
--- a/adapters/src/test/java/applespindle/adapters/FrameFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameFixturesTest.java
@@ -4,10 +4,10 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.CoreIs;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
 import io.activej.eventloop.Eventloop;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -62,7 +62,7 @@
     assertThat(head).isEqualTo(size | FrameDeflation.DEFLATED);
     byte[] frame = new FrameDeflation().inflate(written, Integer.BYTES, size);
     Envelope expected = largeMessage();
-    assertThat(frame.length).isAtLeast(Constants.PEER_DEFLATE_BYTES);
+    assertThat(frame.length).isAtLeast(PeerConnectionConstants.MIN_DEFLATE_BYTES);
     assertSame(DEFLATED_NAME, codec.decode(frame), expected);
     assertThat(frame).isEqualTo(codec.encode(expected));
   }
@@ -167,7 +167,7 @@
           .append("\"name\":\"core-" + number + "\"}");
     }
     roster.append("],\"next\":[]}");
-    Message message = new CoreIs(2, FrameSamples.bytes(roster.toString()));
+    Message message = new QuorumDiscoveryResponse(2, FrameSamples.bytes(roster.toString()));
     return new Envelope(
         FrameSamples.CORE_ID, FrameSamples.CORE_ADDRESS, FrameSamples.EDGE_ID, message);
   }
--- a/adapters/src/test/java/applespindle/adapters/FrameSamples.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameSamples.java
@@ -2,40 +2,40 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Entry;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Epoch;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.AskProgress;
-import applespindle.corelogic.Message.BatchEnded;
-import applespindle.corelogic.Message.CoreIs;
-import applespindle.corelogic.Message.CorePing;
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyHandOver;
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPlace;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.KeysAsked;
-import applespindle.corelogic.Message.KeysKnown;
-import applespindle.corelogic.Message.RangeHandout;
-import applespindle.corelogic.Message.RangePull;
-import applespindle.corelogic.Message.RangeReport;
-import applespindle.corelogic.Message.RangeReported;
-import applespindle.corelogic.Message.ReportedItem;
-import applespindle.corelogic.Message.Unfinished;
-import applespindle.corelogic.Message.Verdict;
-import applespindle.corelogic.Message.WhereIsCore;
-import applespindle.corelogic.Message.WorkOffer;
-import applespindle.corelogic.Message.WorkerLoads;
-import applespindle.corelogic.Message.WorkerLoads.OwnLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.AppliedPositions;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.protocol.Message.BatchEnded;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
+import applespindle.corelogic.protocol.Message.KeyPosition;
+import applespindle.corelogic.protocol.Message.LeaderlessBatches;
+import applespindle.corelogic.protocol.Message.LeadershipTransfer;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.Message.PeerLoadReport;
+import applespindle.corelogic.protocol.Message.PeerLoadReport.OwnLoad;
+import applespindle.corelogic.protocol.Message.PeerRequestProgress;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
+import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
+import applespindle.corelogic.protocol.Message.RangeAssignment;
+import applespindle.corelogic.protocol.Message.RangeReport;
+import applespindle.corelogic.protocol.Message.RangeReportResponse;
+import applespindle.corelogic.protocol.Message.RangeRequest;
+import applespindle.corelogic.protocol.Message.Verdict;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -74,12 +74,12 @@
 
   private static final Epoch EPOCH = new Epoch(4, EDGE_ID);
   private static final Epoch FORMER_EPOCH = new Epoch(3, "24f792a57dbb");
-  private static final List<Entry> ENTRIES =
+  private static final List<LogEntry> ENTRIES =
       List.of(
-          new Entry(7, FORMER_EPOCH, false, bytes("{\"kind\":\"ended\",\"ageMs\":2990}")),
-          new Entry(8, EPOCH, false, new byte[0]),
-          new Entry(9, EPOCH, true, bytes("{\"kind\":\"removed\",\"ageMs\":125207}")),
-          new Entry(10, EPOCH, false, DEFLATED_EVENT));
+          new LogEntry(7, FORMER_EPOCH, false, bytes("{\"kind\":\"ended\",\"ageMs\":2990}")),
+          new LogEntry(8, EPOCH, false, new byte[0]),
+          new LogEntry(9, EPOCH, true, bytes("{\"kind\":\"removed\",\"ageMs\":125207}")),
+          new LogEntry(10, EPOCH, false, DEFLATED_EVENT));
 
   private final Map<String, Envelope> samples = new LinkedHashMap<>();
 
@@ -107,25 +107,25 @@
   }
 
   private void addClaims() {
-    add("promise-asked", new KeyPromise(PROMPT_BATCH_KEY, EPOCH, 3, false, 16384, false));
-    add("promise-asked-trial", new KeyPromise(OPAQUE_BATCH_KEY, EPOCH, 3, false, 16384, true));
-    add("promise-asked-handed-over", new KeyPromise(PROMPT_BATCH_KEY, EPOCH, 3, true, 0, false));
+    add("promise-asked", new VoteRequest(PROMPT_BATCH_KEY, EPOCH, 3, false, 16384, false));
+    add("promise-asked-trial", new VoteRequest(OPAQUE_BATCH_KEY, EPOCH, 3, false, 16384, true));
+    add("promise-asked-handed-over", new VoteRequest(PROMPT_BATCH_KEY, EPOCH, 3, true, 0, false));
     add(
         "promise-given-empty-log",
-        new KeyPromised(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, EPOCH, "", "", 0, 0, List.of()));
+        new VoteResponse(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, EPOCH, "", "", 0, 0, List.of()));
     add(
         "promise-given-with-log",
-        new KeyPromised(
+        new VoteResponse(
             PROMPT_BATCH_KEY, EPOCH, Verdict.OK, EPOCH, EDGE_ID, EDGE_ADDRESS, 8, 7, ENTRIES));
     add(
         "promise-trial-answered",
-        new KeyPromised(
+        new VoteResponse(
             OPAQUE_BATCH_KEY, EPOCH, Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()));
     for (Verdict verdict :
         List.of(Verdict.REFUSED, Verdict.BUSY, Verdict.BEHIND, Verdict.OLD_SET)) {
       add(
           "promise-verdict-" + verdict.ordinal(),
-          new KeyPromised(
+          new VoteResponse(
               PROMPT_BATCH_KEY,
               EPOCH,
               verdict,
@@ -136,22 +136,24 @@
               7,
               List.of()));
     }
-    add("log-asked", new KeyLogAsk(PROMPT_BATCH_KEY, EPOCH, 1, 140, FORMER_EPOCH));
-    add("log-part", new KeyLogPart(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, ENTRIES));
-    add("log-part-refused", new KeyLogPart(PROMPT_BATCH_KEY, EPOCH, Verdict.REFUSED, List.of()));
-    add("handed-over", new KeyHandOver(PROMPT_BATCH_KEY, EPOCH, 34));
+    add("log-asked", new LogFetchRequest(PROMPT_BATCH_KEY, EPOCH, 1, 140, FORMER_EPOCH));
+    add("log-part", new LogFetchResponse(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, ENTRIES));
+    add(
+        "log-part-refused",
+        new LogFetchResponse(PROMPT_BATCH_KEY, EPOCH, Verdict.REFUSED, List.of()));
+    add("handed-over", new LeadershipTransfer(PROMPT_BATCH_KEY, EPOCH, 34));
   }
 
   private void addAppends() {
     add(
         "append-heartbeat",
-        new KeyAppend(PROMPT_BATCH_KEY, EPOCH, 3, 17, 10, FORMER_EPOCH, 9, true, List.of()));
+        new AppendRequest(PROMPT_BATCH_KEY, EPOCH, 3, 17, 10, FORMER_EPOCH, 9, true, List.of()));
     add(
         "append-heartbeat-without-majority",
-        new KeyAppend(PROMPT_BATCH_KEY, EPOCH, 3, 18, 10, FORMER_EPOCH, 9, false, List.of()));
+        new AppendRequest(PROMPT_BATCH_KEY, EPOCH, 3, 18, 10, FORMER_EPOCH, 9, false, List.of()));
     add(
         "append-first",
-        new KeyAppend(
+        new AppendRequest(
             OPAQUE_BATCH_KEY,
             EPOCH,
             1,
@@ -160,31 +162,33 @@
             Epoch.NONE,
             0,
             true,
-            List.of(new Entry(1, EPOCH, false, bytes("{\"kind\":\"accepted\",\"ageMs\":0}")))));
+            List.of(new LogEntry(1, EPOCH, false, bytes("{\"kind\":\"accepted\",\"ageMs\":0}")))));
     add(
         "append-entries",
-        new KeyAppend(PROMPT_BATCH_KEY, EPOCH, 3, 19, 6, FORMER_EPOCH, 8, true, ENTRIES));
-    add("appended", new KeyAppended(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OK, EPOCH, 10));
+        new AppendRequest(PROMPT_BATCH_KEY, EPOCH, 3, 19, 6, FORMER_EPOCH, 8, true, ENTRIES));
+    add("appended", new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OK, EPOCH, 10));
     add(
         "appended-refused",
-        new KeyAppended(PROMPT_BATCH_KEY, FORMER_EPOCH, 19, Verdict.REFUSED, EPOCH, 0));
-    add("appended-behind", new KeyAppended(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.BEHIND, EPOCH, 4));
+        new AppendResponse(PROMPT_BATCH_KEY, FORMER_EPOCH, 19, Verdict.REFUSED, EPOCH, 0));
+    add(
+        "appended-behind",
+        new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.BEHIND, EPOCH, 4));
     add(
         "appended-old-set",
-        new KeyAppended(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OLD_SET, EPOCH, 4));
+        new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OLD_SET, EPOCH, 4));
   }
 
   private void addCoreMessages() {
     add(
         "core-ping-blank",
-        new CorePing(
+        new QuorumHeartbeat(
             bytes(
                 CORE_SELF
                     + "\"blank\":true,\"candidate\":false,\"voter\":true,"
                     + "\"heard\":[],\"number\":0,\"owns\":[]}")));
     add(
         "core-ping-proposal",
-        new CorePing(
+        new QuorumHeartbeat(
             bytes(
                 CORE_SELF
                     + "\"blank\":true,\"candidate\":false,\"voter\":true,\"proposal\":"
@@ -192,7 +196,7 @@
                     + ",\"accepted\":true,\"heard\":[\"536acd9bcd3f\"],\"number\":0,\"owns\":[]}")));
     add(
         "core-ping-with-roster",
-        new CorePing(
+        new QuorumHeartbeat(
             bytes(
                 CORE_SELF
                     + "\"blank\":false,\"candidate\":false,\"voter\":true,"
@@ -200,26 +204,27 @@
                     + "\"roster\":"
                     + ROSTER
                     + "}")));
-    add("core-members-asked", new WhereIsCore());
-    add("core-members", new CoreIs(1, bytes(ROSTER)));
+    add("core-members-asked", new QuorumDiscoveryRequest());
+    add("core-members", new QuorumDiscoveryResponse(1, bytes(ROSTER)));
     samples.put(
         "core-members-asked-of-address",
-        new Envelope(STORAGE_ID, STORAGE_ADDRESS, "", new WhereIsCore()));
+        new Envelope(STORAGE_ID, STORAGE_ADDRESS, "", new QuorumDiscoveryRequest()));
   }
 
   private void addFeed() {
-    add("feed-asked-first", new FeedFollow("", 0, 0, 1000506, 0, 0));
-    add("feed-asked", new FeedFollow(CORE_ID, 2, 41, 1002115, 0x8765432112345678L, 12));
+    add("feed-asked-first", new ChangeFeedPoll("", 0, 0, 1000506, 0, 0));
+    add("feed-asked", new ChangeFeedPoll(CORE_ID, 2, 41, 1002115, 0x8765432112345678L, 12));
     add(
         "feed-empty",
-        new FeedNews(CORE_ID, 1, 0, 0, true, false, 2305843009213693951L, 1000506, List.of()));
+        new ChangeFeedUpdate(
+            CORE_ID, 1, 0, 0, true, false, 2305843009213693951L, 1000506, List.of()));
     add(
         "feed-checkpoint",
-        new FeedNews(
+        new ChangeFeedUpdate(
             CORE_ID, 2, 0, 41, true, false, 12, 1002115, List.of(item("roster", 1, ROSTER))));
     add(
         "feed-relayed",
-        new FeedNews(
+        new ChangeFeedUpdate(
             CORE_ID,
             2,
             41,
@@ -231,28 +236,28 @@
             List.of(
                 item("worker-list", 5, "{\"version\":5}"),
                 item("edges", 2, "{\"number\":2,\"addresses\":[\"10.0.0.1:7400\"]}"))));
-    add("keys-known-none", new KeysKnown(EDGE_ADDRESS, List.of()));
+    add("keys-known-none", new AppliedPositions(EDGE_ADDRESS, List.of()));
     add(
         "keys-known",
-        new KeysKnown(
-            EDGE_ADDRESS, List.of(new KeyPlace("bundle", 12), new KeyPlace("workers", 31))));
-    add("keys-asked", new KeysAsked(1002115));
+        new AppliedPositions(
+            EDGE_ADDRESS, List.of(new KeyPosition("bundle", 12), new KeyPosition("workers", 31))));
+    add("keys-asked", new AppliedPositionsRequest(1002115));
   }
 
-  private static FeedItem item(String key, long sequence, String value) {
-    return new FeedItem(key, sequence, bytes(value));
+  private static MetadataRecord item(String key, long sequence, String value) {
+    return new MetadataRecord(key, sequence, bytes(value));
   }
 
   private void addWorkOfBatches() {
-    add("work-offer-prompts", new WorkOffer(PROMPT_BATCH, 9996, 3, "", ""));
-    add("work-offer-opaque", new WorkOffer(OPAQUE_BATCH, 9996, 0, "h0.example", "/batch-0/b5"));
-    add("range-pull", new RangePull(OPAQUE_BATCH, "i-1", 1015028));
+    add("work-offer-prompts", new BatchOffer(PROMPT_BATCH, 9996, 3, "", ""));
+    add("work-offer-opaque", new BatchOffer(OPAQUE_BATCH, 9996, 0, "h0.example", "/batch-0/b5"));
+    add("range-pull", new RangeRequest(OPAQUE_BATCH, "i-1", 1015028));
     add(
         "range-handout-none",
-        new RangeHandout(PROMPT_BATCH, "w1", 0, 0, true, 0, 1015028, List.of()));
+        new RangeAssignment(PROMPT_BATCH, "w1", 0, 0, true, 0, 1015028, List.of()));
     add(
         "range-handout-prompts",
-        new RangeHandout(
+        new RangeAssignment(
             PROMPT_BATCH,
             "w1",
             0,
@@ -261,13 +266,13 @@
             9990,
             1015028,
             List.of(
-                new HandoutItem(
+                new AssignedItem(
                     0, bytes("{\"id\":\"i0\",\"prompt\":\"Good day\",\"max_tokens\":160}")),
-                new HandoutItem(
+                new AssignedItem(
                     1, bytes("{\"id\":\"i1\",\"prompt\":\"Grüße\",\"max_tokens\":1}")))));
     add(
         "range-handout-opaque",
-        new RangeHandout(
+        new RangeAssignment(
             OPAQUE_BATCH,
             "i-1",
             2,
@@ -276,7 +281,7 @@
             9990,
             1015028,
             List.of(
-                new HandoutItem(
+                new AssignedItem(
                     6,
                     bytes(
                         "{\"id\":\"x7\",\"target\":\"/batch-0/b5/x7\",\"headers\":["
@@ -300,14 +305,14 @@
             2,
             false,
             List.of(
-                new ReportedItem(0, "d1529810cb40-1", "w1", "stop", "", bytes("Good day.")),
-                new ReportedItem(1, "d1529810cb40-2", "w1", "length", "", bytes("Grü")),
-                new ReportedItem(
+                new ItemOutcome(0, "d1529810cb40-1", "w1", "stop", "", bytes("Good day.")),
+                new ItemOutcome(1, "d1529810cb40-2", "w1", "length", "", bytes("Grü")),
+                new ItemOutcome(
                     2,
                     "d1529810cb40-3",
                     "w1",
                     "",
-                    new Fault.WorkerCut("w1").type(),
+                    new ApiError.WorkerStreamTruncated("w1").type(),
                     new byte[0]))));
     add(
         "range-report-opaque",
@@ -320,19 +325,19 @@
             7,
             false,
             List.of(
-                new ReportedItem(
+                new ItemOutcome(
                     6, "d1529810cb40-1", "i-1", "", "", new byte[] {0, (byte) 0xff, 13, 10}))));
-    add("range-reported-keep", new RangeReported(OPAQUE_BATCH, 2, 2, "i-1", 1, true));
-    add("range-reported-lost", new RangeReported(OPAQUE_BATCH, 2, 2, "i-1", 2, false));
+    add("range-reported-keep", new RangeReportResponse(OPAQUE_BATCH, 2, 2, "i-1", 1, true));
+    add("range-reported-lost", new RangeReportResponse(OPAQUE_BATCH, 2, 2, "i-1", 2, false));
   }
 
   private void addRest() {
-    add("ask-progress", new AskProgress(112));
-    add("worker-loads-none", new WorkerLoads(List.of()));
+    add("ask-progress", new PeerRequestProgress(112));
+    add("worker-loads-none", new PeerLoadReport(List.of()));
     add(
         "worker-loads",
-        new WorkerLoads(List.of(new OwnLoad("i-1", 1, 2048), new OwnLoad("i-3", 0, 0))));
-    add("unfinished-none", new Unfinished(List.of()));
-    add("unfinished", new Unfinished(List.of(PROMPT_BATCH_KEY, OPAQUE_BATCH_KEY)));
+        new PeerLoadReport(List.of(new OwnLoad("i-1", 1, 2048), new OwnLoad("i-3", 0, 0))));
+    add("unfinished-none", new LeaderlessBatches(List.of()));
+    add("unfinished", new LeaderlessBatches(List.of(PROMPT_BATCH_KEY, OPAQUE_BATCH_KEY)));
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
+++ b/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
@@ -5,11 +5,11 @@
 
 import applespindle.adapters.UnreadableFrame.Kind;
 import applespindle.adapters.sbe.MessageHeaderDecoder;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Epoch;
-import applespindle.corelogic.Message.AskProgress;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeysAsked;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
+import applespindle.corelogic.protocol.Message.PeerRequestProgress;
+import applespindle.corelogic.protocol.Message.VoteRequest;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,8 @@
 
   private static final int HEAD = MessageHeaderDecoder.ENCODED_LENGTH;
   private final PeerCodec codec = new PeerCodec();
-  private final Envelope envelope = new Envelope("a", "127.0.0.1:1", "b", new KeysAsked(7));
+  private final Envelope envelope =
+      new Envelope("a", "127.0.0.1:1", "b", new AppliedPositionsRequest(7));
 
   /**
    * Where the message itself begins: behind the envelope's head, which has no fixed fields but
@@ -70,20 +71,20 @@
 
   @Test
   void tellsOfProgress() throws UnreadableFrame {
-    Envelope sent = new Envelope("a", "127.0.0.1:1", "b", new AskProgress(1L << 40));
+    Envelope sent = new Envelope("a", "127.0.0.1:1", "b", new PeerRequestProgress(1L << 40));
     assertThat(codec.decode(codec.encode(sent))).isEqualTo(sent);
   }
 
   @Test
   void keepsEpochsApart() throws UnreadableFrame {
-    var promise = new KeyPromise("batch/b", new Epoch(3, "node"), 5, true, 100, true);
+    var promise = new VoteRequest("batch/b", new Epoch(3, "node"), 5, true, 100, true);
     Envelope sent = new Envelope("a", "127.0.0.1:1", "", promise);
     assertThat(codec.decode(codec.encode(sent))).isEqualTo(sent);
   }
 
   @Test
   void aClaimOfTheVersionBeforeAsksForTheWholeLog() throws UnreadableFrame {
-    var promise = new KeyPromise("batch/b", new Epoch(3, "node"), 5, true, 100, true);
+    var promise = new VoteRequest("batch/b", new Epoch(3, "node"), 5, true, 100, true);
     ByteBuffer newer =
         ByteBuffer.wrap(codec.encode(new Envelope("a", "127.0.0.1:1", "b", promise)))
             .order(ByteOrder.LITTLE_ENDIAN);
@@ -98,7 +99,7 @@
     older.putShort(body, (short) blockLength);
     older.putShort(body + 6, (short) (PeerCodec.VERSION - 1));
     older.putShort(6, (short) (PeerCodec.VERSION - 1));
-    KeyPromise told = (KeyPromise) codec.decode(older.array()).message();
+    VoteRequest told = (VoteRequest) codec.decode(older.array()).message();
     assertThat(told.epoch()).isEqualTo(promise.epoch());
     assertThat(told.tailBytesMost()).isAtMost(0);
     assertThat(told.trial()).isFalse();
--- a/adapters/src/test/java/applespindle/adapters/PeerTransportTest.java
+++ b/adapters/src/test/java/applespindle/adapters/PeerTransportTest.java
@@ -2,12 +2,12 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.AskResponse;
-import applespindle.corelogic.Message.CorePing;
-import applespindle.corelogic.Message.KeysAsked;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
+import applespindle.corelogic.protocol.Message.PeerResponse;
+import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
 import io.activej.eventloop.Eventloop;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -40,11 +40,14 @@
     loop.keepAlive(true);
     PeerTransport receiver =
         new PeerTransport(
-            loop, envelope -> heard.add(((KeysAsked) envelope.message()).sentAt()), sentence -> {});
+            loop,
+            envelope -> heard.add(((AppliedPositionsRequest) envelope.message()).sentAt()),
+            sentence -> {});
     PeerTransport sender = new PeerTransport(loop, envelope -> {}, sentence -> {});
     receiver.listen(address);
     for (long number = 0; number < MESSAGES; number++) {
-      sender.send(address, new Envelope("a", "127.0.0.1:1", "", new KeysAsked(number)));
+      sender.send(
+          address, new Envelope("a", "127.0.0.1:1", "", new AppliedPositionsRequest(number)));
     }
     Thread thread = new Thread(loop, "peer");
     thread.start();
@@ -74,7 +77,9 @@
     loop.keepAlive(true);
     PeerTransport receiver =
         new PeerTransport(
-            loop, envelope -> heard.add(((CorePing) envelope.message()).body()), sentence -> {});
+            loop,
+            envelope -> heard.add(((QuorumHeartbeat) envelope.message()).body()),
+            sentence -> {});
     PeerTransport sender = new PeerTransport(loop, envelope -> {}, sentence -> {});
     receiver.listen(address);
     Thread thread = new Thread(loop, "peer");
@@ -82,12 +87,16 @@
     Random random = new Random(7);
     for (int size :
         new int[] {
-          1, Constants.PEER_DEFLATE_BYTES - 1, Constants.PEER_DEFLATE_BYTES, 20_000, 3_000_000
+          1,
+          PeerConnectionConstants.MIN_DEFLATE_BYTES - 1,
+          PeerConnectionConstants.MIN_DEFLATE_BYTES,
+          20_000,
+          3_000_000
         }) {
       byte[] varied = new byte[size];
       random.nextBytes(varied);
       for (byte[] body : List.of(new byte[size], varied)) {
-        sender.send(address, new Envelope("a", "127.0.0.1:1", "", new CorePing(body)));
+        sender.send(address, new Envelope("a", "127.0.0.1:1", "", new QuorumHeartbeat(body)));
         assertThat(heard.poll(GENEROUS_S, TimeUnit.SECONDS)).isEqualTo(body);
       }
     }
@@ -145,15 +154,15 @@
   void asksASilentPeerForASignOfLifeAndConnectsAnewWithoutOne() throws IOException {
     try (Side side = new Side()) {
       side.start();
-      side.send(new KeysAsked(1));
+      side.send(new AppliedPositionsRequest(1));
       Socket first = side.accept();
       assertThat(frame(first)).isNotEmpty();
-      side.now.addAndGet(Constants.PEER_SILENT_MS + 1);
-      side.send(new KeysAsked(2));
+      side.now.addAndGet(PeerConnectionConstants.SILENCE_TIMEOUT_MS + 1);
+      side.send(new AppliedPositionsRequest(2));
       assertThat(frame(first)).isEmpty();
       assertThat(frame(first)).isNotEmpty();
-      side.now.addAndGet(Constants.PEER_SILENT_MS + 1);
-      side.send(new KeysAsked(3));
+      side.now.addAndGet(PeerConnectionConstants.SILENCE_TIMEOUT_MS + 1);
+      side.send(new AppliedPositionsRequest(3));
       Socket second = side.accept();
       assertThat(frame(second)).isNotEmpty();
       assertThat(first.getInputStream().read()).isEqualTo(-1);
@@ -164,20 +173,20 @@
   void keepsTheConnectionToAPeerThatGivesASignOfLife() throws IOException {
     try (Side side = new Side()) {
       side.start();
-      side.send(new KeysAsked(1));
+      side.send(new AppliedPositionsRequest(1));
       Socket only = side.accept();
       frame(only);
       for (int round = 0; round < 3; round++) {
-        side.now.addAndGet(Constants.PEER_SILENT_MS + 1);
-        side.send(new KeysAsked(2));
+        side.now.addAndGet(PeerConnectionConstants.SILENCE_TIMEOUT_MS + 1);
+        side.send(new AppliedPositionsRequest(2));
         assertThat(frame(only)).isEmpty();
         frame(only);
         only.getOutputStream().write(new byte[4]);
         only.getOutputStream().flush();
         // Only once that was heard is a further one asked for, after as long a silence again.
-        side.now.addAndGet(Constants.PEER_SILENT_MS / 2);
+        side.now.addAndGet(PeerConnectionConstants.SILENCE_TIMEOUT_MS / 2);
         awaitHeard(side);
-        side.send(new KeysAsked(3));
+        side.send(new AppliedPositionsRequest(3));
         assertThat(frame(only)).isNotEmpty();
       }
     }
@@ -220,13 +229,13 @@
       side.start();
       byte[] noShorterDeflated = new byte[32 << 20];
       new Random(7).nextBytes(noShorterDeflated);
-      side.send(new AskResponse(1, 200, 0, noShorterDeflated));
+      side.send(new PeerResponse(1, 200, 0, noShorterDeflated));
       Socket large = side.accept();
-      side.send(new KeysAsked(7));
+      side.send(new AppliedPositionsRequest(7));
       Socket small = side.accept();
-      assertThat(frame(small).length).isLessThan(Constants.PEER_LARGE_BYTES);
+      assertThat(frame(small).length).isLessThan(PeerConnectionConstants.LARGE_FRAME_BYTES);
       side.transport.send(
-          elsewhere.address, new Envelope("a", "127.0.0.1:1", "", new KeysAsked(8)));
+          elsewhere.address, new Envelope("a", "127.0.0.1:1", "", new AppliedPositionsRequest(8)));
       try (Socket other = elsewhere.accept()) {
         assertThat(frame(other)).isNotEmpty();
       }
--- a/adapters/src/test/java/applespindle/adapters/ResponseParserFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ResponseParserFuzzTest.java
@@ -4,8 +4,8 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.OpaqueRequest.Header;
+import applespindle.corelogic.constants.WorkerConnectionConstants;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
 import java.util.List;
 import java.util.Optional;
 import net.jqwik.api.Arbitrary;
@@ -140,9 +140,9 @@
   @Example
   void headsAndLinesHaveALimit() {
     String head = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX: ";
-    int room = Constants.WORKER_HEAD_BYTES_MOST - head.length() - 4;
+    int room = WorkerConnectionConstants.MAX_HEAD_BYTES - head.length() - 4;
     String chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    String longLine = "1;" + "a".repeat(Constants.WORKER_HEAD_BYTES_MOST) + "\r\n";
+    String longLine = "1;" + "a".repeat(WorkerConnectionConstants.MAX_HEAD_BYTES) + "\r\n";
     String trailers = "0\r\n" + ("T: " + "a".repeat(1_000) + "\r\n").repeat(70) + "\r\n";
     assertThat(read(List.of(head + "a".repeat(room) + "\r\n\r\n")).end()).isEqualTo(End.WHOLE);
     for (String text :
--- a/adapters/src/test/java/applespindle/adapters/StartupTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StartupTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Fault;
+import applespindle.corelogic.api.ApiError;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
@@ -59,7 +59,7 @@
       "storage"
     };
     Startup.Read read = Startup.read("data-plane", null, flags);
-    assertThat(read.faults().stream().map(Fault.Field::path))
+    assertThat(read.faults().stream().map(ApiError.Field::path))
         .containsExactly("$.http", "$.name", "$.seeds[0].<list element>", "$.zone");
     Startup.Read noData =
         Startup.read(
@@ -79,6 +79,6 @@
               "--role",
               "storage"
             });
-    assertThat(noData.faults().stream().map(Fault.Field::path)).containsExactly("$.data");
+    assertThat(noData.faults().stream().map(ApiError.Field::path)).containsExactly("$.data");
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
@@ -3,11 +3,11 @@
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Bundle;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Epoch;
-import applespindle.corelogic.Json;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -46,14 +46,14 @@
   @TempDir Path scratch;
 
   /** A log as it opens on a copy of a fixture. */
-  private record Opened(DiskLog log, List<DiskRecord> records, List<String> said) {
+  private record Opened(DiskLog log, List<LogRecord> records, List<String> said) {
     List<String> lines() {
       return records.stream().map(StoredRecordText::of).toList();
     }
   }
 
   private static Opened open(Path folder) {
-    List<DiskRecord> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     List<String> said = new ArrayList<>();
     return new Opened(DiskLog.open(folder, records::add, said::add), records, said);
   }
@@ -89,7 +89,7 @@
   void readsEachFieldOfAnEntry() throws IOException {
     Opened opened = open(copy("every-kind"));
     opened.log().close();
-    DiskRecord entry = opened.records().get(1);
+    LogRecord entry = opened.records().get(1);
     assertThat(entry.kind()).isEqualTo(Kind.ENTRY);
     assertThat(entry.key()).isEqualTo("batch/b-1");
     assertThat(entry.epoch()).isEqualTo(new Epoch(7, "0123456789ab"));
@@ -121,7 +121,7 @@
     assertThat(opened.said()).isEmpty();
     assertThat(opened.log().id()).isEqualTo(SINGLE_LOG_ID);
     assertThat(Files.size(secondSegment(folder))).isEqualTo(LAST_RECORD_AT);
-    List<DiskRecord> more = StoredDataGenerator.oneOfEachKind().subList(0, 1);
+    List<LogRecord> more = StoredDataGenerator.oneOfEachKind().subList(0, 1);
     opened.log().append(more);
     opened.log().close();
 
@@ -188,8 +188,9 @@
     assertThat(keyId).isEqualTo(StoredDataGenerator.KEY_ID);
     Map<String, String> keys = Map.of(keyId, operatorKey());
     byte[] signature = stored.get("signature").binaryValue();
-    assertThat(Bundle.check(bytes, keyId, signature, keys).fault()).isNull();
-    Bundle bundle = Bundle.check(bytes, keyId, signature, keys).bundle();
+    assertThat(RoutingConfiguration.check(bytes, keyId, signature, keys).fault()).isNull();
+    RoutingConfiguration bundle =
+        RoutingConfiguration.check(bytes, keyId, signature, keys).bundle();
     assertThat(bundle.number()).isEqualTo(number);
     assertThat(bundle.pools()).containsKey("main");
     assertThat(bundle.rules().get(0).way().expiryMs()).isEqualTo(10_000);
--- a/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
@@ -2,20 +2,20 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchInput;
-import applespindle.corelogic.BatchKeys;
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Epoch;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueBatch;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.WorkerInput;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchInput;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.batch.ProxiedBatch;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.WorkerInput;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -126,10 +126,10 @@
   }
 
   private void fill() throws GeneralSecurityException {
-    CoreNode core = fleet.core("core-1");
+    ControlPlaneNode core = fleet.core("core-1");
     fleet.runUntil("the control plane", () -> core.notReadyBecause().isEmpty());
     var worker = new WorkerInput(StoredFleet.WORKER, StoredFleet.WORKER_ADDRESS, "main", "ready");
-    command(core, "worker", "worker/" + worker.id(), CoreNode.workerListed(worker));
+    command(core, "worker", "worker/" + worker.id(), ControlPlaneNode.workerListed(worker));
     command(core, "bundle", "bundle", signed(configuration(1)));
     EdgeNode edge = fleet.edge();
     fleet.runUntil("the edge", () -> edge.notReadyBecause().isEmpty());
@@ -167,16 +167,16 @@
     }
   }
 
-  private void command(CoreNode core, String duty, String key, Object body) {
+  private void command(ControlPlaneNode core, String duty, String key, Object body) {
     good(then -> core.command(duty, key, body, then));
   }
 
-  private SignedBundle signed(String configuration) throws GeneralSecurityException {
+  private SignedConfiguration signed(String configuration) throws GeneralSecurityException {
     byte[] bytes = configuration.getBytes(UTF_8);
     Signature signer = Signature.getInstance("Ed25519");
     signer.initSign(keys.getPrivate());
     signer.update(bytes);
-    return new SignedBundle(0, bytes, KEY_ID, signer.sign(), null);
+    return new SignedConfiguration(0, bytes, KEY_ID, signer.sign(), null);
   }
 
   private void submit(String key, String... prompts) {
@@ -198,19 +198,19 @@
   }
 
   private void submitOpaque(String id, String... bodies) {
-    List<OpaqueBatch.Item> items = new ArrayList<>();
+    List<ProxiedBatch.Item> items = new ArrayList<>();
     for (String body : bodies) {
       String target = "/jobs/" + id + "/" + items.size();
       List<Header> headers = List.of(new Header("Content-Type", "text/plain"));
       items.add(
-          new OpaqueBatch.Item("item-" + items.size(), target, headers, body.getBytes(UTF_8), 50));
+          new ProxiedBatch.Item("item-" + items.size(), target, headers, body.getBytes(UTF_8), 50));
     }
-    OpaqueBatch batch = new OpaqueBatch(id, HOST, "/jobs/" + id, items);
+    ProxiedBatch batch = new ProxiedBatch(id, HOST, "/jobs/" + id, items);
     good(then -> fleet.edge().submitOpaque(BatchSubmission.of(batch), then));
   }
 
   private void claim(String id, String token) {
-    List<Fault> told = new ArrayList<>();
+    List<ApiError> told = new ArrayList<>();
     fleet.edge().claimOnce(id, token, told::add);
     fleet.runUntil("a claim", () -> !told.isEmpty());
     if (told.get(0) != null) {
@@ -220,21 +220,21 @@
 
   // ---- single logs
 
-  static List<DiskRecord> oneOfEachKind() {
+  static List<LogRecord> oneOfEachKind() {
     byte[] none = {};
     return List.of(
-        new DiskRecord(Kind.PROMISE, "batch/b-1", new Epoch(7, "0123456789ab"), 0, false, none),
-        new DiskRecord(
+        new LogRecord(Kind.PROMISE, "batch/b-1", new Epoch(7, "0123456789ab"), 0, false, none),
+        new LogRecord(
             Kind.ENTRY, "batch/b-1", new Epoch(7, "0123456789ab"), 1, true, new byte[] {0, 1, -1}),
-        new DiskRecord(Kind.COMMITTED, "batch/b-1", Epoch.NONE, 1, false, none),
-        new DiskRecord(Kind.ONCE, "once/call-1", new Epoch(0, "token-1"), 0, false, none),
-        new DiskRecord(Kind.ROSTER, "core", Epoch.NONE, 3, true, "{\"number\":3}".getBytes(UTF_8)),
-        new DiskRecord(Kind.SET, "shard/17", Epoch.NONE, 4_294_967_296L, true, none));
+        new LogRecord(Kind.COMMITTED, "batch/b-1", Epoch.NONE, 1, false, none),
+        new LogRecord(Kind.ONCE, "once/call-1", new Epoch(0, "token-1"), 0, false, none),
+        new LogRecord(Kind.ROSTER, "core", Epoch.NONE, 3, true, "{\"number\":3}".getBytes(UTF_8)),
+        new LogRecord(Kind.SET, "shard/17", Epoch.NONE, 4_294_967_296L, true, none));
   }
 
   /** Started twice: all kinds in the first segment, all but the first again in the second. */
   private static void writeEveryKind(Path folder) {
-    List<DiskRecord> records = oneOfEachKind();
+    List<LogRecord> records = oneOfEachKind();
     try (DiskLog log = DiskLog.open(folder, record -> {}, sentence -> {})) {
       log.append(records);
     }
--- a/adapters/src/test/java/applespindle/adapters/StoredFleet.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleet.java
@@ -1,16 +1,24 @@
 package applespindle.adapters;
 
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.StorageNode;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.storage.StorageNode;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -88,8 +96,8 @@
     byName.put(name, member);
   }
 
-  CoreNode core(String name) {
-    return (CoreNode) byName.get(name).node;
+  ControlPlaneNode core(String name) {
+    return (ControlPlaneNode) byName.get(name).node;
   }
 
   StorageNode storage(String name) {
@@ -146,7 +154,7 @@
   }
 
   /** One node with what surrounds it. */
-  private final class Member implements Surroundings {
+  private final class Member implements Environment {
     private final PeerCodec codec = new PeerCodec();
     private final RandomGenerator random;
     private final DiskLog log;
@@ -155,7 +163,7 @@
     /** A node with an id of its own has no disk. */
     Member(String name, String role, String zone, String address, String diskless) {
       this.random = new SplittableRandom(name.hashCode());
-      List<DiskRecord> records = new ArrayList<>();
+      List<LogRecord> records = new ArrayList<>();
       this.log =
           diskless.isEmpty()
               ? DiskLog.open(
@@ -165,8 +173,8 @@
                     throw new IllegalStateException(name + ": " + sentence);
                   })
               : null;
-      Node.Place place =
-          new Node.Place(
+      NodeIdentity place =
+          new NodeIdentity(
               log == null ? diskless : log.id(),
               log == null ? 1 : log.incarnation(),
               name,
@@ -179,11 +187,11 @@
       records.forEach(node::recover);
     }
 
-    private Node nodeOf(String role, Node.Place place) {
+    private Node nodeOf(String role, NodeIdentity place) {
       return switch (role) {
-        case "core" -> new CoreNode(this, place, operatorKeys, List.of());
-        case "storage" -> new StorageNode(this, place, Bounds.DEFAULT);
-        default -> new EdgeNode(this, place, Bounds.DEFAULT);
+        case "core" -> new ControlPlaneNode(this, place, operatorKeys, List.of());
+        case "storage" -> new StorageNode(this, place, NodeSettings.DEFAULT);
+        default -> new EdgeNode(this, place, NodeSettings.DEFAULT);
       };
     }
 
@@ -197,7 +205,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       boolean[] cancelled = new boolean[1];
       schedule(
           millis,
@@ -228,7 +236,7 @@
     }
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
       if (log != null) {
         log.append(records);
       }
@@ -241,20 +249,20 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       JsonNode body = Json.tree(call.body());
       String prompt = body.path("prompt").asText();
       schedule(NETWORK_MS, () -> answer(prompt, listener));
       return () -> {};
     }
 
-    private void answer(String prompt, WorkerListener listener) {
+    private void answer(String prompt, WorkerCallListener listener) {
       if (holding && prompt.contains(HOLD)) {
         return;
       }
       listener.text("answer to ");
       if (prompt.contains(CUT)) {
-        listener.fault(new Fault.WorkerCut(WORKER), true);
+        listener.fault(new ApiError.WorkerStreamTruncated(WORKER), true);
         return;
       }
       listener.text(prompt);
@@ -263,12 +271,12 @@
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
       schedule(NETWORK_MS, () -> whenRead.accept(new WorkerLoad(0, 0, 32, false)));
     }
 
     @Override
-    public WorkerRun exchange(WorkerExchange exchange, ExchangeListener listener) {
+    public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
       String body = new String(exchange.request().body(), StandardCharsets.UTF_8);
       schedule(NETWORK_MS, () -> answer(body, listener));
       return () -> {};
@@ -278,10 +286,10 @@
       if (holding && body.contains(HOLD)) {
         return;
       }
-      var type = new OpaqueRequest.Header("Content-Type", "text/event-stream");
-      listener.head(new OpaqueRequest.Head(body.contains(CUT) ? 500 : 200, List.of(type)));
+      var type = new ProxiedRequest.Header("Content-Type", "text/event-stream");
+      listener.head(new ProxiedRequest.ResponseHead(body.contains(CUT) ? 500 : 200, List.of(type)));
       String event = "id: 1\ndata: answer to " + body + "\n\n";
-      listener.piece(new OpaqueRequest.Piece("1", event.getBytes(StandardCharsets.UTF_8)));
+      listener.piece(new ProxiedRequest.ResponseChunk("1", event.getBytes(StandardCharsets.UTF_8)));
       listener.end();
     }
 
--- a/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
@@ -4,10 +4,10 @@
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchKeys;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -253,8 +253,8 @@
     assertThat(status.get("onceClaims").asInt()).isEqualTo(claims);
   }
 
-  private Fault claim(String id, String token) {
-    List<Fault> told = new ArrayList<>();
+  private ApiError claim(String id, String token) {
+    List<ApiError> told = new ArrayList<>();
     fleet.edge().claimOnce(id, token, told::add);
     fleet.runUntil("a claim", () -> !told.isEmpty());
     return told.get(0);
--- a/adapters/src/test/java/applespindle/adapters/StoredRecordText.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredRecordText.java
@@ -2,7 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.DiskRecord;
+import applespindle.corelogic.log.LogRecord;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,7 +17,7 @@
   /** First byte of a deflated payload. */
   private static final byte ZLIB = 0x78;
 
-  static String of(DiskRecord record) {
+  static String of(LogRecord record) {
     return String.join(
         " ",
         kind(record),
@@ -28,7 +28,7 @@
         "payload=" + payload(record.payload()));
   }
 
-  private static String kind(DiskRecord record) {
+  private static String kind(LogRecord record) {
     return switch (record.kind()) {
       case PROMISE -> "promise";
       case ENTRY -> "entry";
--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
@@ -3,7 +3,7 @@
 import applespindle.adapters.HttpInterface;
 import applespindle.adapters.NodeProcess;
 import applespindle.adapters.Program;
-import applespindle.corelogic.CoreNode;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
 
 /** The control plane's program: one process in each zone. */
 public final class ControlPlane {
@@ -14,13 +14,13 @@
         arguments,
         startup ->
             (surroundings, place) ->
-                new CoreNode(surroundings, place, startup.keys(), startup.coreFounders()),
+                new ControlPlaneNode(surroundings, place, startup.keys(), startup.coreFounders()),
         ControlPlane::open);
   }
 
   private static void open(NodeProcess process) {
     HttpInterface http = new HttpInterface(process);
-    new CoreInterface((CoreNode) process.node()).addTo(http);
+    new CoreInterface((ControlPlaneNode) process.node()).addTo(http);
     http.listen();
   }
 
--- a/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
@@ -1,18 +1,18 @@
 package applespindle.controlplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
 import applespindle.adapters.HttpInterface;
 import applespindle.adapters.HttpInterface.Call;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.InputReader;
-import applespindle.corelogic.MetadataKeys;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.StorageState;
-import applespindle.corelogic.Records.WorkerInput;
-import applespindle.corelogic.Response;
-import applespindle.corelogic.SentPatch;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.InputReader;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.configuration.ConfigurationPatchRequest;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.StorageNodeState;
+import applespindle.corelogic.metadata.WorkerInput;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.activej.http.HttpResponse;
@@ -33,12 +33,12 @@
   record WorkerList(@Min(0) Long version, @NotNull List<@Valid @NotNull WorkerInput> workers) {}
 
   private static final String KEY_ID = "Applespindle-Key-Id";
-  private static final Fault SIGNATURE_UNREADABLE =
-      new Fault.SignatureRefused("the signature is not base64");
+  private static final ApiError SIGNATURE_UNREADABLE =
+      new ApiError.SignatureRejected("the signature is not base64");
 
-  private final CoreNode core;
+  private final ControlPlaneNode core;
 
-  CoreInterface(CoreNode core) {
+  CoreInterface(ControlPlaneNode core) {
     this.core = core;
   }
 
@@ -68,10 +68,10 @@
                             200, core.planEmptying(core.storageId(call.parts().get("id")))))));
     http.post(
         "/v1/storage/{id}/empty",
-        call -> http.ask(then -> storage(call, StorageState.EMPTYING, then)));
+        call -> http.ask(then -> storage(call, StorageNodeState.EMPTYING, then)));
     http.post(
         "/v1/storage/{id}/retire",
-        call -> http.ask(then -> storage(call, StorageState.RETIRED, then)));
+        call -> http.ask(then -> storage(call, StorageNodeState.RETIRED, then)));
     http.get(
         "/v1/workers", call -> http.ask(then -> then.accept(Response.of(200, core.workers()))));
     http.put("/v1/workers", call -> putAll(http, call));
@@ -88,7 +88,7 @@
     if (signature == null) {
       return HttpInterface.refuse(SIGNATURE_UNREADABLE);
     }
-    var sent = new SignedBundle(0, call.body(), call.header(KEY_ID), signature);
+    var sent = new SignedConfiguration(0, call.body(), call.header(KEY_ID), signature);
     return http.ask(then -> core.command("bundle", "bundle", sent, then));
   }
 
@@ -101,7 +101,9 @@
     if (signature == null) {
       return HttpInterface.refuse(SIGNATURE_UNREADABLE);
     }
-    var sent = new SentPatch(call.body(), base.getAsLong(), call.header(KEY_ID), signature);
+    var sent =
+        new ConfigurationPatchRequest(
+            call.body(), base.getAsLong(), call.header(KEY_ID), signature);
     return http.ask(then -> core.command("patch-bundle", "bundle", sent, then));
   }
 
@@ -119,16 +121,16 @@
       return response;
     }
     if (response.body().isNull()) {
-      return Response.of(new Fault.NoBundle());
+      return Response.of(new ApiError.NoConfiguration());
     }
-    SignedBundle inForce = JSON.convertValue(response.body(), SignedBundle.class);
+    SignedConfiguration inForce = JSON.convertValue(response.body(), SignedConfiguration.class);
     ObjectNode body =
         JSON.createObjectNode()
             .put("number", inForce.number())
             .put("keyId", inForce.keyId())
             .put("signature", Base64.getEncoder().encodeToString(inForce.signature()))
             .put("bytes", Base64.getEncoder().encodeToString(inForce.bytes()));
-    body.set("bundle", applespindle.corelogic.Json.tree(inForce.bytes()));
+    body.set("bundle", applespindle.corelogic.common.Json.tree(inForce.bytes()));
     return Response.of(200, body);
   }
 
@@ -138,18 +140,18 @@
       tree = JSON.readTree(call.body());
     } catch (java.io.IOException fault) {
       return HttpInterface.refuse(
-          new Fault.InvalidInput(List.of(new Fault.Field("$", "not well-formed JSON"))));
+          new ApiError.InvalidInput(List.of(new ApiError.Field("$", "not well-formed JSON"))));
     }
     if (tree instanceof ObjectNode object && !object.has("id")) {
       object.put("id", call.parts().get("id"));
     }
     InputReader.Input<WorkerInput> input = InputReader.read(tree, WorkerInput.class);
     if (!input.good()) {
-      return HttpInterface.refuse(new Fault.InvalidInput(input.faults()));
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
     }
     if (!input.value().id().equals(call.parts().get("id"))) {
       return HttpInterface.refuse(
-          new Fault.InvalidInput(List.of(new Fault.Field("$.id", "differs from the path"))));
+          new ApiError.InvalidInput(List.of(new ApiError.Field("$.id", "differs from the path"))));
     }
     return http.ask(then -> put(input.value(), then));
   }
@@ -157,15 +159,15 @@
   private void storage(Call call, String state, Consumer<Response> then) {
     String id = core.storageId(call.parts().get("id"));
     core.command(
-        "storage", "storage/" + id, new StorageState(id, call.parts().get("id"), state), then);
+        "storage", "storage/" + id, new StorageNodeState(id, call.parts().get("id"), state), then);
   }
 
   private void put(WorkerInput input, Consumer<Response> then) {
-    core.command("worker", "worker/" + input.id(), CoreNode.workerListed(input), then);
+    core.command("worker", "worker/" + input.id(), ControlPlaneNode.workerListed(input), then);
   }
 
   private void mark(String id, boolean leaving, Consumer<Response> then) {
-    core.command("worker", "worker/" + id, CoreNode.workerMarked(id, leaving), then);
+    core.command("worker", "worker/" + id, ControlPlaneNode.workerMarked(id, leaving), then);
   }
 
   /**
@@ -175,7 +177,7 @@
   private Promise<HttpResponse> putAll(HttpInterface http, Call call) {
     InputReader.Input<WorkerList> input = InputReader.read(call.body(), WorkerList.class);
     if (!input.good()) {
-      return HttpInterface.refuse(new Fault.InvalidInput(input.faults()));
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
     }
     var check = JSON.createObjectNode().put("from", input.value().version());
     return http.ask(
--- a/core-logic/src/main/java/applespindle/corelogic/ConstraintCheck.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/ConstraintChecker.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.api;
 
 import jakarta.validation.Valid;
 import jakarta.validation.constraints.DecimalMax;
@@ -30,7 +30,7 @@
  * wait for its word. Cautious: a constraint that is not known here counts as broken, and the
  * validator then decides and names the faults.
  */
-final class ConstraintCheck {
+public final class ConstraintChecker {
   private static final String CONSTRAINTS = "jakarta.validation";
   private static final Predicate<Object> UNKNOWN = value -> false;
 
@@ -47,7 +47,7 @@
   private static final Map<Class<?>, List<FieldRule>> BY_RECORD = new ConcurrentHashMap<>();
 
   /** True only if every constraint on the record's fields, and on what they hold, is met. */
-  static boolean passes(Object record) {
+  public static boolean passes(Object record) {
     if (!record.getClass().isRecord()) {
       return false;
     }
@@ -154,5 +154,5 @@
     return BigDecimal.valueOf((Double) value).compareTo(new BigDecimal(bound));
   }
 
-  private ConstraintCheck() {}
+  private ConstraintChecker() {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/InputReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
@@ -1,6 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.api;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -47,7 +47,7 @@
   private static final int FAULTS_MOST = 100;
 
   /** Either a value and no faults, or faults and no value. */
-  public record Input<T>(T value, List<Fault.Field> faults) {
+  public record Input<T>(T value, List<ApiError.Field> faults) {
     public boolean good() {
       return faults.isEmpty();
     }
@@ -61,7 +61,7 @@
    * Of something whose field rules were checked before it was kept: only that this program
    * understands it whole.
    */
-  static <T> Input<T> readKept(byte[] bytes, Class<T> type) {
+  public static <T> Input<T> readKept(byte[] bytes, Class<T> type) {
     return read(bytes, type, false);
   }
 
@@ -78,9 +78,9 @@
                   + ", column "
                   + fault.getLocation().getColumnNr()
                   + ")";
-      return new Input<>(null, List.of(new Fault.Field("$", "not well-formed JSON" + place)));
+      return new Input<>(null, List.of(new ApiError.Field("$", "not well-formed JSON" + place)));
     } catch (IOException fault) {
-      return new Input<>(null, List.of(new Fault.Field("$", "not readable")));
+      return new Input<>(null, List.of(new ApiError.Field("$", "not readable")));
     }
     return read(tree, type, fieldRules);
   }
@@ -90,7 +90,7 @@
   }
 
   private static <T> Input<T> read(JsonNode tree, Class<T> type, boolean fieldRules) {
-    List<Fault.Field> faults = new ArrayList<>();
+    List<ApiError.Field> faults = new ArrayList<>();
     JsonNode sound = tree.deepCopy();
     if (!compare("$", sound, type, faults)) {
       return new Input<>(null, faults);
@@ -100,12 +100,12 @@
       value = LENIENT.treeToValue(sound, type);
     } catch (JsonProcessingException | IllegalArgumentException fault) {
       return new Input<>(
-          null, faults.isEmpty() ? List.of(new Fault.Field("$", "can not be read")) : faults);
+          null, faults.isEmpty() ? List.of(new ApiError.Field("$", "can not be read")) : faults);
     }
     if (fieldRules) {
-      Set<String> named = faults.stream().map(Fault.Field::path).collect(Collectors.toSet());
+      Set<String> named = faults.stream().map(ApiError.Field::path).collect(Collectors.toSet());
       FieldRules.VALIDATOR.validate(value).stream()
-          .map(each -> new Fault.Field("$." + each.getPropertyPath(), each.getMessage()))
+          .map(each -> new ApiError.Field("$." + each.getPropertyPath(), each.getMessage()))
           .filter(each -> !named.contains(each.path()))
           .forEach(faults::add);
     }
@@ -115,7 +115,7 @@
     return new Input<>(
         null,
         faults.stream()
-            .sorted(Comparator.comparing(Fault.Field::path))
+            .sorted(Comparator.comparing(ApiError.Field::path))
             .limit(FAULTS_MOST)
             .toList());
   }
@@ -124,14 +124,15 @@
    * True if the node fits; what does not fit inside it is named and taken out, so that the rest can
    * be checked too.
    */
-  private static boolean compare(String path, JsonNode node, Type type, List<Fault.Field> faults) {
+  private static boolean compare(
+      String path, JsonNode node, Type type, List<ApiError.Field> faults) {
     if (type == JsonNode.class) {
       return true;
     }
     if (node == null || node.isMissingNode() || node.isNull()) {
       boolean wanted = path.equals("$") || type instanceof Class<?> simple && simple.isPrimitive();
       if (wanted) {
-        faults.add(new Fault.Field(path, "must not be null"));
+        faults.add(new ApiError.Field(path, "must not be null"));
       }
       return !path.equals("$");
     }
@@ -143,16 +144,16 @@
     }
     String wanted = wantedBut(node, (Class<?>) type);
     if (wanted != null) {
-      faults.add(new Fault.Field(path, wanted));
+      faults.add(new ApiError.Field(path, wanted));
     }
     return wanted == null;
   }
 
   private static boolean compareGeneric(
-      String path, JsonNode node, ParameterizedType type, List<Fault.Field> faults) {
+      String path, JsonNode node, ParameterizedType type, List<ApiError.Field> faults) {
     if (type.getRawType() == List.class) {
       if (!(node instanceof ArrayNode list)) {
-        faults.add(new Fault.Field(path, "must be a list"));
+        faults.add(new ApiError.Field(path, "must be a list"));
         return false;
       }
       for (int index = 0; index < list.size(); index++) {
@@ -164,7 +165,7 @@
       return true;
     }
     if (!(node instanceof ObjectNode object)) {
-      faults.add(new Fault.Field(path, "must be an object"));
+      faults.add(new ApiError.Field(path, "must be an object"));
       return false;
     }
     for (String name : fieldNames(object)) {
@@ -182,9 +183,9 @@
   }
 
   private static boolean compareRecord(
-      String path, JsonNode node, Class<?> type, List<Fault.Field> faults) {
+      String path, JsonNode node, Class<?> type, List<ApiError.Field> faults) {
     if (!(node instanceof ObjectNode object)) {
-      faults.add(new Fault.Field(path, "must be an object"));
+      faults.add(new ApiError.Field(path, "must be an object"));
       return false;
     }
     RecordComponent[] components = type.getRecordComponents();
@@ -192,7 +193,7 @@
         Arrays.stream(components).map(RecordComponent::getName).collect(Collectors.toSet());
     for (String name : fieldNames(object)) {
       if (!names.contains(name)) {
-        faults.add(new Fault.Field(path + "." + name, "unknown field"));
+        faults.add(new ApiError.Field(path + "." + name, "unknown field"));
         object.remove(name);
       }
     }
--- a/core-logic/src/main/java/applespindle/corelogic/Response.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/Response.java
@@ -1,7 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.api;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Objects;
 
@@ -34,15 +35,15 @@
     return new Response(status, body instanceof JsonNode node ? node : JSON.valueToTree(body), 0);
   }
 
-  public static Response of(Fault fault) {
+  public static Response of(ApiError fault) {
     return of(fault, fault.row().comeBackSeconds());
   }
 
-  public static Response of(Fault fault, int comeBackSeconds) {
+  public static Response of(ApiError fault, int comeBackSeconds) {
     return comeBackInMs(fault, comeBackSeconds * 1_000L);
   }
 
-  public static Response comeBackInMs(Fault fault, long comeBackMs) {
+  public static Response comeBackInMs(ApiError fault, long comeBackMs) {
     return new Response(fault.row().status(), fault.toJson(), comeBackMs);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/AssignedRange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
@@ -1,7 +1,11 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.Message.ReportedItem;
+package applespindle.corelogic.batch;
+
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.live.StreamText;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,12 +29,9 @@
   /** How many sent reports are remembered; an answer to an older one does not renew the lease. */
   private static final int REPORTS_REMEMBERED = 16;
 
-  /** The node that leads a batch. */
-  record Leader(String id, String address) {}
-
   /** The outcome of one run, kept until the leader has answered a report that carried it. */
   static final class Outcome {
-    final ReportedItem item;
+    final ItemOutcome item;
 
     /**
      * Numbers of the reports that carried it: only an answer to one of these is an answer for it.
@@ -39,7 +40,7 @@
 
     private long sentAt = NEVER;
 
-    Outcome(ReportedItem item) {
+    Outcome(ItemOutcome item) {
       this.item = item;
     }
   }
@@ -55,7 +56,7 @@
   /** What was assigned was true at this time, as far as deadlines go. */
   final long assignedAt;
 
-  Leader leader;
+  NodeAddress leader;
 
   /**
    * Counted from the sending of what the leader answered: always before the leader's own end of the
@@ -63,7 +64,7 @@
    */
   long leaseEndsAt;
 
-  final ArrayDeque<HandoutItem> unsent = new ArrayDeque<>();
+  final ArrayDeque<AssignedItem> unsent = new ArrayDeque<>();
   final Map<Integer, ItemRun> running = new LinkedHashMap<>();
 
   /** By item: what earlier runs of an opaque item brought, which the next one goes on behind. */
@@ -98,7 +99,7 @@
   /** The leader has taken the range away. */
   boolean dropped;
 
-  AssignedRange(Message.RangeHandout assignment, Leader leader, long now) {
+  AssignedRange(Message.RangeAssignment assignment, NodeAddress leader, long now) {
     this.batch = assignment.batch();
     this.number = assignment.range();
     this.epoch = assignment.rangeEpoch();
@@ -106,7 +107,7 @@
     this.leader = leader;
     this.dueAt = now + assignment.dueInMs();
     this.assignedAt = now;
-    this.leaseEndsAt = assignment.pulledAt() + Constants.RANGE_GRANT_MS;
+    this.leaseEndsAt = assignment.pulledAt() + BatchConstants.RANGE_LEASE_MS;
     unsent.addAll(assignment.items());
     assignment.items().forEach(item -> lacking.add(item.index()));
     this.end = lacking.isEmpty() ? 0 : lacking.last() + 1;
@@ -143,7 +144,9 @@
   void interrupted(int index, long now) {
     int times = interruptions.merge(index, 1, Integer::sum);
     long restMs =
-        Math.min(Constants.ITEM_REST_MOST_MS, Constants.ITEM_REST_MS << Math.min(times - 1, 10));
+        Math.min(
+            BatchConstants.MAX_ITEM_RETRY_BACKOFF_MS,
+            BatchConstants.ITEM_RETRY_BACKOFF_MS << Math.min(times - 1, 10));
     restsUntil.put(index, now + restMs);
   }
 
@@ -162,7 +165,7 @@
   }
 
   /** A new leader has none of the reports: outcomes are sent at once again. */
-  void moveTo(Leader next) {
+  void moveTo(NodeAddress next) {
     leader = next;
     unanswered.forEach(outcome -> outcome.sentAt = NEVER);
   }
@@ -175,7 +178,7 @@
     if (!keep) {
       drop();
     } else if (sentAt != null) {
-      leaseEndsAt = Math.max(leaseEndsAt, sentAt + Constants.RANGE_GRANT_MS);
+      leaseEndsAt = Math.max(leaseEndsAt, sentAt + BatchConstants.RANGE_LEASE_MS);
     }
   }
 
@@ -191,17 +194,17 @@
 
   boolean isReportDue(long now) {
     return reportsSentAt.isEmpty()
-        || now - reportsSentAt.lastEntry().getValue() >= Constants.RANGE_REPORT_MS;
+        || now - reportsSentAt.lastEntry().getValue() >= BatchConstants.RANGE_REPORT_INTERVAL_MS;
   }
 
   /**
    * What is new, and what should have been answered by now; all of it when the range is handed
    * back.
    */
-  List<ReportedItem> carry(long report, boolean all, long now) {
-    List<ReportedItem> carried = new ArrayList<>();
+  List<ItemOutcome> carry(long report, boolean all, long now) {
+    List<ItemOutcome> carried = new ArrayList<>();
     for (Outcome outcome : unanswered) {
-      if (all || now - outcome.sentAt >= Constants.RESULT_AGAIN_MS) {
+      if (all || now - outcome.sentAt >= BatchConstants.RESULT_RESEND_MS) {
         outcome.sentAt = now;
         outcome.carriedBy.add(report);
         carried.add(outcome.item);
--- a/core-logic/src/main/java/applespindle/corelogic/BatchFeeder.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -1,10 +1,19 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.AssignedRange.Leader;
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.Message.RangeHandout;
-import applespindle.corelogic.Message.RangeReported;
-import applespindle.corelogic.Message.WorkOffer;
+package applespindle.corelogic.batch;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.RangeAssignment;
+import applespindle.corelogic.protocol.Message.RangeReportResponse;
+import applespindle.corelogic.worker.WorkerRegistry;
+import applespindle.corelogic.worker.WorkerState;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -17,17 +26,17 @@
  * range when its buffer for a worker runs empty, streams the items in order, and moves on only from
  * what the leader has recorded.
  */
-final class BatchFeeder implements ItemRunner.Feeding {
+public final class BatchDispatcher implements ItemRunner.Feeding {
   /** What the feeder needs of the edge it lives on. */
-  interface Edge {
+  public interface Context {
     void send(String toAddress, String toId, Message message);
 
     boolean feeds(String worker);
 
     /** Null when work may begin now; asked right before each item is sent. */
-    Fault mayBegin();
+    ApiError mayBegin();
 
-    Bundle bundle();
+    RoutingConfiguration bundle();
 
     /** What that bundle says of opaque requests; empty while there is none. */
     RouteTable routes();
@@ -35,11 +44,11 @@
     boolean stopping();
   }
 
-  private final Surroundings surroundings;
-  private final Edge edge;
-  private final WorkerBook book;
-  private final RangePuller puller;
-  private final BatchCapacity capacity;
+  private final Environment surroundings;
+  private final Context edge;
+  private final WorkerRegistry book;
+  private final RangeRequester puller;
+  private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
   private final ItemRunner runner;
 
@@ -51,46 +60,47 @@
 
   private boolean looksAgain;
 
-  BatchFeeder(Surroundings surroundings, String nodeId, Edge edge, WorkerBook book) {
+  public BatchDispatcher(
+      Environment surroundings, String nodeId, Context edge, WorkerRegistry book) {
     this.surroundings = surroundings;
     this.edge = edge;
     this.book = book;
-    this.puller = new RangePuller(surroundings, edge);
-    this.capacity = new BatchCapacity(surroundings, edge, book, this::starting);
+    this.puller = new RangeRequester(surroundings, edge);
+    this.capacity = new WorkerBatchCapacity(surroundings, edge, book, this::starting);
     this.reporter = new RangeReporter(surroundings, edge);
     this.runner = new ItemRunner(surroundings, nodeId, edge, book, capacity, reporter, this);
   }
 
   // ---- what leaders say
 
-  void offered(WorkOffer offer, String fromId, String fromAddress) {
+  public void offered(BatchOffer offer, String fromId, String fromAddress) {
     leaderMoved(offer.batch(), fromId, fromAddress);
     if (offer.unassigned() > 0) {
-      puller.offered(offer, new Leader(fromId, fromAddress));
+      puller.offered(offer, new NodeAddress(fromId, fromAddress));
       pump();
     }
   }
 
-  void leaderMoved(String batch, String leaderId, String leaderAddress) {
-    Leader leader = new Leader(leaderId, leaderAddress);
+  public void leaderMoved(String batch, String leaderId, String leaderAddress) {
+    NodeAddress leader = new NodeAddress(leaderId, leaderAddress);
     held.values().stream()
         .filter(range -> range.batch.equals(batch) && !range.leader.equals(leader))
         .forEach(range -> range.moveTo(leader));
   }
 
-  void handedOut(RangeHandout assignment, String fromId, String fromAddress) {
+  public void handedOut(RangeAssignment assignment, String fromId, String fromAddress) {
     puller.answered(assignment.batch(), assignment.worker());
     if (assignment.none()) {
       puller.exhausted(assignment.batch());
     } else {
-      Leader leader = new Leader(fromId, fromAddress);
+      NodeAddress leader = new NodeAddress(fromId, fromAddress);
       AssignedRange range = new AssignedRange(assignment, leader, surroundings.now());
       held.put(range.name(), range);
     }
     pump();
   }
 
-  void answered(RangeReported answer) {
+  public void answered(RangeReportResponse answer) {
     AssignedRange range =
         held.get(AssignedRange.name(answer.batch(), answer.range(), answer.rangeEpoch()));
     if (range == null) {
@@ -101,7 +111,7 @@
     pump();
   }
 
-  void ended(String batch) {
+  public void ended(String batch) {
     puller.exhausted(batch);
     List.copyOf(held.values()).stream()
         .filter(range -> range.batch.equals(batch))
@@ -126,18 +136,19 @@
 
   @Override
   public void pump() {
-    for (WorkerBook.Known worker : List.copyOf(book.all())) {
+    for (WorkerState worker : List.copyOf(book.all())) {
       pump(worker);
     }
   }
 
   @Override
-  public void pump(WorkerBook.Known worker) {
+  public void pump(WorkerState worker) {
     String workerId = worker.worker.id();
     boolean feeds = edge.feeds(workerId) && !edge.stopping();
-    DueOrder order = new DueOrder(surroundings.now(), capacity.itemMs());
+    DeadlineOrder order = new DeadlineOrder(surroundings.now(), capacity.itemMs());
     List<AssignedRange> ranges = rangesAt(workerId, order);
-    if (!feeds || !book.comesBackBy(worker, surroundings.now() + Constants.LOAD_POLL_MS)) {
+    if (!feeds
+        || !book.comesBackBy(worker, surroundings.now() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
       ranges.forEach(reporter::giveBack);
       capacity.feedsNoMore(workerId);
       return;
@@ -148,11 +159,11 @@
     free = sendItems(ranges, worker, free);
     giveBackIfLongFull(ranges, workerId, free);
     int unsent = ranges.stream().mapToInt(range -> range.unsent.size()).sum();
-    int ahead = free > 0 ? Constants.PREFETCH_RANGES * Constants.RANGE_ITEMS : 0;
+    int ahead = free > 0 ? BatchConstants.PREFETCH_RANGES * BatchConstants.ITEMS_PER_RANGE : 0;
     puller.pull(worker.worker, free + ahead - unsent, order);
   }
 
-  private List<AssignedRange> rangesAt(String workerId, DueOrder order) {
+  private List<AssignedRange> rangesAt(String workerId, DeadlineOrder order) {
     return held.values().stream()
         .filter(range -> range.worker.equals(workerId))
         .sorted((one, other) -> order.compare(one.dueAt, other.dueAt))
@@ -160,7 +171,7 @@
   }
 
   /** Sends what fits, and says how much room is left. */
-  private int sendItems(List<AssignedRange> ranges, WorkerBook.Known worker, int free) {
+  private int sendItems(List<AssignedRange> ranges, WorkerState worker, int free) {
     int left = free;
     for (AssignedRange range : ranges) {
       left = sendItems(range, worker, left);
@@ -168,13 +179,13 @@
     return left;
   }
 
-  private int sendItems(AssignedRange range, WorkerBook.Known worker, int free) {
+  private int sendItems(AssignedRange range, WorkerState worker, int free) {
     int freeNow = free;
     for (int left = range.unsent.size(); left > 0; left--) {
       if (freeNow <= 0 || range.unsent.isEmpty()) {
         return freeNow;
       }
-      HandoutItem item = range.unsent.peek();
+      AssignedItem item = range.unsent.peek();
       if (capacity.hasMuchToRead(worker)) {
         lookAgain();
         return freeNow;
@@ -195,7 +206,7 @@
     if (!looksAgain) {
       looksAgain = true;
       surroundings.after(
-          Constants.ITEM_LOOK_MS,
+          BatchConstants.ITEM_CHECK_INTERVAL_MS,
           () -> {
             looksAgain = false;
             pump();
@@ -211,7 +222,7 @@
     }
     long now = surroundings.now();
     long since = fullSince.computeIfAbsent(workerId, unseen -> now);
-    if (now - since > Constants.RANGE_GRANT_MS) {
+    if (now - since > BatchConstants.RANGE_LEASE_MS) {
       ranges.stream().filter(range -> !range.unsent.isEmpty()).forEach(reporter::giveBack);
     }
   }
@@ -220,17 +231,17 @@
    * Live traffic needs the room: the newest items go back to the front of their ranges; their
    * partial output is dropped.
    */
-  private void makeRoomForLive(WorkerBook.Known worker, int free) {
+  private void makeRoomForLive(WorkerState worker, int free) {
     if (worker.worker.slots() != 0 || worker.free() > 0 || free >= 0) {
       return;
     }
-    Bundle.BatchLimits limits = edge.bundle().limits().batch();
+    RoutingConfiguration.BatchLimits limits = edge.bundle().limits().batch();
     if (limits.cancelForLive()) {
       cancelNewest(worker, Math.min(-free, limits.liveReserve()));
     }
   }
 
-  private void cancelNewest(WorkerBook.Known worker, int number) {
+  private void cancelNewest(WorkerState worker, int number) {
     List<ItemRun> newestFirst = new ArrayList<>();
     held.values().stream()
         .filter(range -> range.worker.equals(worker.worker.id()))
@@ -246,7 +257,7 @@
   }
 
   /** Runs of opaque items at a worker from which nothing has come yet. */
-  private int starting(WorkerBook.Known worker) {
+  private int starting(WorkerState worker) {
     int starting = 0;
     for (AssignedRange range : held.values()) {
       if (range.worker.equals(worker.worker.id())) {
@@ -263,7 +274,7 @@
   /**
    * Reports again and again: it renews the range's lease and carries what was not answered in time.
    */
-  void tick() {
+  public void tick() {
     giveUpLostRuns();
     List.copyOf(held.values()).stream()
         .filter(range -> book.get(range.worker) == null)
@@ -290,25 +301,25 @@
   private static boolean isLapsed(AssignedRange range, long now) {
     long lapsedMs = now - range.leaseEndsAt;
     return range.running.isEmpty()
-        && lapsedMs > 4 * Constants.RANGE_GRANT_MS
-        && (range.unanswered.isEmpty() || lapsedMs > Constants.OUTCOMES_KEPT_MS);
+        && lapsedMs > 4 * BatchConstants.RANGE_LEASE_MS
+        && (range.unanswered.isEmpty() || lapsedMs > BatchConstants.OUTCOME_RETENTION_MS);
   }
 
   /**
    * For a polite stop: gives back all that has not begun. True once nothing runs and nothing is
    * unanswered.
    */
-  boolean drain() {
+  public boolean drain() {
     List.copyOf(held.values()).forEach(reporter::giveBack);
     return held.values().stream()
         .allMatch(range -> range.running.isEmpty() && range.unanswered.isEmpty());
   }
 
-  int heldRanges() {
+  public int heldRanges() {
     return held.size();
   }
 
-  int runningItems() {
+  public int runningItems() {
     return held.values().stream().mapToInt(range -> range.running.size()).sum();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchEvent.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
@@ -1,7 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
+import applespindle.corelogic.log.DeflatedEvents;
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.core.JsonParser;
@@ -17,7 +18,7 @@
 @JsonInclude(JsonInclude.Include.NON_NULL)
 @JsonIgnoreProperties(ignoreUnknown = true)
 @com.fasterxml.jackson.annotation.JsonPropertyOrder({"kind"})
-record BatchEvent(
+public record BatchEvent(
     String kind,
     Long ageMs,
     Accepted accepted,
@@ -26,45 +27,46 @@
     Assigned assigned,
     Recorded recorded,
     Returned returned) {
-  static final String ACCEPTED = "accepted";
+  public static final String ACCEPTED = "accepted";
   static final String ORDERED = "ordered";
   static final String ASSIGNED = "assigned";
   static final String RECORDED = "recorded";
   static final String RETURNED = "returned";
-  static final String ENDED = "ended";
-  static final String FINISHED = "finished";
-  static final String REFUSED = "refused";
+  public static final String ENDED = "ended";
+  public static final String FINISHED = "finished";
+  public static final String REFUSED = "refused";
 
   /** Whole by itself: all that stood before it may go from the disks. */
-  static final String REMOVED = "removed";
+  public static final String REMOVED = "removed";
 
   /** opaque is null for a batch of prompts. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
-  record Accepted(
+  public record Accepted(
       String sender,
       String digest,
       long dueInMs,
       long expiresInMs,
       List<JsonNode> items,
-      Opaque opaque) {}
+      ProxiedRoute opaque) {}
 
   /**
    * Where the items of an opaque batch go, with what the route of the bundle of that number said at
    * the acceptance.
    */
-  record Opaque(
+  public record ProxiedRoute(
       String host, String path, String route, long bundleNumber, int attempts, long ceiling) {}
 
   record Assigned(int range, long rangeEpoch, String feeder, String worker) {}
 
-  record Recorded(int range, long rangeEpoch, List<Result> results, List<Attempt> attempts) {}
+  public record Recorded(
+      int range, long rangeEpoch, List<Result> results, List<Attempt> attempts) {}
 
   /** The end of an assignment without its range being done. */
   record Returned(int range, long rangeEpoch) {}
 
   /** One item's lasting result; an empty fault means that output is whole. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
-  record Result(
+  public record Result(
       int index, String run, String worker, String finishReason, String fault, String output) {}
 
   /**
@@ -85,7 +87,7 @@
     return new BatchEvent(ASSIGNED, ageMs, null, null, null, assigned, null, null);
   }
 
-  static BatchEvent recorded(long ageMs, Recorded recorded) {
+  public static BatchEvent recorded(long ageMs, Recorded recorded) {
     return new BatchEvent(RECORDED, ageMs, null, null, null, null, recorded, null);
   }
 
@@ -97,7 +99,7 @@
     return new BatchEvent(kind, ageMs, null, null, null, null, null, null);
   }
 
-  static String kindOf(byte[] event) {
+  public static String kindOf(byte[] event) {
     try (JsonParser parser = JSON.createParser(DeflatedEvents.open(event))) {
       boolean kindFirst =
           parser.nextToken() == JsonToken.START_OBJECT && "kind".equals(parser.nextFieldName());
--- a/core-logic/src/main/java/applespindle/corelogic/EventCodec.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchEventCodec.java
@@ -1,16 +1,18 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.log.DeflatedEvents;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
 
 /** The bytes of a batch's event in its log: JSON, deflated where it is large. */
-final class EventCodec {
-  private EventCodec() {}
+public final class BatchEventCodec {
+  private BatchEventCodec() {}
 
-  static byte[] encode(BatchEvent event) {
+  public static byte[] encode(BatchEvent event) {
     return DeflatedEvents.pack(Json.bytes(event));
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/BatchFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
@@ -1,5 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.InputReader;
+import applespindle.corelogic.environment.ProxiedRequest;
 import java.util.List;
 import java.util.stream.IntStream;
 
@@ -9,40 +12,40 @@
   int SAMPLE_BODY_BYTES = 1_000;
 
   /** Either the batch or the fault that hindered its reading. */
-  record Read(OpaqueBatch batch, Fault fault) {}
+  record ParsedBatch(ProxiedBatch batch, ApiError fault) {}
 
   /** Reads and checks a body whole; a fault names all that is wrong with it. */
-  Read read(BatchSubmission submission);
+  ParsedBatch read(BatchSubmission submission);
 
   /** A made-up batch as a client might write it. */
   BatchSubmission sample(String id, String host, String path, int items);
 
-  /** The product's own: an {@link OpaqueBatch} as JSON. */
+  /** The product's own: an {@link ProxiedBatch} as JSON. */
   BatchFormat OWN =
       new BatchFormat() {
         @Override
-        public Read read(BatchSubmission submission) {
-          InputReader.Input<OpaqueBatch> input =
-              InputReader.read(submission.body(), OpaqueBatch.class);
+        public ParsedBatch read(BatchSubmission submission) {
+          InputReader.Input<ProxiedBatch> input =
+              InputReader.read(submission.body(), ProxiedBatch.class);
           return input.good()
-              ? new Read(input.value(), null)
-              : new Read(null, new Fault.InvalidInput(input.faults()));
+              ? new ParsedBatch(input.value(), null)
+              : new ParsedBatch(null, new ApiError.InvalidInput(input.faults()));
         }
 
         @Override
         public BatchSubmission sample(String id, String host, String path, int items) {
-          List<OpaqueBatch.Item> rows =
+          List<ProxiedBatch.Item> rows =
               IntStream.range(0, items)
                   .mapToObj(
                       number ->
-                          new OpaqueBatch.Item(
+                          new ProxiedBatch.Item(
                               "item-" + number,
                               path + "/" + number,
-                              List.of(new OpaqueRequest.Header("Content-Type", "text/plain")),
+                              List.of(new ProxiedRequest.Header("Content-Type", "text/plain")),
                               new byte[SAMPLE_BODY_BYTES],
                               1))
                   .toList();
-          return BatchSubmission.of(new OpaqueBatch(id, host, path, rows));
+          return BatchSubmission.of(new ProxiedBatch(id, host, path, rows));
         }
       };
 }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchInput.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
@@ -1,5 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.InputReader;
+import applespindle.corelogic.constants.SizeLimits;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import jakarta.validation.Valid;
@@ -16,7 +19,7 @@
 
 /** A batch as a sender hands it in. */
 public record BatchInput(
-    @NotEmpty @Size(max = Constants.BATCH_ITEMS_MOST) List<@Valid @NotNull Item> items,
+    @NotEmpty @Size(max = SizeLimits.MAX_BATCH_ITEMS) List<@Valid @NotNull Item> items,
     @Min(1) @Max(86_400_000) Long due_in_ms,
     @Min(1) @Max(604_800_000) Long expires_in_ms) {
   private static final long DUE_MS = 10_000;
@@ -25,18 +28,18 @@
   /** One prompt of a batch, with its sampling options. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   public record Item(
-      @NotBlank @Size(max = Constants.ITEM_ID_LENGTH_MOST) String id,
+      @NotBlank @Size(max = SizeLimits.MAX_ITEM_ID_LENGTH) String id,
       @NotBlank String prompt,
-      @Min(1) @Max(Constants.TOKENS_MOST) Integer max_tokens,
+      @Min(1) @Max(SizeLimits.MAX_TOKENS) Integer max_tokens,
       String model,
       Double temperature,
       @JsonProperty("stop") String stop) {}
 
-  long dueInMs() {
+  public long dueInMs() {
     return due_in_ms == null ? DUE_MS : due_in_ms;
   }
 
-  long expiresInMs() {
+  public long expiresInMs() {
     return expires_in_ms == null ? EXPIRES_MS : expires_in_ms;
   }
 
@@ -46,13 +49,13 @@
     if (!input.good()) {
       return input;
     }
-    List<Fault.Field> faults = new ArrayList<>();
+    List<ApiError.Field> faults = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     List<Item> items = input.value().items();
     for (int index = 0; index < items.size(); index++) {
       if (!ids.add(items.get(index).id())) {
         faults.add(
-            new Fault.Field("$.items[" + index + "].id", "is the id of an earlier item too"));
+            new ApiError.Field("$.items[" + index + "].id", "is the id of an earlier item too"));
       }
     }
     return faults.isEmpty() ? input : new InputReader.Input<>(null, faults);
--- a/core-logic/src/main/java/applespindle/corelogic/BatchKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchKeys.java
@@ -1,7 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import applespindle.corelogic.metadata.MetadataKeys;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
@@ -20,20 +21,20 @@
   }
 
   /** The id of an opaque batch by its client's id for it; never that of a batch of prompts. */
-  static String opaqueId(String clientId) {
+  public static String opaqueId(String clientId) {
     return PROXIED_ID_PREFIX + shortDigest(clientId);
   }
 
   /** Whether this is the key of an opaque batch. */
-  static boolean isOpaque(String key) {
+  public static boolean isOpaque(String key) {
     return key.startsWith(MetadataKeys.BATCH_PREFIX + PROXIED_ID_PREFIX);
   }
 
-  static String keyOf(String batch) {
+  public static String keyOf(String batch) {
     return MetadataKeys.BATCH_PREFIX + batch;
   }
 
-  static String batchOf(String key) {
+  public static String batchOf(String key) {
     return key.substring(MetadataKeys.BATCH_PREFIX.length());
   }
 
@@ -42,7 +43,7 @@
   }
 
   /** SHA-256 in hexadecimal digits. */
-  static String digest(byte[] bytes) {
+  public static String digest(byte[] bytes) {
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException missing) {
