--- a/core-logic/src/main/java/applespindle/corelogic/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -1,23 +1,36 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.BatchEvent.Accepted;
-import applespindle.corelogic.BatchEvent.Assigned;
-import applespindle.corelogic.BatchEvent.Attempt;
-import applespindle.corelogic.BatchEvent.Opaque;
-import applespindle.corelogic.BatchEvent.Recorded;
-import applespindle.corelogic.BatchEvent.Result;
-import applespindle.corelogic.BatchEvent.Returned;
-import applespindle.corelogic.BatchView.Range;
-import applespindle.corelogic.BatchView.RangeState;
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.Message.RangeHandout;
-import applespindle.corelogic.Message.RangePull;
-import applespindle.corelogic.Message.RangeReport;
-import applespindle.corelogic.Message.RangeReported;
-import applespindle.corelogic.Message.ReportedItem;
-import applespindle.corelogic.Message.WorkOffer;
+package applespindle.corelogic.batch;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.batch.BatchEvent.Assigned;
+import applespindle.corelogic.batch.BatchEvent.Attempt;
+import applespindle.corelogic.batch.BatchEvent.ProxiedRoute;
+import applespindle.corelogic.batch.BatchEvent.Recorded;
+import applespindle.corelogic.batch.BatchEvent.Result;
+import applespindle.corelogic.batch.BatchEvent.Returned;
+import applespindle.corelogic.batch.BatchState.Range;
+import applespindle.corelogic.batch.BatchState.RangeState;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Invariant;
+import applespindle.corelogic.environment.StageTimer;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
+import applespindle.corelogic.protocol.Message.RangeAssignment;
+import applespindle.corelogic.protocol.Message.RangeReport;
+import applespindle.corelogic.protocol.Message.RangeReportResponse;
+import applespindle.corelogic.protocol.Message.RangeRequest;
+import applespindle.corelogic.replication.ReplicatedLogLeader;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -40,9 +53,9 @@
  * range to whoever pulls, and takes reports. All it holds comes from the batch's log, except the
  * grants.
  */
-final class BatchLeader {
+public final class BatchLeader {
   /** What the leader needs of the edge it lives on. */
-  interface Edge {
+  public interface Context {
     void send(String toAddress, String toId, Message message);
 
     /** To every live edge, this one included. */
@@ -55,7 +68,7 @@
     void reportRoom(String batch, long room, LongConsumer then);
 
     /** The bundle this edge works by, or null. */
-    Bundle bundle();
+    RoutingConfiguration bundle();
 
     /** What that bundle says of opaque requests; empty while there is none. */
     RouteTable routes();
@@ -82,17 +95,17 @@
    * What a feeder gives back of a stream that was cut: no outcome, only where the next run may go
    * on.
    */
-  static final String PART = new Fault.WorkerCut("").type();
+  static final String PART = new ApiError.WorkerStreamTruncated("").type();
 
-  private static final String IMPOSSIBLE = new Fault.ItemImpossible().type();
-  private static final Consumer<Fault> NO_CALLER = fault -> {};
+  private static final String IMPOSSIBLE = new ApiError.ItemNotExecutable().type();
+  private static final Consumer<ApiError> NO_CALLER = fault -> {};
   private static final Runnable NOTHING_MORE = () -> {};
 
-  private final Surroundings surroundings;
-  private final Edge edge;
-  final String batch;
-  final OwnedKey key;
-  final BatchView view = new BatchView();
+  private final Environment surroundings;
+  private final Context edge;
+  public final String batch;
+  public final ReplicatedLogLeader key;
+  public final BatchState view = new BatchState();
   private final long bornAt;
   private final long ageAtBirthMs;
 
@@ -111,7 +124,7 @@
    * By item, the longest part of its stream that a feeder gave back; in memory only, a new leader
    * begins such items anew.
    */
-  private final Map<Integer, ReportedItem> partsOfStreams = new HashMap<>();
+  private final Map<Integer, ItemOutcome> partsOfStreams = new HashMap<>();
 
   private long lastOfferAt = Long.MIN_VALUE / 2;
   private long lastRoomReportAt = Long.MIN_VALUE / 2;
@@ -140,12 +153,13 @@
   /** A read of results that came before there was one at its place. */
   private record WaitingRead(long from, Consumer<Response> then) {}
 
-  BatchLeader(Surroundings surroundings, Edge edge, String batch, OwnedKey key) {
+  public BatchLeader(
+      Environment surroundings, Context edge, String batch, ReplicatedLogLeader key) {
     this.surroundings = surroundings;
     this.edge = edge;
     this.batch = batch;
     this.key = key;
-    for (Entry entry : key.entries()) {
+    for (LogEntry entry : key.entries()) {
       if (!entry.isTakeover()) {
         view.fold(entry.event());
       }
@@ -161,7 +175,7 @@
     highestRangeEpoch = view.highestRangeEpoch;
     for (int range = 0; range < view.ranges.size(); range++) {
       if (view.ranges.get(range).state == RangeState.ASSIGNED) {
-        grants.put(range, bornAt + Constants.RANGE_GRANT_MS);
+        grants.put(range, bornAt + BatchConstants.RANGE_LEASE_MS);
       }
     }
     if (view.open() && view.ranges.isEmpty()) {
@@ -182,8 +196,8 @@
    * whenCommitted runs; this has no time limit, so that the view holds every committed entry in log
    * order, as the next leader's will. Only the answer to a caller has a time limit.
    */
-  private void append(BatchEvent event, Runnable whenCommitted, Consumer<Fault> answer) {
-    byte[] bytes = EventCodec.encode(event);
+  private void append(BatchEvent event, Runnable whenCommitted, Consumer<ApiError> answer) {
+    byte[] bytes = BatchEventCodec.encode(event);
     key.append(
         event.kind().equals(BatchEvent.REMOVED),
         bytes,
@@ -208,7 +222,7 @@
 
   // ---- acceptance and end
 
-  void submit(Accepted accepted, Consumer<Response> then) {
+  public void submit(Accepted accepted, Consumer<Response> then) {
     lastUsedAt = surroundings.now();
     if (view.accepted != null || accepting) {
       key.confirm(
@@ -217,14 +231,14 @@
                   fault != null
                       ? unknown(fault)
                       : view.accepted == null
-                          ? Response.of(new Fault.OutcomeUnknown(batch))
-                          : BatchIntake.differ(view.accepted.digest(), accepted.digest())
-                              ? Response.of(new Fault.KeyContentConflict(batch))
+                          ? Response.of(new ApiError.OutcomeUnknown(batch))
+                          : SubmissionReader.differ(view.accepted.digest(), accepted.digest())
+                              ? Response.of(new ApiError.IdempotencyKeyConflict(batch))
                               : Response.of(201, summary())));
       return;
     }
     accepting = true;
-    StageTrace trace = new StageTrace(surroundings);
+    StageTimer trace = new StageTimer(surroundings);
     append(
         BatchEvent.accepted(accepted),
         () -> {
@@ -243,8 +257,9 @@
     layOut(accepted.items().size());
   }
 
-  private Response unknown(Fault fault) {
-    return Response.of(fault instanceof Fault.NotOwner ? fault : new Fault.OutcomeUnknown(batch));
+  private Response unknown(ApiError fault) {
+    return Response.of(
+        fault instanceof ApiError.NotLeader ? fault : new ApiError.OutcomeUnknown(batch));
   }
 
   private void layOut() {
@@ -256,19 +271,19 @@
    * permutation.
    */
   private void layOut(int items) {
-    int ranges = (items + Constants.RANGE_ITEMS - 1) / Constants.RANGE_ITEMS;
+    int ranges = (items + BatchConstants.ITEMS_PER_RANGE - 1) / BatchConstants.ITEMS_PER_RANGE;
     List<Integer> order = IntStream.range(0, ranges).boxed().collect(Collectors.toList());
     Collections.shuffle(order, new Random(surroundings.random().nextLong()));
-    append(BatchEvent.ordered(order, Constants.RANGE_ITEMS), this::offer);
+    append(BatchEvent.ordered(order, BatchConstants.ITEMS_PER_RANGE), this::offer);
   }
 
   /**
    * Makes sure that nothing of this batch can be accepted by an older leader, and says so in the
    * record. A fault if the batch was accepted, or may be.
    */
-  void refuse(Consumer<Fault> then) {
+  public void refuse(Consumer<ApiError> then) {
     if (view.accepted != null || accepting) {
-      then.accept(new Fault.OutcomeUnknown(batch));
+      then.accept(new ApiError.OutcomeUnknown(batch));
       return;
     }
     if (view.refused) {
@@ -282,7 +297,7 @@
    * Takes a batch that is over and was kept long enough off the disks; its key may be used anew
    * after that.
    */
-  void remove(Consumer<Response> then) {
+  public void remove(Consumer<Response> then) {
     if (view.accepted != null && !view.open()) {
       append(
           BatchEvent.plain(BatchEvent.REMOVED, 0),
@@ -293,11 +308,12 @@
     }
   }
 
-  void end(Consumer<Response> then) {
+  public void end(Consumer<Response> then) {
     lastUsedAt = surroundings.now();
     if (view.accepted == null) {
       key.confirm(
-          fault -> then.accept(Response.of(fault != null ? fault : new Fault.NoSuchBatch(batch))));
+          fault ->
+              then.accept(Response.of(fault != null ? fault : new ApiError.NoSuchBatch(batch))));
       return;
     }
     if (view.ended || view.finished || ending || view.unfinishedItems() == 0) {
@@ -321,7 +337,7 @@
 
   // ---- reading
 
-  void read(Consumer<Response> then) {
+  public void read(Consumer<Response> then) {
     lastUsedAt = surroundings.now();
     key.confirm(
         fault ->
@@ -329,11 +345,11 @@
                 fault != null
                     ? Response.of(fault)
                     : view.accepted == null
-                        ? Response.of(new Fault.NoSuchBatch(batch))
+                        ? Response.of(new ApiError.NoSuchBatch(batch))
                         : Response.of(200, summary())));
   }
 
-  void results(long after, int limit, Consumer<Response> then) {
+  public void results(long after, int limit, Consumer<Response> then) {
     lastUsedAt = surroundings.now();
     key.confirm(
         fault ->
@@ -341,19 +357,19 @@
                 fault != null
                     ? Response.of(fault)
                     : view.accepted == null
-                        ? Response.of(new Fault.NoSuchBatch(batch))
+                        ? Response.of(new ApiError.NoSuchBatch(batch))
                         : Response.of(200, page(after, limit))));
   }
 
   /** Held until there is a result at that place, no more can come, or holdMs have passed. */
-  void opaqueResults(long from, long holdMs, Consumer<Response> then) {
+  public void opaqueResults(long from, long holdMs, Consumer<Response> then) {
     lastUsedAt = surroundings.now();
     key.confirm(
         fault -> {
           if (fault != null) {
             then.accept(Response.of(fault));
           } else if (view.accepted == null) {
-            then.accept(Response.of(new Fault.NoSuchBatch(batch)));
+            then.accept(Response.of(new ApiError.NoSuchBatch(batch)));
           } else if (from < view.results.size() || !view.open() || holdMs <= 0) {
             then.accept(Response.of(200, opaquePage(from)));
           } else {
@@ -389,12 +405,12 @@
     ArrayNode rows = page.putArray("results");
     int number = (int) Math.min(from, Integer.MAX_VALUE);
     for (long bytes = 0;
-        number < view.results.size() && bytes < Constants.RESULTS_PAGE_BYTES;
+        number < view.results.size() && bytes < BatchConstants.MAX_RESULTS_PAGE_BYTES;
         number++) {
       Result result = view.results.get(number);
       String output = result.output() == null ? "" : result.output();
       bytes += Json.bytes(output).length + 200;
-      if (!rows.isEmpty() && bytes > Constants.RESULTS_PAGE_BYTES) {
+      if (!rows.isEmpty() && bytes > BatchConstants.MAX_RESULTS_PAGE_BYTES) {
         break;
       }
       rows.addObject()
@@ -405,7 +421,7 @@
     return page.put("next", number);
   }
 
-  void opaqueItem(String item, Consumer<Response> then) {
+  public void opaqueItem(String item, Consumer<Response> then) {
     lastUsedAt = surroundings.now();
     key.confirm(
         fault -> {
@@ -421,7 +437,7 @@
               fault != null
                   ? Response.of(fault)
                   : body == null
-                      ? Response.of(new Fault.NoSuchBatch(batch))
+                      ? Response.of(new ApiError.NoSuchBatch(batch))
                       : Response.of(200, JSON.createObjectNode().set("body", body)));
         });
   }
@@ -466,7 +482,7 @@
    * Next range in the batch's order for whoever pulls; the pull itself says that a buffer ran
    * empty.
    */
-  void pulled(RangePull pull, String fromId, String fromAddress) {
+  public void pulled(RangeRequest pull, String fromId, String fromAddress) {
     int chosenRange = -1;
     if (view.open() && !ending) {
       for (int range : view.order) {
@@ -480,13 +496,17 @@
       edge.send(
           fromAddress,
           fromId,
-          new RangeHandout(batch, pull.worker(), 0, 0, true, 0, pull.sentAt(), List.of()));
+          new RangeAssignment(batch, pull.worker(), 0, 0, true, 0, pull.sentAt(), List.of()));
       return;
     }
     int range = chosenRange;
     long rangeEpoch = ++highestRangeEpoch;
     busyRanges.add(range);
-    grants.put(range, surroundings.now() + Constants.COMMAND_EXPIRY_MS + Constants.RANGE_GRANT_MS);
+    grants.put(
+        range,
+        surroundings.now()
+            + ReplicationConstants.COMMIT_TIMEOUT_MS
+            + BatchConstants.RANGE_LEASE_MS);
     append(
         BatchEvent.assigned(ageMs(), new Assigned(range, rangeEpoch, fromId, pull.worker())),
         () -> {
@@ -494,35 +514,35 @@
           if (!view.open()) {
             return;
           }
-          grants.put(range, surroundings.now() + Constants.RANGE_GRANT_MS);
+          grants.put(range, surroundings.now() + BatchConstants.RANGE_LEASE_MS);
           edge.send(fromAddress, fromId, handout(pull, range, rangeEpoch));
         });
   }
 
-  private RangeHandout handout(RangePull pull, int range, long rangeEpoch) {
+  private RangeAssignment handout(RangeRequest pull, int range, long rangeEpoch) {
     Range handed = view.ranges.get(range);
-    List<HandoutItem> items = new ArrayList<>();
+    List<AssignedItem> items = new ArrayList<>();
     for (int index = handed.first + handed.offset; index < handed.first + handed.length; index++) {
       if (!view.has(index) && !itemsBeingRecorded.contains(index)) {
-        items.add(new HandoutItem(index, handedItem(index)));
+        items.add(new AssignedItem(index, handedItem(index)));
       }
     }
-    return new RangeHandout(
+    return new RangeAssignment(
         batch, pull.worker(), range, rangeEpoch, false, dueInMs(), pull.sentAt(), items);
   }
 
   private byte[] handedItem(int index) {
     JsonNode item = view.accepted.items().get(index);
-    Opaque opaque = view.accepted.opaque();
-    ReportedItem part = partsOfStreams.get(index);
+    ProxiedRoute opaque = view.accepted.opaque();
+    ItemOutcome part = partsOfStreams.get(index);
     return Json.bytes(
         opaque == null
             ? item
-            : new OpaqueHandout(
+            : new ProxiedItemAssignment(
                 opaque.host(),
                 opaque.path(),
                 view.accepted.expiresInMs() - ageMs(),
-                JSON.convertValue(item, OpaqueBatch.Item.class),
+                JSON.convertValue(item, ProxiedBatch.Item.class),
                 part == null ? "" : part.finishReason(),
                 part == null ? "" : new String(part.output(), StandardCharsets.UTF_8)));
   }
@@ -535,7 +555,7 @@
    * Results first to the disks, then the answer; only then may the feeder move its offset and
    * forget.
    */
-  void reported(RangeReport report, String fromId, String fromAddress) {
+  public void reported(RangeReport report, String fromId, String fromAddress) {
     if (!view.open() || ending || report.range() >= view.ranges.size()) {
       key.confirm(fault -> answer(report, fromId, fromAddress, false));
       return;
@@ -546,7 +566,7 @@
     }
     boolean current = range.epoch == report.rangeEpoch() && range.state != RangeState.UNASSIGNED;
     if (current && !report.giveBack()) {
-      grants.put(report.range(), surroundings.now() + Constants.RANGE_GRANT_MS);
+      grants.put(report.range(), surroundings.now() + BatchConstants.RANGE_LEASE_MS);
     }
     List<Result> results = new ArrayList<>();
     List<Attempt> attempts = new ArrayList<>();
@@ -571,7 +591,7 @@
           });
     }
     boolean onlyRenews = results.isEmpty() && attempts.isEmpty() && !report.giveBack();
-    Consumer<Fault> answering =
+    Consumer<ApiError> answering =
         fault -> {
           if (fault == null) {
             boolean keep =
@@ -593,7 +613,7 @@
     edge.send(
         fromAddress,
         fromId,
-        new RangeReported(
+        new RangeReportResponse(
             batch,
             report.range(),
             report.rangeEpoch(),
@@ -603,7 +623,7 @@
   }
 
   private void sort(RangeReport report, List<Result> results, List<Attempt> attempts) {
-    for (ReportedItem item : report.results()) {
+    for (ItemOutcome item : report.results()) {
       if (item.index() < 0
           || item.index() >= view.items()
           || view.has(item.index())
@@ -643,15 +663,15 @@
    * taken with.
    */
   private int attemptsMost() {
-    Opaque opaque = view.accepted.opaque();
+    ProxiedRoute opaque = view.accepted.opaque();
     if (opaque == null) {
-      return Constants.ITEM_ATTEMPTS;
+      return BatchConstants.MAX_ITEM_ATTEMPTS;
     }
-    Bundle.Route route = route();
+    RoutingConfiguration.Route route = route();
     return Math.max(1, Math.max(opaque.attempts(), route == null ? 0 : route.attempts()));
   }
 
-  private Bundle.Route route() {
+  private RoutingConfiguration.Route route() {
     return edge.routes().findBatch(view.accepted.opaque().host(), view.accepted.opaque().path());
   }
 
@@ -660,8 +680,8 @@
    * a while. Older news, as an edge may have that takes the batch over, proves nothing.
    */
   private boolean routeless() {
-    Opaque opaque = view.accepted.opaque();
-    Bundle bundle = edge.bundle();
+    ProxiedRoute opaque = view.accepted.opaque();
+    RoutingConfiguration bundle = edge.bundle();
     boolean gone =
         opaque != null
             && bundle != null
@@ -669,7 +689,7 @@
             && edge.newsFresh()
             && route() == null;
     routelessSince = gone ? Math.min(routelessSince, surroundings.now()) : Long.MAX_VALUE;
-    return gone && surroundings.now() - routelessSince >= Constants.ROUTE_GONE_MS;
+    return gone && surroundings.now() - routelessSince >= BatchConstants.ROUTE_REMOVED_GRACE_MS;
   }
 
   private void finishIfDone() {
@@ -696,21 +716,21 @@
   /**
    * True once nothing is left to do here and nobody has asked for a while: the key may be let go.
    */
-  boolean tick() {
+  public boolean tick() {
     long now = surroundings.now();
     if (!key.owned()) {
       return true;
     }
     if (!view.open()) {
       reportRoom(false);
-      return now - lastUsedAt > Constants.LEADER_IDLE_MS && !accepting;
+      return now - lastUsedAt > BatchConstants.LEADER_IDLE_TIMEOUT_MS && !accepting;
     }
     finishIfDone();
     if (ageMs() > view.accepted.expiresInMs() || routeless()) {
       expireItems();
     }
     takeBackSilentRanges(now);
-    if (now - lastOfferAt >= Constants.OFFER_MS) {
+    if (now - lastOfferAt >= BatchConstants.OFFER_INTERVAL_MS) {
       offer();
     }
     reportRoom(false);
@@ -739,7 +759,7 @@
     List<Result> results = new ArrayList<>();
     for (int index = 0; index < view.items(); index++) {
       if (!view.has(index) && itemsBeingRecorded.add(index)) {
-        results.add(new Result(index, "", "", null, new Fault.ItemExpired().type(), null));
+        results.add(new Result(index, "", "", null, new ApiError.ItemExpired().type(), null));
       }
     }
     if (!results.isEmpty()) {
@@ -754,9 +774,9 @@
     }
   }
 
-  private WorkOffer workOffer(int unassigned) {
-    Opaque opaque = view.accepted.opaque();
-    return new WorkOffer(
+  private BatchOffer workOffer(int unassigned) {
+    ProxiedRoute opaque = view.accepted.opaque();
+    return new BatchOffer(
         batch,
         dueInMs(),
         unassigned,
@@ -782,12 +802,14 @@
     boolean scarce =
         view.accepted == null
             || view.accepted.opaque() == null
-            || roomTaken > Constants.ROOM_SCARCE;
+            || roomTaken > BatchConstants.CAPACITY_SCARCE_SHARE;
     if ((waiting != lastReportedRoom || waiting == 0)
         && view.accepted != null
         && (atOnce
             || now - lastRoomReportAt
-                >= (scarce ? Constants.ROOM_REPORT_MS : Constants.ROOM_REPORT_SLOW_MS))) {
+                >= (scarce
+                    ? BatchConstants.CAPACITY_REPORT_INTERVAL_MS
+                    : BatchConstants.CAPACITY_REPORT_SLOW_INTERVAL_MS))) {
       lastRoomReportAt = now;
       lastReportedRoom = waiting;
       edge.reportRoom(batch, waiting, this::roomToldOf);
@@ -802,9 +824,9 @@
   }
 
   /** The key is not ours any more: whoever waits here is told to ask again. */
-  void lost() {
+  public void lost() {
     List<WaitingRead> reads = List.copyOf(waitingReads);
     waitingReads.clear();
-    reads.forEach(read -> read.then().accept(Response.of(new Fault.NotOwner(key.key))));
+    reads.forEach(read -> read.then().accept(Response.of(new ApiError.NotLeader(key.key))));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
@@ -1,8 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import applespindle.corelogic.BatchEvent.Accepted;
-import applespindle.corelogic.BatchEvent.Attempt;
-import applespindle.corelogic.BatchEvent.Result;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.batch.BatchEvent.Attempt;
+import applespindle.corelogic.batch.BatchEvent.Result;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -13,7 +13,7 @@
  * A batch as folded from the committed entries of its log; every leader that folds the same log
  * sees the same.
  */
-final class BatchView {
+public final class BatchState {
   enum RangeState {
     UNASSIGNED,
     ASSIGNED,
@@ -42,7 +42,7 @@
     }
   }
 
-  Accepted accepted;
+  public Accepted accepted;
 
   /** The log accepted the batch once more while it stood accepted: a defect. */
   boolean acceptedAgain;
@@ -63,7 +63,7 @@
   final List<Range> ranges = new ArrayList<>();
 
   /** In order of recording. Only ever grows, and an entry never changes once it is in. */
-  final List<Result> results = new ArrayList<>();
+  public final List<Result> results = new ArrayList<>();
 
   /** By item: the first committed result, later ones are dropped. */
   private Result[] byItem = new Result[0];
@@ -81,7 +81,7 @@
   long highestRangeEpoch;
 
   void fold(byte[] bytes) {
-    fold(EventCodec.decode(bytes));
+    fold(BatchEventCodec.decode(bytes));
   }
 
   /** The same for an event that need not be read again, as it was written here. */
@@ -183,7 +183,7 @@
     return attempts[item];
   }
 
-  int items() {
+  public int items() {
     return byItem.length;
   }
 
@@ -196,11 +196,11 @@
     return accepted == null || ended ? 0 : waitingRoom;
   }
 
-  boolean open() {
+  public boolean open() {
     return accepted != null && !ended && !finished;
   }
 
-  String state() {
+  public String state() {
     if (accepted == null) {
       return refused ? "refused" : "unknown";
     }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchSubmission.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchSubmission.java
@@ -1,5 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
+import applespindle.corelogic.common.Json;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
@@ -18,13 +19,13 @@
   private static final byte ENCODED = 1;
 
   /** The same batch in the product's own format. */
-  public static BatchSubmission of(OpaqueBatch batch) {
+  public static BatchSubmission of(ProxiedBatch batch) {
     return new BatchSubmission(batch.id(), batch.host(), batch.path(), Json.bytes(batch));
   }
 
   /** A submission on its way to the leader, with the configuration its sender works by. */
-  record Sent(BatchSubmission submission, long bundleNumber) {
-    byte[] encode() {
+  public record Forwarded(BatchSubmission submission, long bundleNumber) {
+    public byte[] encode() {
       byte[] id = bytes(submission.id);
       byte[] host = bytes(submission.host);
       byte[] path = bytes(submission.path);
@@ -45,7 +46,7 @@
     }
 
     /** Null where the bytes are not an encoded submission. */
-    static Sent decode(byte[] bytes) {
+    static Forwarded decode(byte[] bytes) {
       ByteBuffer in = ByteBuffer.wrap(bytes);
       if (!in.hasRemaining() || in.get() != ENCODED) {
         return null;
@@ -56,7 +57,7 @@
       String path = text(in);
       byte[] body = new byte[in.remaining()];
       in.get(body);
-      return new Sent(new BatchSubmission(id, host, path, body), bundleNumber);
+      return new Forwarded(new BatchSubmission(id, host, path, body), bundleNumber);
     }
 
     private static byte[] bytes(String text) {
--- a/core-logic/src/main/java/applespindle/corelogic/DueOrder.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/DeadlineOrder.java
@@ -1,4 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
+
+import applespindle.corelogic.constants.BatchConstants;
 
 /**
  * The order in which batch work is served: by due time, but work that is late whatever happens
@@ -9,14 +11,14 @@
  * @param now on the node's clock, in milliseconds
  * @param itemMs how long an item takes
  */
-record DueOrder(long now, long itemMs) {
+record DeadlineOrder(long now, long itemMs) {
   boolean canBeInTime(long dueAt) {
     return now + itemMs <= dueAt;
   }
 
-  /** Late work counts as due later by {@link Constants#LATE_WORK_WAITS_MS}. */
+  /** Late work counts as due later by {@link BatchConstants#LATE_ITEM_DEFERRAL_MS}. */
   private long servedAsDueAt(long dueAt) {
-    return canBeInTime(dueAt) ? dueAt : dueAt + Constants.LATE_WORK_WAITS_MS;
+    return canBeInTime(dueAt) ? dueAt : dueAt + BatchConstants.LATE_ITEM_DEFERRAL_MS;
   }
 
   int compare(long oneDueAt, long otherDueAt) {
--- a/core-logic/src/main/java/applespindle/corelogic/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -1,18 +1,20 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.Surroundings.WorkerRun;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.live.StreamText;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.worker.WorkerState;
 
 /** One run of one batch item at one worker. */
 final class ItemRun {
   final AssignedRange range;
-  final HandoutItem item;
+  final AssignedItem item;
 
   /** Unique over the life of this node; results carry it. */
   final String id;
 
-  final WorkerBook.Known worker;
+  final WorkerState worker;
   final long sentAt;
 
   /** Output of a prompt so far. */
@@ -30,7 +32,7 @@
   /** The response is an event stream, and nothing else. */
   boolean streams;
 
-  WorkerRun exchange = () -> {};
+  WorkerCallHandle exchange = () -> {};
   long lastTextAt;
 
   /** Prompt tokens the worker still reads for it, as far as is known. */
@@ -38,7 +40,7 @@
 
   boolean over;
 
-  ItemRun(AssignedRange range, HandoutItem item, String id, WorkerBook.Known worker, long now) {
+  ItemRun(AssignedRange range, AssignedItem item, String id, WorkerState worker, long now) {
     this.range = range;
     this.item = item;
     this.id = id;
--- a/core-logic/src/main/java/applespindle/corelogic/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -1,16 +1,24 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Message.HandoutItem;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.Surroundings.ExchangeListener;
-import applespindle.corelogic.Surroundings.WorkerCall;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerListener;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+package applespindle.corelogic.batch;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.live.StreamText;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.worker.WorkerRegistry;
+import applespindle.corelogic.worker.WorkerState;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
@@ -25,24 +33,24 @@
   interface Feeding {
     void pump();
 
-    void pump(WorkerBook.Known worker);
+    void pump(WorkerState worker);
   }
 
-  private final Surroundings surroundings;
+  private final Environment surroundings;
   private final String nodeId;
-  private final BatchFeeder.Edge edge;
-  private final WorkerBook book;
-  private final BatchCapacity capacity;
+  private final BatchDispatcher.Context edge;
+  private final WorkerRegistry book;
+  private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
   private final Feeding feeding;
   private long runs;
 
   ItemRunner(
-      Surroundings surroundings,
+      Environment surroundings,
       String nodeId,
-      BatchFeeder.Edge edge,
-      WorkerBook book,
-      BatchCapacity capacity,
+      BatchDispatcher.Context edge,
+      WorkerRegistry book,
+      WorkerBatchCapacity capacity,
       RangeReporter reporter,
       Feeding feeding) {
     this.surroundings = surroundings;
@@ -60,7 +68,7 @@
    * Sends the range's next item; false if it may not be sent. The range's lease, the age of what
    * this node knows and the worker's state are checked here, right before the item is sent.
    */
-  boolean begin(AssignedRange range, WorkerBook.Known worker) {
+  boolean begin(AssignedRange range, WorkerState worker) {
     if (range.givingBack
         || range.dropped
         || surroundings.now() >= range.leaseEndsAt
@@ -68,9 +76,10 @@
         || !book.usable(worker)) {
       return false;
     }
-    HandoutItem item = range.unsent.peek();
+    AssignedItem item = range.unsent.peek();
     JsonNode body = Json.tree(item.body());
-    OpaqueHandout opaque = body.has("path") ? JSON.convertValue(body, OpaqueHandout.class) : null;
+    ProxiedItemAssignment opaque =
+        body.has("path") ? JSON.convertValue(body, ProxiedItemAssignment.class) : null;
     Route route = opaque == null ? null : edge.routes().findBatch(opaque.host(), opaque.path());
     if (opaque != null && (route == null || !route.sendsTo(worker.worker.pool()))) {
       reporter.giveBack(range);
@@ -80,7 +89,7 @@
     ItemRun run = new ItemRun(range, item, nodeId + "-" + ++runs, worker, surroundings.now());
     range.running.put(item.index(), run);
     if (opaque != null) {
-      run.reading = opaque.item().tokens() * Constants.ITEM_UNREAD_PART;
+      run.reading = opaque.item().tokens() * BatchConstants.MAX_UNREAD_PROMPT_SHARE;
       worker.reading += run.reading;
     }
     book.began(worker, true);
@@ -110,18 +119,18 @@
             new PromptListener(run));
   }
 
-  private void sendOpaque(ItemRun run, OpaqueHandout assignment, Route route) {
+  private void sendOpaque(ItemRun run, ProxiedItemAssignment assignment, Route route) {
     StreamText earlier = run.range.texts.remove(run.item.index());
     if (earlier == null) {
       earlier = new StreamText(assignment.resumeAfter(), assignment.text());
     }
     run.text = earlier.resumeAfter().isEmpty() ? new StreamText() : earlier;
     run.route = route;
-    OpaqueBatch.Item item = assignment.item();
+    ProxiedBatch.Item item = assignment.item();
     long timeoutMs =
         Math.max(1, assignment.expiresInMs() - (surroundings.now() - run.range.assignedAt));
     var request =
-        new OpaqueRequest(
+        new ProxiedRequest(
             item.id(),
             "POST",
             item.target(),
@@ -156,7 +165,7 @@
     }
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
       heard(run);
       boolean first = run.status == 0;
       run.status = head.status();
@@ -168,7 +177,7 @@
     }
 
     @Override
-    public void piece(Piece piece) {
+    public void piece(ResponseChunk piece) {
       heard(run);
       if (!run.over && run.succeeds() && run.streams) {
         run.text.add(piece);
@@ -187,12 +196,12 @@
     }
 
     @Override
-    public void fault(Fault fault, boolean mayHaveRun) {
+    public void fault(ApiError fault, boolean mayHaveRun) {
       faulted(run, fault);
     }
   }
 
-  private final class PromptListener implements WorkerListener {
+  private final class PromptListener implements WorkerCallListener {
     private final ItemRun run;
 
     PromptListener(ItemRun run) {
@@ -215,13 +224,13 @@
     }
 
     @Override
-    public void fault(Fault fault, boolean mayHaveRun) {
+    public void fault(ApiError fault, boolean mayHaveRun) {
       faulted(run, fault);
     }
   }
 
   /** A head without a type is taken at its events' word. */
-  private static boolean streams(Head head) {
+  private static boolean streams(ResponseHead head) {
     return head.headers().stream()
         .filter(header -> header.name().equalsIgnoreCase("Content-Type"))
         .allMatch(
@@ -253,10 +262,10 @@
     } else if (run.status == 422) {
       book.served(run.worker);
       run.range.finished(run.item.index());
-      outcome(run, "", new Fault.ItemImpossible().type(), "");
+      outcome(run, "", new ApiError.ItemNotExecutable().type(), "");
     } else if (run.status == 500) {
       book.served(run.worker);
-      outcome(run, "", new Fault.ItemFailed(run.status).type(), "");
+      outcome(run, "", new ApiError.ItemFailed(run.status).type(), "");
       reporter.giveBack(run.range);
     } else {
       book.failed(run.worker);
@@ -264,11 +273,11 @@
     }
   }
 
-  private void faulted(ItemRun run, Fault fault) {
+  private void faulted(ItemRun run, ApiError fault) {
     if (!leave(run)) {
       return;
     }
-    boolean full = WorkerBook.saysFull(fault);
+    boolean full = WorkerRegistry.saysFull(fault);
     if (full) {
       book.refused(run.worker);
     } else {
@@ -328,7 +337,7 @@
     boolean lost = run.isOpaque() ? silent(run) : book.lost(run.worker, run.lastTextAt);
     if (lost) {
       run.exchange.cancel();
-      faulted(run, new Fault.WorkerSilent(run.range.worker));
+      faulted(run, new ApiError.WorkerTimeout(run.range.worker));
     }
   }
 
@@ -339,7 +348,9 @@
   private boolean silent(ItemRun run) {
     long now = surroundings.now();
     long limit =
-        Math.max(Constants.SILENT_LEAST_MS, Constants.SILENT_GAPS * run.route.gapTargetMs());
+        Math.max(
+            BatchConstants.MIN_SILENCE_TIMEOUT_MS,
+            BatchConstants.SILENCE_TIMEOUT_GAPS * run.route.gapTargetMs());
     long workerSilentFor = now - run.worker.heardAt;
     return now - run.lastTextAt > limit
         && (workerSilentFor > limit || now - run.lastTextAt > 4 * limit);
--- a/core-logic/src/main/java/applespindle/corelogic/OpenSubmissions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,7 +9,7 @@
  * The batches that were handed in at one edge and have no final answer yet. Invariant: each gets
  * one by its deadline, whatever becomes of its leader.
  */
-final class OpenSubmissions {
+public final class PendingSubmissions {
   private static final class Open {
     final String batch;
     final long deadline;
@@ -28,16 +28,16 @@
    * @param deadline on the node's clock, in milliseconds
    * @return what {@link #end} is to be told
    */
-  long begin(String batch, long deadline) {
+  public long begin(String batch, long deadline) {
     open.put(++lastNumber, new Open(batch, deadline));
     return lastNumber;
   }
 
-  void end(long number) {
+  public void end(long number) {
     open.remove(number);
   }
 
-  int size() {
+  public int size() {
     return open.size();
   }
 
@@ -46,7 +46,7 @@
    * look alone proves nothing: after a process stood still it may come before the timers that were
    * due.
    */
-  List<String> overdue(long now) {
+  public List<String> overdue(long now) {
     List<String> overdue = new ArrayList<>();
     for (Open each : List.copyOf(open.values())) {
       if (now <= each.deadline) {
--- a/core-logic/src/main/java/applespindle/corelogic/OpaqueHandout.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ProxiedItemAssignment.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 /**
  * An item of an opaque batch as it is handed to a feeder. host and path are those of the batch: the
@@ -6,10 +6,10 @@
  * expiresInMs: until it may be given up. text is what earlier runs brought up to the event
  * resumeAfter; both are empty where a run has to begin anew.
  */
-record OpaqueHandout(
+record ProxiedItemAssignment(
     String host,
     String path,
     long expiresInMs,
-    OpaqueBatch.Item item,
+    ProxiedBatch.Item item,
     String resumeAfter,
     String text) {}
--- a/core-logic/src/main/java/applespindle/corelogic/RangeReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
@@ -1,7 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import applespindle.corelogic.Message.RangeReport;
-import applespindle.corelogic.Message.ReportedItem;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.live.StreamText;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
+import applespindle.corelogic.protocol.Message.RangeReport;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
@@ -10,10 +12,10 @@
  * range's lease and carries the outcomes that were not answered in time.
  */
 final class RangeReporter {
-  private final Surroundings surroundings;
-  private final BatchFeeder.Edge edge;
+  private final Environment surroundings;
+  private final BatchDispatcher.Context edge;
 
-  RangeReporter(Surroundings surroundings, BatchFeeder.Edge edge) {
+  RangeReporter(Environment surroundings, BatchDispatcher.Context edge) {
     this.surroundings = surroundings;
     this.edge = edge;
   }
@@ -23,7 +25,7 @@
     AssignedRange range = run.range;
     range.unanswered.add(
         new AssignedRange.Outcome(
-            new ReportedItem(
+            new ItemOutcome(
                 run.item.index(),
                 run.id,
                 range.worker,
@@ -44,7 +46,7 @@
     if (!text.resumeAfter().isEmpty() && !text.text().isEmpty()) {
       range.unanswered.add(
           new AssignedRange.Outcome(
-              new ReportedItem(
+              new ItemOutcome(
                   index,
                   "",
                   range.worker,
@@ -68,7 +70,7 @@
     long now = surroundings.now();
     long number = range.nextReport(now);
     boolean handsBack = range.givingBack && range.running.isEmpty();
-    List<ReportedItem> carried = range.carry(number, handsBack && !range.handedBack, now);
+    List<ItemOutcome> carried = range.carry(number, handsBack && !range.handedBack, now);
     range.handedBack |= handsBack;
     edge.send(
         range.leader.address(),
--- a/core-logic/src/main/java/applespindle/corelogic/RangePuller.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
@@ -1,20 +1,22 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import applespindle.corelogic.AssignedRange.Leader;
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Message.RangePull;
-import applespindle.corelogic.Message.WorkOffer;
-import applespindle.corelogic.Records.Worker;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.RangeRequest;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Knows which batches have unassigned ranges and pulls these from their leaders as needed. */
-final class RangePuller {
+final class RangeRequester {
   /** A batch with unassigned ranges, as its leader last offered it. */
   private static final class Offer {
-    Leader leader;
+    NodeAddress leader;
 
     /** Of an opaque batch; empty for one of prompts. */
     String host;
@@ -24,19 +26,19 @@
     long heardAt;
   }
 
-  private final Surroundings surroundings;
-  private final BatchFeeder.Edge edge;
+  private final Environment surroundings;
+  private final BatchDispatcher.Context edge;
   private final Map<String, Offer> offers = new LinkedHashMap<>();
 
   /** Pulls on their way, by batch and worker, with when they were sent. */
   private final Map<String, Long> pulls = new HashMap<>();
 
-  RangePuller(Surroundings surroundings, BatchFeeder.Edge edge) {
+  RangeRequester(Environment surroundings, BatchDispatcher.Context edge) {
     this.surroundings = surroundings;
     this.edge = edge;
   }
 
-  void offered(WorkOffer offer, Leader leader) {
+  void offered(BatchOffer offer, NodeAddress leader) {
     Offer known = offers.computeIfAbsent(offer.batch(), unseen -> new Offer());
     known.leader = leader;
     known.host = offer.host();
@@ -60,13 +62,13 @@
   }
 
   /** Pulls ranges of the batches that come first, for so many items that are wanted. */
-  void pull(Worker worker, int wanted, DueOrder order) {
+  void pull(WorkerRegistration worker, int wanted, DeadlineOrder order) {
     String workerId = worker.id();
     long now = surroundings.now();
-    offers.values().removeIf(offer -> now - offer.heardAt > Constants.OFFER_LENGTH_MS);
-    pulls.values().removeIf(sentAt -> now - sentAt > Constants.OFFER_LENGTH_MS);
+    offers.values().removeIf(offer -> now - offer.heardAt > BatchConstants.OFFER_EXPIRY_MS);
+    pulls.values().removeIf(sentAt -> now - sentAt > BatchConstants.OFFER_EXPIRY_MS);
     long underWay = pulls.keySet().stream().filter(name -> name.endsWith(" " + workerId)).count();
-    int missing = wanted - Constants.RANGE_ITEMS * (int) underWay;
+    int missing = wanted - BatchConstants.ITEMS_PER_RANGE * (int) underWay;
     if (missing <= 0 || edge.mayBegin() != null) {
       return;
     }
@@ -75,14 +77,14 @@
         return;
       }
       if (pulls.putIfAbsent(pullName(batch, workerId), now) == null) {
-        Leader leader = offers.get(batch).leader;
-        edge.send(leader.address(), leader.id(), new RangePull(batch, workerId, now));
-        missing -= Constants.RANGE_ITEMS;
+        NodeAddress leader = offers.get(batch).leader;
+        edge.send(leader.address(), leader.id(), new RangeRequest(batch, workerId, now));
+        missing -= BatchConstants.ITEMS_PER_RANGE;
       }
     }
   }
 
-  private List<String> inOrder(Worker worker, DueOrder order) {
+  private List<String> inOrder(WorkerRegistration worker, DeadlineOrder order) {
     return offers.entrySet().stream()
         .filter(entry -> mayRunAt(worker, entry.getValue()))
         .sorted((one, other) -> order.compare(one.getValue().dueAt, other.getValue().dueAt))
@@ -90,7 +92,7 @@
         .toList();
   }
 
-  private boolean mayRunAt(Worker worker, Offer offer) {
+  private boolean mayRunAt(WorkerRegistration worker, Offer offer) {
     if (offer.host.isEmpty()) {
       return worker.pool().equals(edge.bundle().limits().batch().pool());
     }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchIntake.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
@@ -1,10 +1,16 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchEvent.Accepted;
-import applespindle.corelogic.BatchEvent.Opaque;
-import applespindle.corelogic.Bundle.Route;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.batch.BatchEvent.ProxiedRoute;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.environment.ProxiedRequest;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -19,17 +25,17 @@
  * Turns a submission into the event that accepts it, at the edge that leads the batch. The body is
  * read once; what is checked here has not been looked at before.
  */
-final class BatchIntake {
+public final class SubmissionReader {
   /** Either the event or the fault for which the batch is refused. */
-  record Taken(Accepted accepted, Fault fault) {
-    static Taken refused(Fault fault) {
-      return new Taken(null, fault);
+  public record ReadResult(Accepted accepted, ApiError fault) {
+    static ReadResult refused(ApiError fault) {
+      return new ReadResult(null, fault);
     }
   }
 
   private final BatchFormat format;
 
-  BatchIntake(BatchFormat format) {
+  public SubmissionReader(BatchFormat format) {
     this.format = format;
   }
 
@@ -38,47 +44,48 @@
    *
    * @param bundle the configuration this edge works by, or null
    */
-  Taken take(byte[] body, Bundle bundle, RouteTable routes) {
-    BatchSubmission.Sent sent = BatchSubmission.Sent.decode(body);
+  public ReadResult take(byte[] body, RoutingConfiguration bundle, RouteTable routes) {
+    BatchSubmission.Forwarded sent = BatchSubmission.Forwarded.decode(body);
     if (sent == null) {
-      return new Taken(Json.read(body, Accepted.class), null);
+      return new ReadResult(Json.read(body, Accepted.class), null);
     }
     if (bundle == null || bundle.number() < sent.bundleNumber()) {
-      return Taken.refused(new Fault.NotReady("an older configuration than the sender's"));
+      return ReadResult.refused(new ApiError.NotReady("an older configuration than the sender's"));
     }
     BatchSubmission submission = sent.submission();
     Route route = routes.findBatch(submission.host(), submission.path());
     if (route == null) {
-      return Taken.refused(new Fault.NoMatchingRule());
+      return ReadResult.refused(new ApiError.NoMatchingRule());
     }
-    BatchFormat.Read read = format.read(submission);
+    BatchFormat.ParsedBatch read = format.read(submission);
     return read.fault() != null
-        ? Taken.refused(read.fault())
-        : new Taken(accepted(read.batch(), bundle, route), null);
+        ? ReadResult.refused(read.fault())
+        : new ReadResult(accepted(read.batch(), bundle, route), null);
   }
 
-  private static Accepted accepted(OpaqueBatch batch, Bundle bundle, Route route) {
+  private static Accepted accepted(ProxiedBatch batch, RoutingConfiguration bundle, Route route) {
     var opaque =
-        new Opaque(
+        new ProxiedRoute(
             batch.host(),
             batch.path(),
             route.name(),
             bundle.number(),
             route.attempts(),
             route.waitingTokensMost());
-    long retentionMs = route.retentionMs() == 0 ? Constants.RETENTION_MS : route.retentionMs();
+    long retentionMs =
+        route.retentionMs() == 0 ? BatchConstants.DEFAULT_RETENTION_MS : route.retentionMs();
     return new Accepted(
         "", digest(batch), route.completionTargetMs(), retentionMs, items(batch), opaque);
   }
 
-  /** The same trees that {@link OpaqueBatch.Item} has as JSON, without the way over text. */
-  private static List<JsonNode> items(OpaqueBatch batch) {
+  /** The same trees that {@link ProxiedBatch.Item} has as JSON, without the way over text. */
+  private static List<JsonNode> items(ProxiedBatch batch) {
     List<JsonNode> items = new ArrayList<>(batch.items().size());
-    for (OpaqueBatch.Item item : batch.items()) {
+    for (ProxiedBatch.Item item : batch.items()) {
       ObjectNode node =
           Json.JSON.createObjectNode().put("id", item.id()).put("target", item.target());
       ArrayNode headers = node.putArray("headers");
-      for (OpaqueRequest.Header header : item.headers()) {
+      for (ProxiedRequest.Header header : item.headers()) {
         headers.addObject().put("name", header.name()).put("value", header.value());
       }
       items.add(node.put("body", item.body()).put("tokens", item.tokens()));
@@ -90,16 +97,16 @@
    * Of all that tells one batch from another; each field is preceded by its length, so that no two
    * batches run into the same bytes.
    */
-  private static String digest(OpaqueBatch batch) {
+  private static String digest(ProxiedBatch batch) {
     MessageDigest digest = sha256();
     update(digest, batch.id());
     update(digest, batch.host());
     update(digest, batch.path());
-    for (OpaqueBatch.Item item : batch.items()) {
+    for (ProxiedBatch.Item item : batch.items()) {
       update(digest, item.id());
       update(digest, item.target());
       update(digest, item.headers().size());
-      for (OpaqueRequest.Header header : item.headers()) {
+      for (ProxiedRequest.Header header : item.headers()) {
         update(digest, header.name());
         update(digest, header.value());
       }
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
@@ -0,0 +1,100 @@
+package applespindle.corelogic.batch;
+
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import java.util.List;
+
+/**
+ * Runs the code that takes batches on a made-up batch, round by round while a new process has
+ * nothing else to do, so that the first clients do not wait for code that has never run: the first
+ * pass costs some thirty times as much processor time as a later one. Nothing of it leaves the
+ * process. An edge that leads batches runs all of that code; any other only what passes one on.
+ */
+public final class SubmissionWarmUp {
+  /** Items of the made-up batch: a typical batch. */
+  private static final int ITEMS = 60;
+
+  /** After so many rounds a further one costs little less than the last. */
+  private static final int LEADER_ROUNDS = 8;
+
+  private static final int PASSING_ROUNDS = 3;
+
+  private static final String BATCH = "warm-up";
+
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final BatchFormat format;
+  private final SubmissionReader intake;
+  private int rounds;
+
+  public SubmissionWarmUp(
+      Environment surroundings, NodeIdentity place, BatchFormat format, SubmissionReader intake) {
+    this.surroundings = surroundings;
+    this.place = place;
+    this.format = format;
+    this.intake = intake;
+  }
+
+  public boolean done(boolean leads) {
+    return rounds >= (leads ? LEADER_ROUNDS : PASSING_ROUNDS);
+  }
+
+  /**
+   * Runs the next round.
+   *
+   * @param bundle a configuration in force; without a batch route in it there is nothing to do
+   */
+  public void round(RoutingConfiguration bundle, boolean leads) {
+    bundle.routes().stream()
+        .filter(each -> each.type() == RoutingConfiguration.RouteType.BATCH)
+        .findFirst()
+        .ifPresent(route -> round(bundle, route, leads));
+  }
+
+  private void round(RoutingConfiguration bundle, Route route, boolean leads) {
+    rounds++;
+    BatchSubmission submission =
+        format.sample(BATCH, route.host(), route.pathPrefix() + BATCH, ITEMS);
+    byte[] body = new BatchSubmission.Forwarded(submission, bundle.number()).encode();
+    rehearse(
+        new PeerRequest(
+            0,
+            PeerRequest.SUBMIT,
+            BATCH,
+            place.id(),
+            place.peerAddress(),
+            PeerRequestConstants.MAX_FORWARDS,
+            body));
+    if (leads) {
+      lead(intake.take(body, bundle, RouteTable.compile(List.of(route))));
+    }
+  }
+
+  private void lead(SubmissionReader.ReadResult taken) {
+    if (taken.fault() != null) {
+      return;
+    }
+    Accepted accepted = taken.accepted();
+    byte[] event = BatchEventCodec.encode(BatchEvent.accepted(accepted));
+    BatchState view = new BatchState();
+    view.fold(event);
+    Epoch epoch = new Epoch(1, place.id());
+    LogEntry entry = new LogEntry(1, epoch, false, event);
+    rehearse(new AppendRequest(BATCH, epoch, 0, 1, 0, Epoch.NONE, 0, true, List.of(entry)));
+  }
+
+  private void rehearse(Message message) {
+    surroundings.rehearse(new Envelope(place.id(), place.peerAddress(), place.id(), message));
+  }
+}
--- a/core-logic/src/main/java/applespindle/corelogic/SubmissionsInWork.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -1,6 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import applespindle.corelogic.Message.Ask;
+import applespindle.corelogic.protocol.Message.PeerRequest;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -12,8 +12,8 @@
  * same batch that arrives again meanwhile joins the ask at work, so that its body is read, reserved
  * and claimed once; it gets the same answer.
  */
-final class SubmissionsInWork {
-  private record Work(Ask ask, List<Ask> joined) {}
+public final class SubmissionsInProgress {
+  private record Work(PeerRequest ask, List<PeerRequest> joined) {}
 
   private final Map<String, Work> byKey = new HashMap<>();
   private long bytes;
@@ -21,7 +21,7 @@
   /**
    * Whether the ask is one of a batch already at work, with the same body; it then waits for it.
    */
-  boolean join(Ask ask) {
+  public boolean join(PeerRequest ask) {
     Work work = byKey.get(ask.key());
     if (work == null || !Arrays.equals(work.ask.body(), ask.body())) {
       return false;
@@ -31,25 +31,25 @@
   }
 
   /** Work on an ask begins. Of one with another body under the same key nothing is kept. */
-  void begin(Ask ask) {
+  public void begin(PeerRequest ask) {
     if (byKey.putIfAbsent(ask.key(), new Work(ask, new ArrayList<>())) == null) {
       bytes += ask.body().length;
     }
   }
 
   /** The ask and those that joined it while it is at work; none otherwise. */
-  List<Ask> waitingFor(Ask ask) {
+  public List<PeerRequest> waitingFor(PeerRequest ask) {
     Work work = byKey.get(ask.key());
     if (work == null || work.ask != ask) {
       return List.of();
     }
-    List<Ask> waiting = new ArrayList<>(work.joined);
+    List<PeerRequest> waiting = new ArrayList<>(work.joined);
     waiting.add(ask);
     return waiting;
   }
 
   /** Work on an ask is over: those that joined it, which are to be told the same. */
-  List<Ask> end(Ask ask) {
+  public List<PeerRequest> end(PeerRequest ask) {
     Work work = byKey.get(ask.key());
     if (work == null || work.ask != ask) {
       return List.of();
@@ -60,7 +60,7 @@
   }
 
   /** Of all bodies at work. */
-  long bytes() {
+  public long bytes() {
     return bytes;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -1,5 +1,11 @@
-package applespindle.corelogic;
-
+package applespindle.corelogic.batch;
+
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.worker.WorkerRegistry;
+import applespindle.corelogic.worker.WorkerState;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.ToIntFunction;
@@ -8,27 +14,27 @@
  * How many more batch items a worker may get from this edge, so that live requests keep their room
  * and no stream there pauses for long.
  */
-final class BatchCapacity {
-  private final Surroundings surroundings;
-  private final BatchFeeder.Edge edge;
-  private final WorkerBook book;
+final class WorkerBatchCapacity {
+  private final Environment surroundings;
+  private final BatchDispatcher.Context edge;
+  private final WorkerRegistry book;
 
   /** Runs of opaque items at a worker from which nothing has come yet. */
-  private final ToIntFunction<WorkerBook.Known> starting;
+  private final ToIntFunction<WorkerState> starting;
 
   /** By worker: since when it is fed from here. */
   private final Map<String, Long> feedsSince = new HashMap<>();
 
   /** How long opaque items take to their first bytes and to their end, in milliseconds. */
-  private double firstMs = Constants.ITEM_FIRST_GUESS_MS;
+  private double firstMs = BatchConstants.INITIAL_ITEM_FIRST_BYTE_MS;
 
-  private double wholeMs = Constants.ITEM_WHOLE_GUESS_MS;
+  private double wholeMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
 
-  BatchCapacity(
-      Surroundings surroundings,
-      BatchFeeder.Edge edge,
-      WorkerBook book,
-      ToIntFunction<WorkerBook.Known> starting) {
+  WorkerBatchCapacity(
+      Environment surroundings,
+      BatchDispatcher.Context edge,
+      WorkerRegistry book,
+      ToIntFunction<WorkerState> starting) {
     this.surroundings = surroundings;
     this.edge = edge;
     this.book = book;
@@ -44,23 +50,23 @@
   }
 
   void noteFirst(long tookMs) {
-    firstMs += (tookMs - firstMs) * Constants.OUTCOME_WEIGHT;
+    firstMs += (tookMs - firstMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
   void noteWhole(long tookMs) {
-    wholeMs += (tookMs - wholeMs) * Constants.OUTCOME_WEIGHT;
+    wholeMs += (tookMs - wholeMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
   /** Items that may be begun there now; negative if more run there than should. */
-  int free(WorkerBook.Known worker) {
-    Bundle bundle = edge.bundle();
+  int free(WorkerState worker) {
+    RoutingConfiguration bundle = edge.bundle();
     if (bundle == null || !book.usable(worker)) {
       return 0;
     }
     if (worker.worker.slots() > 0) {
       return freeSlots(worker);
     }
-    Bundle.BatchLimits limits = bundle.limits().batch();
+    RoutingConfiguration.BatchLimits limits = bundle.limits().batch();
     if (!worker.worker.pool().equals(limits.pool())) {
       return 0;
     }
@@ -69,9 +75,9 @@
     return Math.min(limits.perWorkerMost(), left) - worker.batch;
   }
 
-  private int freeSlots(WorkerBook.Known worker) {
+  private int freeSlots(WorkerState worker) {
     int slots = worker.worker.slots();
-    int reserve = Math.max(1, slots / Constants.BATCH_RESERVE_ONE_IN);
+    int reserve = Math.max(1, slots / BatchConstants.LIVE_RESERVE_ONE_IN);
     long liveNow = Math.round(worker.runningNow(surroundings.now())) - worker.batch;
     int live = (int) Math.min(liveNow, slots / 2);
     int share = (int) Math.ceil((slots - reserve) * ramp(worker));
@@ -85,13 +91,13 @@
   }
 
   /** A feeder that has just begun takes a worker's slots by and by. */
-  private double ramp(WorkerBook.Known worker) {
+  private double ramp(WorkerState worker) {
     Long since = feedsSince.get(worker.worker.id());
     if (since == null) {
-      return Constants.RAMP_LEAST;
+      return WorkerConstants.MIN_SLOW_START_WEIGHT;
     }
-    double grown = (surroundings.now() - since) / (double) Constants.FEEDER_RAMP_MS;
-    return Math.max(Constants.RAMP_LEAST, Math.min(1, grown));
+    double grown = (surroundings.now() - since) / (double) BatchConstants.DISPATCH_SLOW_START_MS;
+    return Math.max(WorkerConstants.MIN_SLOW_START_WEIGHT, Math.min(1, grown));
   }
 
   /**
@@ -100,13 +106,14 @@
    * items take to begin and to end.
    */
   private int startsMost(int slots) {
-    double part = Math.min(1, Constants.BATCH_STARTS_SPARE * firstMs / wholeMs);
-    return (int) Math.max(Constants.BATCH_STARTS_LEAST, Math.ceil(slots * part));
+    double part = Math.min(1, BatchConstants.CONCURRENT_STARTS_FACTOR * firstMs / wholeMs);
+    return (int) Math.max(BatchConstants.MIN_CONCURRENT_STARTS, Math.ceil(slots * part));
   }
 
   /** One more prompt would come close to a pause in the streams there that is too long. */
-  boolean hasMuchToRead(WorkerBook.Known worker) {
+  boolean hasMuchToRead(WorkerState worker) {
     long gapMs = edge.routes().gapTargetMs(worker.worker.pool());
-    return gapMs > 0 && worker.pauseMs(surroundings.now(), 0) > Constants.ITEM_PAUSE_PART * gapMs;
+    return gapMs > 0
+        && worker.pauseMs(surroundings.now(), 0) > BatchConstants.MAX_STREAM_PAUSE_SHARE * gapMs;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/Feed.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeed.java
@@ -1,6 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
-import applespindle.corelogic.Message.FeedItem;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -12,8 +12,8 @@
  * the feed holds no more than the table of keys, however many changes there were, and reaches back
  * to the start of this process.
  */
-final class Feed {
-  private final TreeMap<Long, FeedItem> lastChanges = new TreeMap<>();
+final class ChangeFeed {
+  private final TreeMap<Long, MetadataRecord> lastChanges = new TreeMap<>();
   private final Map<String, Long> numberOfKey = new HashMap<>();
   private long number;
 
@@ -22,7 +22,7 @@
     return number;
   }
 
-  void add(FeedItem item) {
+  void add(MetadataRecord item) {
     number++;
     Long superseded = numberOfKey.put(item.key(), number);
     if (superseded != null) {
@@ -32,7 +32,7 @@
   }
 
   /** The newest value of each key that changed after the given number. */
-  List<FeedItem> after(long known) {
+  List<MetadataRecord> after(long known) {
     return List.copyOf(lastChanges.tailMap(known, false).values());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/FeedFollower.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
@@ -1,9 +1,15 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Records.CoreMember;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.membership.QuorumPeer;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.function.Consumer;
 
 /**
@@ -11,21 +17,21 @@
  * Invariant: the position in a feed only moves on by updates that start at or before it, or by a
  * snapshot.
  */
-final class FeedFollower {
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final CoreMembership membership;
-  private final CoreTable table;
-  private final KeyReplicas.Replies sender;
-  private final Consumer<FeedItem> learn;
+final class ChangeFeedFollower {
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final QuorumView membership;
+  private final MetadataTable table;
+  private final MessageSender sender;
+  private final Consumer<MetadataRecord> learn;
 
-  FeedFollower(
-      Surroundings surroundings,
-      Node.Place place,
-      CoreMembership membership,
-      CoreTable table,
-      KeyReplicas.Replies sender,
-      Consumer<FeedItem> learn) {
+  ChangeFeedFollower(
+      Environment surroundings,
+      NodeIdentity place,
+      QuorumView membership,
+      MetadataTable table,
+      MessageSender sender,
+      Consumer<MetadataRecord> learn) {
     this.surroundings = surroundings;
     this.place = place;
     this.membership = membership;
@@ -45,16 +51,16 @@
         .forEach(this::poll);
   }
 
-  private void poll(CoreMember member) {
-    CorePeer peer = membership.peer(member.peerAddress());
+  private void poll(QuorumMember member) {
+    QuorumPeer peer = membership.peer(member.peerAddress());
     long bundleSequence =
         table.has(MetadataKeys.CONFIGURATION)
             ? table.get(MetadataKeys.CONFIGURATION).sequence()
             : 0;
-    sender.reply(
+    sender.send(
         member.peerAddress(),
         member.id(),
-        new FeedFollow(
+        new ChangeFeedPoll(
             peer.feedId,
             peer.feedIncarnation,
             peer.feedNumber,
@@ -64,8 +70,8 @@
   }
 
   /** Takes a peer's updates; false if they do not follow on what is known of its feed. */
-  boolean receive(FeedNews updates, String fromAddress) {
-    CorePeer peer = membership.peers().get(fromAddress);
+  boolean receive(ChangeFeedUpdate updates, String fromAddress) {
+    QuorumPeer peer = membership.peers().get(fromAddress);
     if (peer == null || !continues(updates, peer)) {
       return false;
     }
@@ -79,7 +85,7 @@
     return true;
   }
 
-  private static boolean continues(FeedNews updates, CorePeer peer) {
+  private static boolean continues(ChangeFeedUpdate updates, QuorumPeer peer) {
     return updates.checkpoint()
         || updates.coreId().equals(peer.feedId)
             && updates.incarnation() == peer.feedIncarnation
--- a/core-logic/src/main/java/applespindle/corelogic/FeedPublisher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
@@ -1,8 +1,14 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
+import applespindle.corelogic.constants.ChangeFeedConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.node.TraceLog;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,20 +18,20 @@
  * Publishes the change feed of this node to whoever polls it. Invariant: a follower that polls from
  * a position of this very feed gets every later change; any other gets a snapshot first.
  */
-final class FeedPublisher {
+final class ChangeFeedPublisher {
   private record Follower(String id, String address, long until) {}
 
   /** A poll that came while this node's own view was too old to say that it is fresh. */
-  private record UnsurePoll(FeedFollow follow, String fromId) {}
+  private record UnsurePoll(ChangeFeedPoll follow, String fromId) {}
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final CoreMembership membership;
-  private final CoreTable table;
-  private final Journal journal;
-  private final FeedFreshness freshness;
-  private final KeyReplicas.Replies sender;
-  private final Feed feed = new Feed();
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final QuorumView membership;
+  private final MetadataTable table;
+  private final TraceLog journal;
+  private final MetadataFreshness freshness;
+  private final MessageSender sender;
+  private final ChangeFeed feed = new ChangeFeed();
 
   /** By address. */
   private final Map<String, Follower> followers = new LinkedHashMap<>();
@@ -36,14 +42,14 @@
   /** By follower id, when it was last sent a snapshot. */
   private final Map<String, Long> snapshotSentAt = new HashMap<>();
 
-  FeedPublisher(
-      Surroundings surroundings,
-      Node.Place place,
-      CoreMembership membership,
-      CoreTable table,
-      Journal journal,
-      FeedFreshness freshness,
-      KeyReplicas.Replies sender) {
+  ChangeFeedPublisher(
+      Environment surroundings,
+      NodeIdentity place,
+      QuorumView membership,
+      MetadataTable table,
+      TraceLog journal,
+      MetadataFreshness freshness,
+      MessageSender sender) {
     this.surroundings = surroundings;
     this.place = place;
     this.membership = membership;
@@ -59,7 +65,7 @@
   }
 
   /** Adds a committed change to the feed and pushes it to the present followers. */
-  void publish(FeedItem item) {
+  void publish(MetadataRecord item) {
     feed.add(item);
     journal.add("committed", item.key(), "sequence " + item.sequence());
     long now = surroundings.now();
@@ -67,11 +73,11 @@
     followers.values().forEach(follower -> push(follower, item));
   }
 
-  private void push(Follower follower, FeedItem item) {
-    sender.reply(
+  private void push(Follower follower, MetadataRecord item) {
+    sender.send(
         follower.address(),
         follower.id(),
-        new FeedNews(
+        new ChangeFeedUpdate(
             place.id(),
             place.incarnation(),
             feed.number() - 1,
@@ -84,10 +90,11 @@
   }
 
   /** Responds to a poll with the changes since its position, or with what its table may lack. */
-  void follow(FeedFollow follow, String fromId, String fromAddress) {
+  void follow(ChangeFeedPoll follow, String fromId, String fromAddress) {
     followers.put(
         fromAddress,
-        new Follower(fromId, fromAddress, surroundings.now() + 3 * Constants.FEED_POLL_MS));
+        new Follower(
+            fromId, fromAddress, surroundings.now() + 3 * ChangeFeedConstants.POLL_INTERVAL_MS));
     if (freshness.isFresh()) {
       unsurePolls.remove(fromAddress);
     } else {
@@ -97,16 +104,16 @@
         follow.coreId().equals(place.id())
             && follow.incarnation() == place.incarnation()
             && follow.number() <= feed.number();
-    List<FeedItem> updates = known ? feed.after(follow.number()) : table.lackedBy(follow);
+    List<MetadataRecord> updates = known ? feed.after(follow.number()) : table.lackedBy(follow);
     if (!known && snapshotUnderWay(fromId, updates)) {
       return;
     }
     // A member that lacks a decision must not count towards the freshness of another one's view.
     boolean confirms = !membership.includes(fromAddress) || !freshness.lacksDecision();
-    sender.reply(
+    sender.send(
         fromAddress,
         fromId,
-        new FeedNews(
+        new ChangeFeedUpdate(
             place.id(),
             place.incarnation(),
             known ? follow.number() : 0,
@@ -122,12 +129,16 @@
    * Whether a snapshot is on its way to this follower already: one that asks again before a large
    * one has arrived over a slow link would be sent it over and over. Small ones are always sent.
    */
-  private boolean snapshotUnderWay(String followerId, List<FeedItem> updates) {
+  private boolean snapshotUnderWay(String followerId, List<MetadataRecord> updates) {
     long now = surroundings.now();
     long bytes = updates.stream().mapToLong(item -> item.value().length).sum();
     long transferMs =
-        Math.min(Constants.CHECKPOINT_KEPT_MS, bytes / Constants.CHECKPOINT_BYTES_A_MS);
-    snapshotSentAt.values().removeIf(sentAt -> now - sentAt > Constants.CHECKPOINT_KEPT_MS);
+        Math.min(
+            ChangeFeedConstants.MAX_SNAPSHOT_TRANSFER_MS,
+            bytes / ChangeFeedConstants.SNAPSHOT_BYTES_PER_MS);
+    snapshotSentAt
+        .values()
+        .removeIf(sentAt -> now - sentAt > ChangeFeedConstants.MAX_SNAPSHOT_TRANSFER_MS);
     Long sentAt = snapshotSentAt.get(followerId);
     if (sentAt != null && now - sentAt < transferMs) {
       return true;
--- a/core-logic/src/main/java/applespindle/corelogic/FeedFreshness.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
@@ -1,6 +1,13 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
-import applespindle.corelogic.Records.CoreMember;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.membership.QuorumPeer;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.replication.LogReplicas;
 import java.util.List;
 
 /**
@@ -8,53 +15,50 @@
  * counts from the oldest of the newest polls that a majority of the members responded to, this node
  * included; members that lack a decision do not count.
  */
-final class FeedFreshness {
+public final class MetadataFreshness {
   /** The age of a view that no update has confirmed. */
   private static final long UNKNOWN_AGE_MS = Long.MAX_VALUE / 4;
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final CoreMembership membership;
-  private final KeyReplicas replicas;
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final QuorumView membership;
+  private final LogReplicas replicas;
 
-  FeedFreshness(
-      Surroundings surroundings,
-      Node.Place place,
-      CoreMembership membership,
-      KeyReplicas replicas) {
+  MetadataFreshness(
+      Environment surroundings, NodeIdentity place, QuorumView membership, LogReplicas replicas) {
     this.surroundings = surroundings;
     this.place = place;
     this.membership = membership;
     this.replicas = replicas;
   }
 
-  boolean isFresh() {
-    return ageMs() < Constants.CORE_SILENT_MS;
+  public boolean isFresh() {
+    return ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
   /**
    * The time since the last updates from a majority of the core. While its members change, from a
    * majority of the next ones too: the change may be done without this node having heard so.
    */
-  long ageMs() {
+  public long ageMs() {
     if (!membership.isMember()) {
       return UNKNOWN_AGE_MS;
     }
     long ofMembers = ageMs(membership.current().members());
-    List<CoreMember> next = membership.current().next();
+    List<QuorumMember> next = membership.current().next();
     return next.isEmpty() ? ofMembers : Math.max(ofMembers, ageMs(next));
   }
 
-  private long ageMs(List<CoreMember> members) {
+  private long ageMs(List<QuorumMember> members) {
     long[] ages = members.stream().mapToLong(this::ageMs).sorted().toArray();
     return ages[ages.length / 2];
   }
 
-  private long ageMs(CoreMember member) {
+  private long ageMs(QuorumMember member) {
     if (member.id().equals(place.id())) {
       return lacksDecision() ? UNKNOWN_AGE_MS : 0;
     }
-    CorePeer peer = membership.peers().get(member.peerAddress());
+    QuorumPeer peer = membership.peers().get(member.peerAddress());
     return peer == null
         ? UNKNOWN_AGE_MS
         : Math.min(surroundings.now() - peer.newsAt, UNKNOWN_AGE_MS);
--- a/core-logic/src/main/java/applespindle/corelogic/CoreTable.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataTable.java
@@ -1,11 +1,13 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Records.EdgeList;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Shard;
-import applespindle.corelogic.Records.StorageState;
+package applespindle.corelogic.changefeed;
+
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.metadata.EdgeList;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.ShardAssignment;
+import applespindle.corelogic.metadata.StorageNodeState;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -18,12 +20,12 @@
  * The newest committed value known of each core key; sequences never fall. What is looked at often
  * is folded once, at its change.
  */
-final class CoreTable {
-  private final Map<String, FeedItem> items = new TreeMap<>();
-  private final SharedDigest sharedDigest = new SharedDigest();
-  private final Map<String, Member> members = new TreeMap<>();
-  private final Map<String, Shard> shards = new TreeMap<>();
-  private final Map<String, StorageState> storageStates = new HashMap<>();
+public final class MetadataTable {
+  private final Map<String, MetadataRecord> items = new TreeMap<>();
+  private final SharedMetadataDigest sharedDigest = new SharedMetadataDigest();
+  private final Map<String, NodeRegistration> members = new TreeMap<>();
+  private final Map<String, ShardAssignment> shards = new TreeMap<>();
+  private final Map<String, StorageNodeState> storageStates = new HashMap<>();
   private EdgeList edges;
 
   /**
@@ -32,11 +34,11 @@
    */
   private final Map<String, String> newestAt = new HashMap<>();
 
-  private List<Member> live;
+  private List<NodeRegistration> live;
 
   /** False if this or a newer value is known. */
-  boolean put(FeedItem item) {
-    FeedItem known = items.get(item.key());
+  public boolean put(MetadataRecord item) {
+    MetadataRecord known = items.get(item.key());
     if (known != null && known.sequence() >= item.sequence()) {
       return false;
     }
@@ -44,21 +46,21 @@
     sharedDigest.replaced(known, item);
     String key = item.key();
     if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
-      fold(Json.read(item.value(), Member.class));
+      fold(Json.read(item.value(), NodeRegistration.class));
     } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
-      shards.put(key, Json.read(item.value(), Shard.class));
+      shards.put(key, Json.read(item.value(), ShardAssignment.class));
     } else if (key.startsWith(MetadataKeys.STORAGE_PREFIX)) {
       storageStates.put(
           key.substring(MetadataKeys.STORAGE_PREFIX.length()),
-          Json.read(item.value(), StorageState.class));
+          Json.read(item.value(), StorageNodeState.class));
     } else if (key.equals(MetadataKeys.EDGE_LIST)) {
       edges = Json.read(item.value(), EdgeList.class);
     }
     return true;
   }
 
-  private void fold(Member member) {
-    Member before = members.put(member.id(), member);
+  private void fold(NodeRegistration member) {
+    NodeRegistration before = members.put(member.id(), member);
     live = null;
     if (member.live() && before == null) {
       newestAt.put(member.peerAddress(), member.id());
@@ -70,15 +72,15 @@
     }
   }
 
-  FeedItem get(String key) {
+  public MetadataRecord get(String key) {
     return items.get(key);
   }
 
-  boolean has(String key) {
+  public boolean has(String key) {
     return items.containsKey(key);
   }
 
-  Collection<FeedItem> all() {
+  Collection<MetadataRecord> all() {
     return items.values();
   }
 
@@ -87,26 +89,27 @@
   }
 
   /** What a follower whose place in the feed is not known here may lack. */
-  List<FeedItem> lackedBy(FeedFollow follow) {
+  List<MetadataRecord> lackedBy(ChangeFeedPoll follow) {
     boolean sameShared = follow.sharedDigest() == sharedDigest.value();
     return items.values().stream()
-        .filter(item -> !(sameShared && SharedDigest.covers(item.key())) && !follow.holds(item))
+        .filter(
+            item -> !(sameShared && SharedMetadataDigest.covers(item.key())) && !follow.holds(item))
         .toList();
   }
 
-  Stream<FeedItem> under(String prefix) {
+  public Stream<MetadataRecord> under(String prefix) {
     return items.values().stream().filter(item -> item.key().startsWith(prefix));
   }
 
-  Member member(String id) {
+  NodeRegistration member(String id) {
     return members.get(id);
   }
 
-  Collection<Member> members() {
+  public Collection<NodeRegistration> members() {
     return members.values();
   }
 
-  List<Member> live() {
+  public List<NodeRegistration> live() {
     if (live == null) {
       live =
           members.values().stream()
@@ -116,31 +119,31 @@
     return live;
   }
 
-  List<Member> live(String role) {
+  public List<NodeRegistration> live(String role) {
     return live().stream().filter(member -> member.role().equals(role)).toList();
   }
 
   /** Another member has joined at this one's address since. */
-  boolean displaced(String id) {
-    Member member = members.get(id);
+  public boolean displaced(String id) {
+    NodeRegistration member = members.get(id);
     return member != null && !id.equals(newestAt.getOrDefault(member.peerAddress(), id));
   }
 
-  Optional<Member> liveAt(String peerAddress) {
+  public Optional<NodeRegistration> liveAt(String peerAddress) {
     return live().stream().filter(member -> member.peerAddress().equals(peerAddress)).findFirst();
   }
 
   /** By key. */
-  Map<String, Shard> shards() {
+  public Map<String, ShardAssignment> shards() {
     return shards;
   }
 
-  StorageState storageState(String id) {
-    return storageStates.getOrDefault(id, new StorageState(id, "", StorageState.ACTIVE));
+  public StorageNodeState storageState(String id) {
+    return storageStates.getOrDefault(id, new StorageNodeState(id, "", StorageNodeState.ACTIVE));
   }
 
-  boolean active(String id) {
-    return storageState(id).state().equals(StorageState.ACTIVE);
+  public boolean active(String id) {
+    return storageState(id).state().equals(StorageNodeState.ACTIVE);
   }
 
   EdgeList edges() {
--- a/core-logic/src/main/java/applespindle/corelogic/SharedDigest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/SharedMetadataDigest.java
@@ -1,6 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
-import applespindle.corelogic.Message.FeedItem;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 
 /**
  * Sum over a table's shared keys of a mix of key and sequence. Two tables with equal ones hold the
@@ -8,25 +10,25 @@
  * kilobytes. Members are not among the shared keys: they come and go all the time, and nobody's yes
  * rests on them.
  */
-final class SharedDigest {
+public final class SharedMetadataDigest {
   private long sum;
 
-  static boolean covers(String key) {
+  public static boolean covers(String key) {
     return !key.startsWith(MetadataKeys.MEMBER_PREFIX);
   }
 
   /** A value took the place of an older one; known is null where the key is new. */
-  void replaced(FeedItem known, FeedItem newer) {
+  public void replaced(MetadataRecord known, MetadataRecord newer) {
     if (covers(newer.key())) {
       sum += mixOf(newer) - (known == null ? 0 : mixOf(known));
     }
   }
 
-  long value() {
+  public long value() {
     return sum;
   }
 
-  private static long mixOf(FeedItem item) {
-    return Rendezvous.hash(item.key() + " " + item.sequence());
+  private static long mixOf(MetadataRecord item) {
+    return RendezvousHashing.hash(item.key() + " " + item.sequence());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/NewsInForce.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
@@ -1,6 +1,10 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
-import applespindle.corelogic.Message.KeysKnown;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.constants.ChangeFeedConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.protocol.Message.AppliedPositions;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -22,23 +26,23 @@
  * core, the wait is short and nothing more is asked of the others: the feed brings such an edge the
  * news well within the time that it may still use older ones.
  */
-final class NewsInForce {
+public final class UpdateAcknowledgements {
   /** The listed edges by address, and the addresses of all that hold a grant, with their names. */
-  record Edges(List<String> listed, Map<String, String> live) {
+  public record KnownEdges(List<String> listed, Map<String, String> live) {
     /** The edges as committed and known here. */
-    static Edges of(CoreTable table) {
+    public static KnownEdges of(MetadataTable table) {
       Map<String, String> live = new TreeMap<>();
       table.live("edge").forEach(member -> live.put(member.peerAddress(), member.name()));
       List<String> listed = table.edges() == null ? List.of() : table.edges().addresses();
-      return new Edges(listed, live);
+      return new KnownEdges(listed, live);
     }
   }
 
-  private record Waiting(
+  private record PendingAcknowledgement(
       String key, long sequence, long begunAt, ObjectNode body, Consumer<Response> then) {}
 
-  private final Surroundings surroundings;
-  private final Supplier<Edges> edges;
+  private final Environment surroundings;
+  private final Supplier<KnownEdges> edges;
 
   /**
    * Whether this core node hears a majority of the core now; without that its list of edges may be
@@ -54,7 +58,7 @@
    */
   private final Map<String, Map<String, Long>> knownPlaces = new HashMap<>();
 
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<PendingAcknowledgement> waiting = new ArrayList<>();
 
   /**
    * Whether edges that are cut off from the core count too; else only a core that hears a majority
@@ -62,10 +66,10 @@
    */
   private final boolean edgesConfirm;
 
-  NewsInForce(
-      Surroundings surroundings,
+  public UpdateAcknowledgements(
+      Environment surroundings,
       boolean edgesConfirm,
-      Supplier<Edges> edges,
+      Supplier<KnownEdges> edges,
       BooleanSupplier hearsCore,
       Consumer<String> askEdge) {
     this.edgesConfirm = edgesConfirm;
@@ -75,7 +79,7 @@
     this.askEdge = askEdge;
   }
 
-  void known(KeysKnown known) {
+  public void known(AppliedPositions known) {
     Map<String, Long> places =
         knownPlaces.computeIfAbsent(known.edgeAddress(), unseen -> new HashMap<>());
     known.places().forEach(place -> places.merge(place.key(), place.sequence(), Math::max));
@@ -86,17 +90,17 @@
     return knownPlaces.getOrDefault(address, Map.of()).getOrDefault(key, 0L) >= sequence;
   }
 
-  boolean knownToMost(String key, long sequence) {
+  public boolean knownToMost(String key, long sequence) {
     return mostKnow(edges.get(), key, sequence);
   }
 
-  private boolean mostKnow(Edges present, String key, long sequence) {
+  private boolean mostKnow(KnownEdges present, String key, long sequence) {
     return present.listed().stream().filter(address -> knows(address, key, sequence)).count() * 2
         > present.listed().size();
   }
 
-  void await(String key, long sequence, ObjectNode body, Consumer<Response> then) {
-    waiting.add(new Waiting(key, sequence, surroundings.now(), body, then));
+  public void await(String key, long sequence, ObjectNode body, Consumer<Response> then) {
+    waiting.add(new PendingAcknowledgement(key, sequence, surroundings.now(), body, then));
     tick();
   }
 
@@ -104,9 +108,9 @@
    * Asks the edges that are waited for again: a message may be lost, and this process may be new to
    * its duty.
    */
-  void tick() {
+  public void tick() {
     settle();
-    Edges present = edges.get();
+    KnownEdges present = edges.get();
     knownPlaces
         .keySet()
         .removeIf(
@@ -123,12 +127,12 @@
    * A process that just took its duty up has heard no edge yet, and the next change of the list
    * needs them.
    */
-  private boolean knowsAnything(Edges present) {
+  private boolean knowsAnything(KnownEdges present) {
     return present.listed().stream().filter(knownPlaces::containsKey).count() * 2
         > present.listed().size();
   }
 
-  private Set<String> missing(Edges present, Waiting each) {
+  private Set<String> missing(KnownEdges present, PendingAcknowledgement each) {
     Set<String> missing = new TreeSet<>(present.listed());
     missing.addAll(present.live().keySet());
     missing.removeIf(address -> knows(address, each.key(), each.sequence()));
@@ -139,16 +143,18 @@
     if (waiting.isEmpty()) {
       return;
     }
-    Edges present = edges.get();
+    KnownEdges present = edges.get();
     List<Runnable> told = new ArrayList<>();
     waiting.removeIf(
         each -> {
           Set<String> missing = missing(present, each);
           long waited = surroundings.now() - each.begunAt();
-          boolean waitedLong = waited >= Constants.IN_FORCE_MS;
+          boolean waitedLong = waited >= ChangeFeedConstants.ALL_EDGES_WAIT_MS;
           boolean enough =
               missing.isEmpty()
-                  || (edgesConfirm ? waitedLong : waited >= Constants.IN_FORCE_SHORT_MS);
+                  || (edgesConfirm
+                      ? waitedLong
+                      : waited >= ChangeFeedConstants.CONNECTED_EDGES_WAIT_MS);
           boolean inForce =
               enough
                   && hearsCore.getAsBoolean()
@@ -172,7 +178,7 @@
                       .accept(
                           inForce
                               ? Response.of(200, each.body())
-                              : Response.of(new Fault.OutcomeUnknown(each.key()))));
+                              : Response.of(new ApiError.OutcomeUnknown(each.key()))));
           return true;
         });
     told.forEach(Runnable::run);
--- a/core-logic/src/main/java/applespindle/corelogic/HttpSyntax.java
+++ b/core-logic/src/main/java/applespindle/corelogic/common/HttpSyntax.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.common;
 
 /**
  * What the parts of an HTTP/1.1 head may consist of (RFC 9110, 5.6.2 and 5.5; RFC 9112, 3.2). Heads
--- a/core-logic/src/main/java/applespindle/corelogic/Json.java
+++ b/core-logic/src/main/java/applespindle/corelogic/common/Json.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.common;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -20,7 +20,7 @@
   public static byte[] bytes(Object value) {
     try {
       byte[] bytes = JSON.writeValueAsBytes(value);
-      JsonMeter.passed(bytes.length);
+      JsonSizeObserver.passed(bytes.length);
       return bytes;
     } catch (JsonProcessingException fault) {
       throw new UncheckedIOException(fault);
@@ -29,7 +29,7 @@
 
   /** Reads what this system wrote itself; a fault here is a defect or a corrupt record. */
   public static <T> T read(byte[] bytes, Class<T> type) {
-    JsonMeter.passed(bytes.length);
+    JsonSizeObserver.passed(bytes.length);
     try {
       return JSON.readValue(bytes, type);
     } catch (IOException fault) {
--- a/core-logic/src/main/java/applespindle/corelogic/JsonMeter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/common/JsonSizeObserver.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.common;
 
 import java.util.function.IntConsumer;
 
@@ -8,7 +8,7 @@
  * asks for it. Conversions between objects and trees, and what uses the mapper directly, are not
  * seen.
  */
-public final class JsonMeter {
+public final class JsonSizeObserver {
   private static final ThreadLocal<IntConsumer> OBSERVER = new ThreadLocal<>();
 
   /**
@@ -31,5 +31,5 @@
     }
   }
 
-  private JsonMeter() {}
+  private JsonSizeObserver() {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/Rendezvous.java
+++ b/core-logic/src/main/java/applespindle/corelogic/common/RendezvousHashing.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.common;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 
 /** The agreed order of nodes for a key: highest random weight first. */
-public final class Rendezvous {
+public final class RendezvousHashing {
   public static List<String> order(String key, Collection<String> nodes) {
     return weighted(key, nodes).sorted(HEAVIEST_FIRST).map(Weighted::node).toList();
   }
@@ -26,7 +26,7 @@
     return nodes.stream().map(node -> new Weighted(node, mix(keyHash ^ mix(hash(node)))));
   }
 
-  static long hash(String text) {
+  public static long hash(String text) {
     long hash = 0xcbf29ce484222325L;
     for (byte one : text.getBytes(StandardCharsets.UTF_8)) {
       hash = (hash ^ (one & 0xff)) * 0x100000001b3L;
@@ -34,11 +34,11 @@
     return mix(hash);
   }
 
-  static long mix(long value) {
+  public static long mix(long value) {
     value = (value ^ (value >>> 33)) * 0xff51afd7ed558ccdL;
     value = (value ^ (value >>> 33)) * 0xc4ceb9fe1a85ec53L;
     return value ^ (value >>> 33);
   }
 
-  private Rendezvous() {}
+  private RendezvousHashing() {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/CompiledRules.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /** A bundle's rules as a short program, and the small interpreter that runs it for each request. */
-final class CompiledRules {
+public final class CompiledRules {
   enum Operation {
     MODEL_IS,
     SENDER_IS,
@@ -24,11 +24,12 @@
       String name,
       String text,
       int number,
-      WhenExpression when,
-      Bundle.Rule rule,
+      RuleCondition when,
+      RoutingConfiguration.Rule rule,
       int elseGoTo) {}
 
-  record Subject(
+  /** The properties of a live request that conditions of rules are evaluated against. */
+  public record Subject(
       String model,
       String sender,
       String trafficClass,
@@ -37,9 +38,9 @@
 
   private final List<Instruction> program = new ArrayList<>();
 
-  static CompiledRules compile(Bundle bundle) {
+  public static CompiledRules compile(RoutingConfiguration bundle) {
     CompiledRules compiled = new CompiledRules();
-    for (Bundle.Rule rule : bundle.rules()) {
+    for (RoutingConfiguration.Rule rule : bundle.rules()) {
       List<Instruction> tests = compiled.tests(rule);
       int nextRule = compiled.program.size() + tests.size() + 1;
       tests.forEach(
@@ -58,14 +59,14 @@
     return compiled;
   }
 
-  private List<Instruction> tests(Bundle.Rule rule) {
+  private List<Instruction> tests(RoutingConfiguration.Rule rule) {
     List<Instruction> tests = new ArrayList<>();
     if (rule.when() != null) {
       tests.add(
           new Instruction(
-              Operation.WHEN_HOLDS, "", "", 0, WhenExpression.compile(rule.when()), null, 0));
+              Operation.WHEN_HOLDS, "", "", 0, RuleCondition.compile(rule.when()), null, 0));
     }
-    Bundle.Match match = rule.match();
+    RoutingConfiguration.Match match = rule.match();
     if (match == null) {
       return tests;
     }
@@ -95,7 +96,7 @@
   }
 
   /** The way of the first rule that fits, or null. */
-  Bundle.Way run(Subject subject) {
+  public RoutingConfiguration.RoutingAction run(Subject subject) {
     int at = 0;
     while (at < program.size()) {
       Instruction instruction = program.get(at);
--- a/core-logic/src/main/java/applespindle/corelogic/ConfigurationFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
@@ -1,5 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
@@ -13,7 +15,7 @@
   }
 
   /** Either the bytes of the bundle that a configuration stands for, or what is wrong with it. */
-  record Whole(byte[] bundle, List<Fault.Field> faults) {}
+  record ParsedConfiguration(byte[] bundle, List<ApiError.Field> faults) {}
 
   /** The field that holds the revision. */
   String revisionField();
@@ -29,9 +31,9 @@
   ObjectNode written(byte[] bundle);
 
   /** Reads and checks a configuration whole. */
-  Whole read(ObjectNode whole);
+  ParsedConfiguration read(ObjectNode whole);
 
-  /** The product's own: a {@link Bundle} as JSON. */
+  /** The product's own: a {@link RoutingConfiguration} as JSON. */
   ConfigurationFormat OWN =
       new ConfigurationFormat() {
         @Override
@@ -51,11 +53,12 @@
         }
 
         @Override
-        public Whole read(ObjectNode whole) {
+        public ParsedConfiguration read(ObjectNode whole) {
           byte[] bytes = Json.bytes(whole);
-          return Bundle.check(bytes).fault() instanceof Fault.InvalidBundle invalid
-              ? new Whole(null, invalid.fields())
-              : new Whole(bytes, List.of());
+          return RoutingConfiguration.check(bytes).fault()
+                  instanceof ApiError.InvalidConfiguration invalid
+              ? new ParsedConfiguration(null, invalid.fields())
+              : new ParsedConfiguration(bytes, List.of());
         }
       };
 }
--- a/core-logic/src/main/java/applespindle/corelogic/ConfigurationPatch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationPatch.java
@@ -1,6 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
-import applespindle.corelogic.ConfigurationFormat.Collection;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationFormat.Collection;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -23,14 +25,14 @@
   private static final String NAME = "name";
 
   /** Either a patch and no faults, or faults and no patch. */
-  public record Read(ConfigurationPatch patch, List<Fault.Field> faults) {}
+  public record ParsedPatch(ConfigurationPatch patch, List<ApiError.Field> faults) {}
 
   /** Either the whole configuration that results and no faults, or faults and no configuration. */
-  public record Applied(ObjectNode whole, List<Fault.Field> faults) {}
+  public record PatchResult(ObjectNode whole, List<ApiError.Field> faults) {}
 
   private final ConfigurationFormat format;
   private final JsonNode tree;
-  private final List<Fault.Field> faults = new ArrayList<>();
+  private final List<ApiError.Field> faults = new ArrayList<>();
 
   private ConfigurationPatch(ConfigurationFormat format, JsonNode tree) {
     this.format = format;
@@ -38,7 +40,7 @@
   }
 
   /** Reads a patch and names all that is wrong with it by itself, by JSON path. */
-  public static Read read(ConfigurationFormat format, byte[] bytes) {
+  public static ParsedPatch read(ConfigurationFormat format, byte[] bytes) {
     JsonNode tree;
     try {
       tree = Json.JSON.readTree(bytes);
@@ -51,12 +53,12 @@
     ConfigurationPatch patch = new ConfigurationPatch(format, tree);
     patch.check();
     return patch.faults.isEmpty()
-        ? new Read(patch, List.of())
-        : new Read(null, List.copyOf(patch.faults));
+        ? new ParsedPatch(patch, List.of())
+        : new ParsedPatch(null, List.copyOf(patch.faults));
   }
 
-  private static Read refused(String path, String reason) {
-    return new Read(null, List.of(new Fault.Field(path, reason)));
+  private static ParsedPatch refused(String path, String reason) {
+    return new ParsedPatch(null, List.of(new ApiError.Field(path, reason)));
   }
 
   /** The revision that the configuration gets by this patch. */
@@ -153,7 +155,7 @@
   }
 
   private void fault(String path, String reason) {
-    faults.add(new Fault.Field(path, reason));
+    faults.add(new ApiError.Field(path, reason));
   }
 
   /**
@@ -162,9 +164,9 @@
    * @param present the configuration that the patch builds on, left as it is; empty before the
    *     first one
    */
-  public Applied applyTo(ObjectNode present) {
+  public PatchResult applyTo(ObjectNode present) {
     ObjectNode whole = present.deepCopy();
-    List<Fault.Field> missing = new ArrayList<>();
+    List<ApiError.Field> missing = new ArrayList<>();
     whole.set(format.revisionField(), tree.get(format.revisionField()));
     for (Map.Entry<String, JsonNode> change : changes(REMOVE)) {
       String collection = change.getKey();
@@ -172,14 +174,14 @@
         String name = change.getValue().get(index).asText();
         if (!remove(whole.path(collection), name)) {
           String path = "$." + REMOVE + "." + collection + "[" + index + "]";
-          missing.add(new Fault.Field(path, "names nothing that is there: " + name));
+          missing.add(new ApiError.Field(path, "names nothing that is there: " + name));
         }
       }
     }
     for (Map.Entry<String, JsonNode> change : changes(UPSERT)) {
       upsert(whole, change.getKey(), change.getValue());
     }
-    return missing.isEmpty() ? new Applied(whole, List.of()) : new Applied(null, missing);
+    return missing.isEmpty() ? new PatchResult(whole, List.of()) : new PatchResult(null, missing);
   }
 
   private static boolean remove(JsonNode items, String name) {
--- a/core-logic/src/main/java/applespindle/corelogic/SentPatch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationPatchRequest.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 
@@ -10,4 +10,5 @@
  * @param signature where configurations are signed: of the whole configuration that results
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record SentPatch(byte[] bytes, long buildsOn, String keyId, byte[] signature) {}
+public record ConfigurationPatchRequest(
+    byte[] bytes, long buildsOn, String keyId, byte[] signature) {}
--- a/core-logic/src/main/java/applespindle/corelogic/RouteTable.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RouteTable.java
@@ -1,7 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Bundle.RouteType;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,19 +13,19 @@
  * What a bundle says of opaque requests, as it is looked up: its routes by host, each host's
  * longest prefix first.
  */
-final class RouteTable {
-  static final RouteTable EMPTY = new RouteTable();
+public final class RouteTable {
+  public static final RouteTable EMPTY = new RouteTable();
 
   private final Map<String, List<Route>> byHost = new HashMap<>();
 
   /** By pool, the shortest pause between events that any route demands there. */
   private final Map<String, Long> gapTargets = new HashMap<>();
 
-  static RouteTable compile(Bundle bundle) {
+  public static RouteTable compile(RoutingConfiguration bundle) {
     return compile(bundle.routes());
   }
 
-  static RouteTable compile(List<Route> routes) {
+  public static RouteTable compile(List<Route> routes) {
     RouteTable table = new RouteTable();
     for (Route route : routes) {
       table.byHost.computeIfAbsent(host(route.host()), unseen -> new ArrayList<>()).add(route);
@@ -47,7 +47,7 @@
   }
 
   /** The route whose prefix begins the path and is longest, or null. */
-  Route find(String host, String path) {
+  public Route find(String host, String path) {
     for (Route route : byHost.getOrDefault(host(host), List.of())) {
       if (path.startsWith(route.pathPrefix())) {
         return route;
@@ -57,13 +57,13 @@
   }
 
   /** The same if it is a batch route, else null. */
-  Route findBatch(String host, String path) {
+  public Route findBatch(String host, String path) {
     Route route = find(host, path);
     return route != null && route.type() == RouteType.BATCH ? route : null;
   }
 
   /** 0 where no route demands any. */
-  long gapTargetMs(String pool) {
+  public long gapTargetMs(String pool) {
     return gapTargets.getOrDefault(pool, 0L);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/Bundle.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -1,5 +1,11 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.ConstraintChecker;
+import applespindle.corelogic.api.InputReader;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.SizeLimits;
 import com.fasterxml.jackson.databind.JsonNode;
 import jakarta.validation.Valid;
 import jakarta.validation.constraints.DecimalMax;
@@ -26,7 +32,7 @@
 import java.util.Set;
 
 /** The operators' routing configuration, as signed off under one number. */
-public record Bundle(
+public record RoutingConfiguration(
     @Min(1) long number,
     @NotEmpty Map<String, @Valid @NotNull Pool> pools,
     @NotNull List<@Valid @NotNull Rule> rules,
@@ -65,17 +71,17 @@
       @Min(0) @Max(100) int rank,
       boolean sticky,
       boolean resumable,
-      @NotEmpty List<@Valid @NotNull Share> split,
+      @NotEmpty List<@Valid @NotNull PoolWeight> split,
       @Min(0) long completionTargetMs,
       @Min(0) long retentionMs,
       @Min(0) long waitingTokensMost) {
-    boolean sendsTo(String pool) {
+    public boolean sendsTo(String pool) {
       return split.stream().anyMatch(share -> share.pool().equals(pool) && share.weight() > 0);
     }
   }
 
   /** A pool's part of a route's requests. */
-  public record Share(@NotBlank String pool, @Min(0) @Max(1_000_000) int weight) {}
+  public record PoolWeight(@NotBlank String pool, @Min(0) @Max(1_000_000) int weight) {}
 
   /** What a client may send and how long it may take; 0 means the program's own limit. */
   public record ClientLimits(
@@ -85,7 +91,8 @@
       @Min(0) long idleTimeoutMs) {}
 
   /** A bundle of rules alone. */
-  public Bundle(long number, Map<String, Pool> pools, List<Rule> rules, Limits limits) {
+  public RoutingConfiguration(
+      long number, Map<String, Pool> pools, List<Rule> rules, Limits limits) {
     this(number, pools, rules, limits, null, null, null);
   }
 
@@ -114,8 +121,8 @@
   public record Rule(
       @NotBlank String name,
       @Valid Match match,
-      @Size(max = WhenExpression.LENGTH_MOST) String when,
-      @NotNull @Valid Way way) {}
+      @Size(max = RuleCondition.LENGTH_MOST) String when,
+      @NotNull @Valid RoutingAction way) {}
 
   /** Every field given must fit; a rule without a match and without a when fits all. */
   public record Match(
@@ -127,7 +134,7 @@
       @Min(0) Integer promptCharsLeast) {}
 
   /** Where matching requests go: pool, traffic class, deadline and retries. */
-  public record Way(
+  public record RoutingAction(
       @NotBlank String pool,
       @NotBlank String trafficClass,
       @Min(1) @Max(600_000) long expiryMs,
@@ -150,45 +157,47 @@
       boolean cancelForLive,
       @Min(1) @Max(3_600_000) long itemExpiryMs,
       @Min(1_000) Long retentionMs) {
-    long keptMs() {
-      return retentionMs == null ? Constants.RETENTION_MS : retentionMs;
+    public long keptMs() {
+      return retentionMs == null ? BatchConstants.DEFAULT_RETENTION_MS : retentionMs;
     }
   }
 
-  private static final Fault.Field LEADS_NOWHERE =
-      new Fault.Field("$.rules", "must not be empty where there are no routes");
+  private static final ApiError.Field LEADS_NOWHERE =
+      new ApiError.Field("$.rules", "must not be empty where there are no routes");
 
   /** What the checks in order came to: a bundle, or the one fault that ended them. */
-  public record Checked(Bundle bundle, Fault fault) {}
+  public record ValidationResult(RoutingConfiguration bundle, ApiError fault) {}
 
-  public static Checked check(
+  public static ValidationResult check(
       byte[] bytes, String signerKeyId, byte[] signature, Map<String, String> operatorKeys) {
-    if (bytes.length > Constants.BODY_BYTES_MOST) {
-      return new Checked(null, new Fault.InputTooLarge(Constants.BODY_BYTES_MOST));
+    if (bytes.length > SizeLimits.MAX_BODY_BYTES) {
+      return new ValidationResult(null, new ApiError.InputTooLarge(SizeLimits.MAX_BODY_BYTES));
     }
     String operatorKey = operatorKeys.get(signerKeyId);
     if (operatorKey == null) {
-      return new Checked(null, new Fault.SignatureRefused("unknown signer key id"));
+      return new ValidationResult(null, new ApiError.SignatureRejected("unknown signer key id"));
     }
     if (!signatureFits(bytes, signature, operatorKey)) {
-      return new Checked(null, new Fault.SignatureRefused("the signature does not fit the bytes"));
+      return new ValidationResult(
+          null, new ApiError.SignatureRejected("the signature does not fit the bytes"));
     }
     return check(bytes);
   }
 
   /** The checks without the signature: JSON, field rules, then what only the whole shows. */
-  public static Checked check(byte[] bytes) {
-    Bundle written = writtenByThisProgram(bytes);
-    if (written != null && ConstraintCheck.passes(written)) {
+  public static ValidationResult check(byte[] bytes) {
+    RoutingConfiguration written = writtenByThisProgram(bytes);
+    if (written != null && ConstraintChecker.passes(written)) {
       return whole(new InputReader.Input<>(written, List.of()));
     }
-    InputReader.Input<Bundle> input = InputReader.read(bytes, Bundle.class);
+    InputReader.Input<RoutingConfiguration> input =
+        InputReader.read(bytes, RoutingConfiguration.class);
     if (input.good() || !leadsNowhere(bytes)) {
       return whole(input);
     }
-    List<Fault.Field> faults = new ArrayList<>(input.faults());
+    List<ApiError.Field> faults = new ArrayList<>(input.faults());
     faults.add(LEADS_NOWHERE);
-    return new Checked(null, new Fault.InvalidBundle(faults));
+    return new ValidationResult(null, new ApiError.InvalidConfiguration(faults));
   }
 
   /**
@@ -211,10 +220,10 @@
    * program may not know. Every edge does this with each new bundle on a part of a processor, so
    * one that can be read whole is compared with nothing field by field.
    */
-  static Checked kept(byte[] bytes) {
-    Bundle bundle = readWhole(bytes);
+  public static ValidationResult kept(byte[] bytes) {
+    RoutingConfiguration bundle = readWhole(bytes);
     return bundle == null
-        ? whole(InputReader.readKept(bytes, Bundle.class))
+        ? whole(InputReader.readKept(bytes, RoutingConfiguration.class))
         : whole(new InputReader.Input<>(bundle, List.of()));
   }
 
@@ -222,26 +231,26 @@
    * The bundle if the bytes are exactly what this program writes for it, as a door of its own does:
    * then no field is missing, unknown or of another type. Else null.
    */
-  private static Bundle writtenByThisProgram(byte[] bytes) {
-    Bundle bundle = readWhole(bytes);
+  private static RoutingConfiguration writtenByThisProgram(byte[] bytes) {
+    RoutingConfiguration bundle = readWhole(bytes);
     return bundle != null && Arrays.equals(Json.bytes(bundle), bytes) ? bundle : null;
   }
 
   /** Null unless all that stands there is understood and all that a bundle must have is there. */
-  private static Bundle readWhole(byte[] bytes) {
+  private static RoutingConfiguration readWhole(byte[] bytes) {
     try {
-      Bundle bundle = Json.JSON.readValue(bytes, Bundle.class);
+      RoutingConfiguration bundle = Json.JSON.readValue(bytes, RoutingConfiguration.class);
       return bundle.pools == null || bundle.rules == null || bundle.limits == null ? null : bundle;
     } catch (IOException notUnderstood) {
       return null;
     }
   }
 
-  private static Checked whole(InputReader.Input<Bundle> input) {
-    List<Fault.Field> faults = input.good() ? input.value().wholeFaults() : input.faults();
+  private static ValidationResult whole(InputReader.Input<RoutingConfiguration> input) {
+    List<ApiError.Field> faults = input.good() ? input.value().wholeFaults() : input.faults();
     return faults.isEmpty()
-        ? new Checked(input.value(), null)
-        : new Checked(null, new Fault.InvalidBundle(faults));
+        ? new ValidationResult(input.value(), null)
+        : new ValidationResult(null, new ApiError.InvalidConfiguration(faults));
   }
 
   private static boolean signatureFits(byte[] bytes, byte[] signature, String operatorKey) {
@@ -258,8 +267,8 @@
     }
   }
 
-  private List<Fault.Field> wholeFaults() {
-    List<Fault.Field> faults = new ArrayList<>();
+  private List<ApiError.Field> wholeFaults() {
+    List<ApiError.Field> faults = new ArrayList<>();
     if (rules.isEmpty() && routes().isEmpty()) {
       faults.add(LEADS_NOWHERE);
     }
@@ -269,38 +278,38 @@
       String path = "$.routes[" + index + "]";
       if (!places.add(route.host().toLowerCase(Locale.ROOT) + " " + route.pathPrefix())) {
         faults.add(
-            new Fault.Field(
+            new ApiError.Field(
                 path + ".pathPrefix", "is the host and prefix of an earlier route too"));
       }
-      if (route.split().stream().mapToLong(Share::weight).sum() == 0) {
-        faults.add(new Fault.Field(path + ".split", "has no weight"));
+      if (route.split().stream().mapToLong(PoolWeight::weight).sum() == 0) {
+        faults.add(new ApiError.Field(path + ".split", "has no weight"));
       }
-      for (Share share : route.split()) {
+      for (PoolWeight share : route.split()) {
         if (!pools.containsKey(share.pool())) {
           faults.add(
-              new Fault.Field(path + ".split", "names no pool of this bundle: " + share.pool()));
+              new ApiError.Field(path + ".split", "names no pool of this bundle: " + share.pool()));
         }
       }
     }
     for (int index = 0; index < rules.size(); index++) {
-      Way way = rules.get(index).way();
+      RoutingAction way = rules.get(index).way();
       if (rules.get(index).when() != null) {
         String path = "$.rules[" + index + "].when";
-        WhenExpression.faults(rules.get(index).when())
-            .forEach(fault -> faults.add(new Fault.Field(path, fault)));
+        RuleCondition.faults(rules.get(index).when())
+            .forEach(fault -> faults.add(new ApiError.Field(path, fault)));
       }
       if (!pools.containsKey(way.pool())) {
         faults.add(
-            new Fault.Field("$.rules[" + index + "].way.pool", "names no pool of this bundle"));
+            new ApiError.Field("$.rules[" + index + "].way.pool", "names no pool of this bundle"));
       }
       if (!limits.classes().containsKey(way.trafficClass())) {
         faults.add(
-            new Fault.Field(
+            new ApiError.Field(
                 "$.rules[" + index + "].way.trafficClass", "names no class of this bundle"));
       }
     }
     if (!pools.containsKey(limits.batch().pool())) {
-      faults.add(new Fault.Field("$.limits.batch.pool", "names no pool of this bundle"));
+      faults.add(new ApiError.Field("$.limits.batch.pool", "names no pool of this bundle"));
     }
     return faults;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/WhenExpression.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
 import dev.cel.common.CelOptions;
 import dev.cel.common.CelValidationException;
@@ -17,7 +17,7 @@
  * A rule's condition in CEL, checked for its types when the bundle is checked. Only the has()
  * macro: no loops.
  */
-final class WhenExpression {
+final class RuleCondition {
   static final int LENGTH_MOST = 500;
   private static final int DEPTH_MOST = 32;
 
@@ -43,7 +43,7 @@
 
   private final CelRuntime.Program program;
 
-  private WhenExpression(CelRuntime.Program program) {
+  private RuleCondition(CelRuntime.Program program) {
     this.program = program;
   }
 
@@ -68,9 +68,9 @@
     }
   }
 
-  static WhenExpression compile(String text) {
+  static RuleCondition compile(String text) {
     try {
-      return new WhenExpression(RUNTIME.createProgram(COMPILER.compile(text).getAst()));
+      return new RuleCondition(RUNTIME.createProgram(COMPILER.compile(text).getAst()));
     } catch (CelValidationException | CelEvaluationException fault) {
       throw new IllegalStateException("an unchecked expression", fault);
     }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchRoomLedger.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
@@ -1,7 +1,11 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import applespindle.corelogic.Records.Room;
-import applespindle.corelogic.Records.RoomChange;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.BatchCapacityChange;
+import applespindle.corelogic.metadata.BatchCapacityUsage;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,9 +16,9 @@
  * Invariant: a batch is listed only while it has unfinished items, and has a group only while it is
  * listed.
  */
-final class BatchRoomLedger {
+final class BatchCapacityLedger {
   /** An event to append: one batch's change, or now and then the whole ledger. */
-  record Event(boolean whole, byte[] content) {}
+  record LedgerEvent(boolean whole, byte[] content) {}
 
   private final Map<String, Long> items = new LinkedHashMap<>();
 
@@ -26,16 +30,16 @@
 
   private int changesSinceWhole;
 
-  void replay(Entry entry) {
+  void replay(LogEntry entry) {
     if (entry.whole()) {
-      Room whole = Json.read(entry.event(), Room.class);
+      BatchCapacityUsage whole = Json.read(entry.event(), BatchCapacityUsage.class);
       items.clear();
       items.putAll(whole.items());
       groups.clear();
       groups.putAll(whole.groups());
       return;
     }
-    RoomChange change = Json.read(entry.event(), RoomChange.class);
+    BatchCapacityChange change = Json.read(entry.event(), BatchCapacityChange.class);
     apply(change.batch(), change.items(), change.group());
   }
 
@@ -52,17 +56,17 @@
   }
 
   /** Sets a batch's unfinished items; the event that records this is to be appended at once. */
-  Event set(String batch, long unfinished, String group) {
+  LedgerEvent set(String batch, long unfinished, String group) {
     apply(batch, unfinished, group);
     if (unfinished == 0) {
       touchedAt.remove(batch);
     }
     changesSinceWhole++;
-    if (changesSinceWhole < Constants.WHOLE_STATE_EVERY) {
-      return new Event(false, Json.bytes(new RoomChange(batch, unfinished, group)));
+    if (changesSinceWhole < ReplicationConstants.SNAPSHOT_INTERVAL_ENTRIES) {
+      return new LedgerEvent(false, Json.bytes(new BatchCapacityChange(batch, unfinished, group)));
     }
     changesSinceWhole = 0;
-    return new Event(true, Json.bytes(new Room(items, groups)));
+    return new LedgerEvent(true, Json.bytes(new BatchCapacityUsage(items, groups)));
   }
 
   long itemsOf(String batch) {
@@ -95,7 +99,8 @@
     return items.keySet().stream()
         .filter(
             batch ->
-                now - touchedAt.computeIfAbsent(batch, unseen -> now) >= Constants.ROOM_AUDIT_MS)
+                now - touchedAt.computeIfAbsent(batch, unseen -> now)
+                    >= BatchConstants.CAPACITY_AUDIT_INTERVAL_MS)
         .toList();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/BatchRoomDuty.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
@@ -1,10 +1,17 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.Unfinished;
-import applespindle.corelogic.Records.Member;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.protocol.Message.LeaderlessBatches;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.MessageSender;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
@@ -13,11 +20,11 @@
  * ceiling, and audits entries of which nobody speaks any more. Invariant: only a first reservation
  * is ever refused, and a refusal writes nothing.
  */
-final class BatchRoomDuty {
+final class BatchCapacityManager {
   /** A batch's leader says how many items are unfinished; a reservation may be refused. */
   private record RoomRequest(
       String batch, long items, long ceiling, boolean reserves, String group) {
-    static RoomRequest parse(JsonNode body, BatchRoomLedger ledger) {
+    static RoomRequest parse(JsonNode body, BatchCapacityLedger ledger) {
       String batch = body.get("batch").asText();
       return new RoomRequest(
           batch,
@@ -32,27 +39,27 @@
     }
   }
 
-  private final Surroundings surroundings;
-  private final CoreTable table;
-  private final CommandReplies replies;
-  private final KeyReplicas.Replies sender;
-  private final RoomPace pace;
+  private final Environment surroundings;
+  private final MetadataTable table;
+  private final CommandResponder replies;
+  private final MessageSender sender;
+  private final CapacityReleaseRate pace;
 
-  BatchRoomDuty(
-      Surroundings surroundings,
-      CoreTable table,
-      CommandReplies replies,
-      KeyReplicas.Replies sender) {
+  BatchCapacityManager(
+      Environment surroundings,
+      MetadataTable table,
+      CommandResponder replies,
+      MessageSender sender) {
     this.surroundings = surroundings;
     this.table = table;
     this.replies = replies;
     this.sender = sender;
-    this.pace = new RoomPace(surroundings);
+    this.pace = new CapacityReleaseRate(surroundings);
   }
 
   /** Sets a batch's unfinished items and responds with the items that wait in its group. */
-  void set(Ask ask, CoreKeyState state, JsonNode body) {
-    BatchRoomLedger ledger = state.room;
+  void set(PeerRequest ask, LedKey state, JsonNode body) {
+    BatchCapacityLedger ledger = state.room;
     RoomRequest request = RoomRequest.parse(body, ledger);
     long present = ledger.itemsOf(request.batch());
     ledger.touch(request.batch(), surroundings.now());
@@ -69,7 +76,8 @@
       return;
     }
     pace.freed(Math.max(0, present - request.items()));
-    BatchRoomLedger.Event event = ledger.set(request.batch(), request.items(), request.group());
+    BatchCapacityLedger.LedgerEvent event =
+        ledger.set(request.batch(), request.items(), request.group());
     state.key.append(
         event.whole(),
         event.content(),
@@ -77,36 +85,37 @@
   }
 
   /** Null if the reservation fits. */
-  private Response refusal(RoomRequest request, BatchRoomLedger ledger) {
+  private Response refusal(RoomRequest request, BatchCapacityLedger ledger) {
     long waiting = ledger.waitingOf(request.group());
     long items = request.items();
     long ceiling = request.ceiling();
     if (items > ceiling && request.group().isEmpty()) {
-      return Response.of(new Fault.BatchOverCeiling((int) items, ceiling));
+      return Response.of(new ApiError.BatchTooLarge((int) items, ceiling));
     }
     long excess = waiting + items - ceiling;
     return excess > 0
-        ? Response.of(new Fault.NoRoom(waiting, ceiling), pace.secondsUntil(excess))
+        ? Response.of(new ApiError.CapacityExceeded(waiting, ceiling), pace.secondsUntil(excess))
         : null;
   }
 
-  private void respondWaiting(Ask ask, BatchRoomLedger ledger, String group, Fault fault) {
+  private void respondWaiting(
+      PeerRequest ask, BatchCapacityLedger ledger, String group, ApiError fault) {
     replies.respond(
         ask, fault, () -> JSON.createObjectNode().put("waiting", ledger.waitingOf(group)));
   }
 
   /** Has an edge look whether a batch still exists of which nobody has spoken for long. */
-  void audit(CoreKeyState state) {
-    List<Member> edges = table.live("edge");
+  void audit(LedKey state) {
+    List<NodeRegistration> edges = table.live("edge");
     long now = surroundings.now();
     List<String> untouched = state.room.untouched(now);
     if (edges.isEmpty()) {
       return;
     }
-    List<String> edgeIds = edges.stream().map(Member::id).toList();
+    List<String> edgeIds = edges.stream().map(NodeRegistration::id).toList();
     for (String batch : untouched) {
       state.room.touch(batch, now);
-      String chosenId = Rendezvous.first(batch, edgeIds);
+      String chosenId = RendezvousHashing.first(batch, edgeIds);
       edges.stream()
           .filter(member -> member.id().equals(chosenId))
           .findFirst()
@@ -114,7 +123,8 @@
     }
   }
 
-  private void sendAudit(Member edge, String batch) {
-    sender.reply(edge.peerAddress(), edge.id(), new Unfinished(List.of(BatchKeys.keyOf(batch))));
+  private void sendAudit(NodeRegistration edge, String batch) {
+    sender.send(
+        edge.peerAddress(), edge.id(), new LeaderlessBatches(List.of(BatchKeys.keyOf(batch))));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/CommandReplies.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandResponder.java
@@ -1,6 +1,10 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import applespindle.corelogic.Message.Ask;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.changefeed.UpdateAcknowledgements;
+import applespindle.corelogic.node.TraceLog;
+import applespindle.corelogic.protocol.Message.PeerRequest;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
@@ -9,34 +13,37 @@
  * How the leader of a core key responds to a command. Invariant: a change that edges work by is
  * acknowledged only once it is in force, so that no edge can still begin work by the older value.
  */
-final class CommandReplies {
-  private final BiConsumer<Ask, Response> responder;
-  private final NewsInForce inForce;
-  private final Journal journal;
+final class CommandResponder {
+  private final BiConsumer<PeerRequest, Response> responder;
+  private final UpdateAcknowledgements inForce;
+  private final TraceLog journal;
 
-  CommandReplies(BiConsumer<Ask, Response> responder, NewsInForce inForce, Journal journal) {
+  CommandResponder(
+      BiConsumer<PeerRequest, Response> responder,
+      UpdateAcknowledgements inForce,
+      TraceLog journal) {
     this.responder = responder;
     this.inForce = inForce;
     this.journal = journal;
   }
 
-  void respond(Ask ask, Response response) {
+  void respond(PeerRequest ask, Response response) {
     responder.accept(ask, response);
   }
 
-  void refuse(Ask ask, Fault fault) {
+  void refuse(PeerRequest ask, ApiError fault) {
     responder.accept(ask, Response.of(fault));
   }
 
   /** Responds with the body, or with the fault if there is one. */
-  void respond(Ask ask, Fault fault, Supplier<Object> body) {
+  void respond(PeerRequest ask, ApiError fault, Supplier<Object> body) {
     responder.accept(ask, fault == null ? Response.of(200, body.get()) : Response.of(fault));
   }
 
   /**
    * Responds with the fault if there is one, else with the body once the key's value is in force.
    */
-  void respondInForce(Ask ask, CoreKeyState state, ObjectNode body, Fault fault) {
+  void respondInForce(PeerRequest ask, LedKey state, ObjectNode body, ApiError fault) {
     if (fault != null) {
       refuse(ask, fault);
       return;
--- a/core-logic/src/main/java/applespindle/corelogic/CoreCommands.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
@@ -1,7 +1,15 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.StorageState;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.StorageNodeState;
+import applespindle.corelogic.node.Node;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -9,39 +17,42 @@
  * Sends the commands of operators and of the platform, which came in over HTTP here, to the leaders
  * of the keys they are about. Invariant: the callback runs once for each command.
  */
-final class CoreCommands {
+final class CommandSender {
   /** The body of a command that has none. */
   static final byte[] NO_BODY = {'{', '}'};
 
   private final Node node;
-  private final CoreMembership membership;
+  private final QuorumView membership;
 
-  CoreCommands(Node node, CoreMembership membership) {
+  CommandSender(Node node, QuorumView membership) {
     this.node = node;
     this.membership = membership;
   }
 
   void send(String duty, String key, Object body, Consumer<Response> then) {
     if (node.stopping) {
-      then.accept(Response.of(new Fault.NodeStopping()));
+      then.accept(Response.of(new ApiError.NodeStopping()));
       return;
     }
     if (membership.cutOff()) {
-      then.accept(Response.of(new Fault.NoMajority(key)));
+      then.accept(Response.of(new ApiError.NoQuorum(key)));
       return;
     }
     boolean cutOffSoFar = membership.isMember() && !membership.hearsMajority();
-    long expiryMs = cutOffSoFar ? Constants.CORE_SILENT_MS : Constants.ASK_EXPIRY_MS;
+    long expiryMs =
+        cutOffSoFar
+            ? MembershipConstants.QUORUM_PEER_TIMEOUT_MS
+            : PeerRequestConstants.REQUEST_TIMEOUT_MS;
     node.ask(this::target, duty, key, body, expiryMs, then);
   }
 
-  private Node.Target target(int attempt) {
-    List<CoreMember> members = membership.current().members();
+  private NodeAddress target(int attempt) {
+    List<QuorumMember> members = membership.current().members();
     if (membership.isMember() || members.isEmpty()) {
-      return new Node.Target(node.place().id(), node.place().peerAddress());
+      return new NodeAddress(node.place().id(), node.place().peerAddress());
     }
-    CoreMember member = members.get(attempt % members.size());
-    return new Node.Target(member.id(), member.peerAddress());
+    QuorumMember member = members.get(attempt % members.size());
+    return new NodeAddress(member.id(), member.peerAddress());
   }
 
   void emptyStorage(String name, Consumer<Response> then) {
@@ -49,7 +60,7 @@
         name,
         then,
         id -> {
-          StorageState emptying = new StorageState(id, name, StorageState.EMPTYING);
+          StorageNodeState emptying = new StorageNodeState(id, name, StorageNodeState.EMPTYING);
           send("storage", MetadataKeys.STORAGE_PREFIX + id, emptying, then);
         });
   }
--- a/core-logic/src/main/java/applespindle/corelogic/BundleDuty.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -1,11 +1,19 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.AcceptedRevisions.Standing;
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Records.SignedBundle;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationFormat;
+import applespindle.corelogic.configuration.ConfigurationPatch;
+import applespindle.corelogic.configuration.ConfigurationPatchRequest;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.AcceptedRevisions;
+import applespindle.corelogic.metadata.AcceptedRevisions.RevisionStatus;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.protocol.Message.PeerRequest;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Arrays;
 import java.util.List;
@@ -15,23 +23,23 @@
  * What the leader of the bundle's key does with a bundle that is sent. Invariant: numbers only
  * rise, and a bundle that is known to have been accepted is acknowledged again.
  */
-final class BundleDuty {
+public final class ConfigurationManager {
   private static final byte[] PATCH_MARK = "patch:".getBytes(UTF_8);
-  private static final Fault.Field NOT_FROM_TEXT =
-      new Fault.Field("$", "what is in force was not sent in this format: send a whole one");
+  private static final ApiError.Field NOT_FROM_TEXT =
+      new ApiError.Field("$", "what is in force was not sent in this format: send a whole one");
 
-  private final Bounds bounds;
+  private final NodeSettings bounds;
   private final Map<String, String> operatorKeys;
   private final ConfigurationFormat format;
-  private final CoreKeys keys;
-  private final CommandReplies replies;
+  private final LedKeys keys;
+  private final CommandResponder replies;
 
-  BundleDuty(
-      Bounds bounds,
+  ConfigurationManager(
+      NodeSettings bounds,
       Map<String, String> operatorKeys,
       ConfigurationFormat format,
-      CoreKeys keys,
-      CommandReplies replies) {
+      LedKeys keys,
+      CommandResponder replies) {
     this.bounds = bounds;
     this.operatorKeys = operatorKeys;
     this.format = format;
@@ -40,8 +48,8 @@
   }
 
   /** Accepts a bundle and responds once it is in force, or refuses it. */
-  void set(Ask ask, CoreKeyState state, SignedBundle sent) {
-    Bundle.Checked checked = check(sent);
+  void set(PeerRequest ask, LedKey state, SignedConfiguration sent) {
+    RoutingConfiguration.ValidationResult checked = check(sent);
     if (checked.fault() != null) {
       replies.refuse(ask, checked.fault());
       return;
@@ -57,10 +65,10 @@
    * Changes the bundle in force by a patch, or refuses it. It is folded here, where the version
    * that it builds on is compared: what results is checked, signed off and kept as a whole bundle.
    */
-  void patch(Ask ask, CoreKeyState state, SentPatch sent) {
-    ConfigurationPatch.Read read = ConfigurationPatch.read(format, sent.bytes());
+  void patch(PeerRequest ask, LedKey state, ConfigurationPatchRequest sent) {
+    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.read(format, sent.bytes());
     if (read.patch() == null) {
-      replies.refuse(ask, new Fault.InvalidBundle(read.faults()));
+      replies.refuse(ask, new ApiError.InvalidConfiguration(read.faults()));
       return;
     }
     long number = read.patch().revision();
@@ -68,14 +76,16 @@
     if (!mayBeTaken(ask, state, number, content, sent.buildsOn())) {
       return;
     }
-    ConfigurationFormat.Whole whole = fold(read.patch(), state.as(SignedBundle.class));
+    ConfigurationFormat.ParsedConfiguration whole =
+        fold(read.patch(), state.as(SignedConfiguration.class));
     if (!whole.faults().isEmpty()) {
-      replies.refuse(ask, new Fault.InvalidBundle(whole.faults()));
+      replies.refuse(ask, new ApiError.InvalidConfiguration(whole.faults()));
       return;
     }
     var result =
-        new SignedBundle(number, whole.bundle(), sent.keyId(), sent.signature(), sent.buildsOn());
-    Bundle.Checked checked = check(result);
+        new SignedConfiguration(
+            number, whole.bundle(), sent.keyId(), sent.signature(), sent.buildsOn());
+    RoutingConfiguration.ValidationResult checked = check(result);
     if (checked.fault() != null) {
       replies.refuse(ask, checked.fault());
       return;
@@ -83,22 +93,23 @@
     take(ask, state, number, content, result);
   }
 
-  private ConfigurationFormat.Whole fold(ConfigurationPatch patch, SignedBundle inForce) {
+  private ConfigurationFormat.ParsedConfiguration fold(
+      ConfigurationPatch patch, SignedConfiguration inForce) {
     ObjectNode written =
         inForce == null ? JSON.createObjectNode() : format.written(inForce.bytes());
     if (written == null) {
-      return new ConfigurationFormat.Whole(null, List.of(NOT_FROM_TEXT));
+      return new ConfigurationFormat.ParsedConfiguration(null, List.of(NOT_FROM_TEXT));
     }
-    ConfigurationPatch.Applied applied = patch.applyTo(written);
+    ConfigurationPatch.PatchResult applied = patch.applyTo(written);
     return applied.whole() == null
-        ? new ConfigurationFormat.Whole(null, applied.faults())
+        ? new ConfigurationFormat.ParsedConfiguration(null, applied.faults())
         : format.read(applied.whole());
   }
 
-  private Bundle.Checked check(SignedBundle sent) {
+  private RoutingConfiguration.ValidationResult check(SignedConfiguration sent) {
     return bounds.signedBundles()
-        ? Bundle.check(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
-        : Bundle.check(sent.bytes());
+        ? RoutingConfiguration.check(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
+        : RoutingConfiguration.check(sent.bytes());
   }
 
   /**
@@ -106,14 +117,14 @@
    * confirmed that this node still leads.
    */
   private boolean mayBeTaken(
-      Ask ask, CoreKeyState state, long number, byte[] content, Long buildsOn) {
-    SignedBundle inForce = state.as(SignedBundle.class);
-    Standing standing = acceptedSoFar(inForce).standing(number, content);
-    if (standing == Standing.ACCEPTED) {
+      PeerRequest ask, LedKey state, long number, byte[] content, Long buildsOn) {
+    SignedConfiguration inForce = state.as(SignedConfiguration.class);
+    RevisionStatus standing = acceptedSoFar(inForce).standing(number, content);
+    if (standing == RevisionStatus.ACCEPTED) {
       state.key.confirm(fault -> acknowledge(ask, state, number, fault));
       return false;
     }
-    Fault refusal = refusal(state.key.key, buildsOn, number, inForce, standing);
+    ApiError refusal = refusal(state.key.key, buildsOn, number, inForce, standing);
     if (refusal != null) {
       state.key.confirm(fault -> replies.refuse(ask, fault == null ? refusal : fault));
       return false;
@@ -121,11 +132,12 @@
     return true;
   }
 
-  private void take(Ask ask, CoreKeyState state, long number, byte[] content, SignedBundle sent) {
-    AcceptedRevisions accepted = acceptedSoFar(state.as(SignedBundle.class));
+  private void take(
+      PeerRequest ask, LedKey state, long number, byte[] content, SignedConfiguration sent) {
+    AcceptedRevisions accepted = acceptedSoFar(state.as(SignedConfiguration.class));
     keys.put(
         state,
-        new SignedBundle(
+        new SignedConfiguration(
             number,
             sent.bytes(),
             sent.keyId(),
@@ -142,7 +154,7 @@
     return content;
   }
 
-  private void acknowledge(Ask ask, CoreKeyState state, long number, Fault fault) {
+  private void acknowledge(PeerRequest ask, LedKey state, long number, ApiError fault) {
     replies.respondInForce(ask, state, JSON.createObjectNode().put("number", number), fault);
   }
 
@@ -150,19 +162,19 @@
    * What makes two sent bundles the same: the operator's own text where the bundle was made from
    * it, so that it does not matter which release made it.
    */
-  private byte[] content(Bundle bundle, SignedBundle sent) {
+  private byte[] content(RoutingConfiguration bundle, SignedConfiguration sent) {
     boolean madeHere = !bounds.signedBundles() && bundle.origin() != null;
     return madeHere ? bundle.origin().getBytes(UTF_8) : sent.bytes();
   }
 
-  private AcceptedRevisions acceptedSoFar(SignedBundle inForce) {
+  private AcceptedRevisions acceptedSoFar(SignedConfiguration inForce) {
     if (inForce == null) {
       return AcceptedRevisions.NONE;
     }
     if (inForce.accepted() != null) {
       return inForce.accepted();
     }
-    Bundle bundle = Bundle.check(inForce.bytes()).bundle();
+    RoutingConfiguration bundle = RoutingConfiguration.check(inForce.bytes()).bundle();
     byte[] content = bundle == null ? inForce.bytes() : content(bundle, inForce);
     return AcceptedRevisions.startingWith(inForce.number(), content);
   }
@@ -172,29 +184,33 @@
    * not be told from one that lost: neither is refused. Whoever builds on its own number or a
    * higher one was never accepted.
    */
-  private static Fault refusal(
-      String key, Long buildsOn, long number, SignedBundle inForce, Standing standing) {
+  private static ApiError refusal(
+      String key,
+      Long buildsOn,
+      long number,
+      SignedConfiguration inForce,
+      RevisionStatus standing) {
     long present = inForce == null ? 0 : inForce.number();
     boolean mayHaveBuiltOn = buildsOn == null || buildsOn < number;
-    if (standing == Standing.FORGOTTEN && mayHaveBuiltOn) {
-      return new Fault.OutcomeUnknown(key);
+    if (standing == RevisionStatus.FORGOTTEN && mayHaveBuiltOn) {
+      return new ApiError.OutcomeUnknown(key);
     }
     if (buildsOn != null && buildsOn != present) {
-      return new Fault.VersionConflict(present);
+      return new ApiError.VersionConflict(present);
     }
-    return present >= number ? new Fault.BundleConflict(present) : null;
+    return present >= number ? new ApiError.ConfigurationConflict(present) : null;
   }
 
   /**
    * What the feed carries: only what edges work by, neither what the owner remembers of earlier
    * bundles nor the text that an unsigned one was made from, which is as long as the bundle itself.
    */
-  static byte[] forFeed(byte[] event) {
-    SignedBundle whole = Json.read(event, SignedBundle.class);
+  public static byte[] forFeed(byte[] event) {
+    SignedConfiguration whole = Json.read(event, SignedConfiguration.class);
     boolean signed = whole.signature() != null && whole.signature().length > 0;
     byte[] bytes = signed ? whole.bytes() : withoutOrigin(whole.bytes());
     return Json.bytes(
-        new SignedBundle(
+        new SignedConfiguration(
             whole.number(), bytes, whole.keyId(), whole.signature(), whole.buildsOn(), null));
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/LeaderDuties.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -1,10 +1,21 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.StorageState;
-import applespindle.corelogic.Records.Worker;
+package applespindle.corelogic.controlplane;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.changefeed.UpdateAcknowledgements;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationFormat;
+import applespindle.corelogic.configuration.ConfigurationPatchRequest;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.StorageNodeState;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.replication.FaultToleranceMonitor;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Map;
@@ -14,72 +25,72 @@
  * runs the commands on a key. Invariant: a command is run only by a leader that is in contact with
  * a majority, and every command gets one response.
  */
-final class LeaderDuties {
-  private final Surroundings surroundings;
-  private final Bounds bounds;
-  private final CoreMembership membership;
-  private final CoreKeys keys;
-  private final CommandReplies replies;
-  private final CoreMembershipChange membershipChange;
-  private final MemberLeases leases;
-  private final BundleDuty bundles;
-  private final WorkerCommands workerCommands;
-  private final WorkerListDuty workerList;
-  private final BatchRoomDuty batchRoom;
-  private final EdgeListDuty edgeList;
-  private final StorageSets storage;
-  private final LossMargin lossMargin;
+final class ControlManagers {
+  private final Environment surroundings;
+  private final NodeSettings bounds;
+  private final QuorumView membership;
+  private final LedKeys keys;
+  private final CommandResponder replies;
+  private final QuorumMembershipManager membershipChange;
+  private final MemberLeaseManager leases;
+  private final ConfigurationManager bundles;
+  private final WorkerRegistrationManager workerCommands;
+  private final WorkerListSynchronizer workerList;
+  private final BatchCapacityManager batchRoom;
+  private final EdgeListManager edgeList;
+  private final ShardReplicaManager storage;
+  private final FaultToleranceMonitor lossMargin;
 
   /** A core of fewer than wantedMembers is grown; 0 if it is to stay as it was founded. */
-  LeaderDuties(
-      Surroundings surroundings,
-      CoreNode core,
-      Bounds bounds,
+  ControlManagers(
+      Environment surroundings,
+      ControlPlaneNode core,
+      NodeSettings bounds,
       Map<String, String> operatorKeys,
       ConfigurationFormat format,
       int wantedMembers,
-      NewsInForce inForce,
-      CommandReplies replies,
-      CoreCommands commands) {
+      UpdateAcknowledgements inForce,
+      CommandResponder replies,
+      CommandSender commands) {
     this.surroundings = surroundings;
     this.bounds = bounds;
     this.membership = core.membership;
     this.keys = core.keys;
     this.replies = replies;
     this.membershipChange =
-        new CoreMembershipChange(surroundings, core.place(), membership, keys, wantedMembers);
+        new QuorumMembershipManager(surroundings, core.place(), membership, keys, wantedMembers);
     this.leases =
-        new MemberLeases(
+        new MemberLeaseManager(
             surroundings,
             core.table,
             keys,
             replies,
-            key -> commands.send("leave", key, CoreCommands.NO_BODY, response -> {}));
-    this.bundles = new BundleDuty(bounds, operatorKeys, format, keys, replies);
-    this.workerCommands = new WorkerCommands(keys, replies);
+            key -> commands.send("leave", key, CommandSender.NO_BODY, response -> {}));
+    this.bundles = new ConfigurationManager(bounds, operatorKeys, format, keys, replies);
+    this.workerCommands = new WorkerRegistrationManager(keys, replies);
     this.workerList =
-        new WorkerListDuty(
+        new WorkerListSynchronizer(
             surroundings,
             bounds,
             state -> core.keys.get(MetadataKeys.WORKER_LIST) == state,
             keys::put,
             () -> core.keys.transfer(MetadataKeys.WORKER_LIST));
-    this.batchRoom = new BatchRoomDuty(surroundings, core.table, replies, core::send);
-    this.edgeList = new EdgeListDuty(surroundings, core.table, membership, keys, inForce);
-    this.storage = new StorageSets(surroundings, core, bounds);
-    this.lossMargin = new LossMargin(bounds.lossesToBear());
+    this.batchRoom = new BatchCapacityManager(surroundings, core.table, replies, core::send);
+    this.edgeList = new EdgeListManager(surroundings, core.table, membership, keys, inForce);
+    this.storage = new ShardReplicaManager(surroundings, core, bounds);
+    this.lossMargin = new FaultToleranceMonitor(bounds.lossesToBear());
   }
 
-  void boundsChanged(Bounds newer) {
+  void boundsChanged(NodeSettings newer) {
     workerList.boundsChanged(newer);
   }
 
-  StorageSets storage() {
+  ShardReplicaManager storage() {
     return storage;
   }
 
   /** Called when this node has just taken the leadership of a key. */
-  void begin(CoreKeyState state) {
+  void begin(LedKey state) {
     if (state.key.key.equals(MetadataKeys.WORKER_LIST) && bounds.listCallsPerS() > 0) {
       workerList.begin(state);
     }
@@ -97,7 +108,8 @@
     storage.tick();
     auditBatchRoom();
     lossMargin.look(
-        LossMargin.bearable(membership.replicaSets(), membership.liveMembers()::contains),
+        FaultToleranceMonitor.bearable(
+            membership.replicaSets(), membership.liveMembers()::contains),
         storage.lossesBearable(),
         surroundings.now());
   }
@@ -110,7 +122,7 @@
   }
 
   private void auditBatchRoom() {
-    CoreKeyState state = keys.get(MetadataKeys.BATCH_CAPACITY);
+    LedKey state = keys.get(MetadataKeys.BATCH_CAPACITY);
     if (state != null) {
       batchRoom.audit(state);
     }
@@ -119,28 +131,30 @@
   // ---- commands
 
   /** Runs a command; the state is null if the leadership was lost since the command was taken. */
-  void run(Ask ask, CoreKeyState state) {
+  void run(PeerRequest ask, LedKey state) {
     if (state == null) {
-      replies.refuse(ask, new Fault.NotOwner(ask.key()));
+      replies.refuse(ask, new ApiError.NotLeader(ask.key()));
       return;
     }
     if (!state.key.hearsMajority()) {
-      replies.refuse(ask, new Fault.NoMajority(ask.key()));
+      replies.refuse(ask, new ApiError.NoQuorum(ask.key()));
       return;
     }
     switch (ask.duty()) {
-      case "grant" -> leases.grant(ask, state, Json.read(ask.body(), Member.class));
+      case "grant" -> leases.grant(ask, state, Json.read(ask.body(), NodeRegistration.class));
       case "leave" -> leases.leave(ask, state);
-      case "bundle" -> bundles.set(ask, state, Json.read(ask.body(), SignedBundle.class));
-      case "patch-bundle" -> bundles.patch(ask, state, Json.read(ask.body(), SentPatch.class));
-      case "worker" -> workerCommands.set(ask, state, Json.read(ask.body(), Worker.class));
+      case "bundle" -> bundles.set(ask, state, Json.read(ask.body(), SignedConfiguration.class));
+      case "patch-bundle" ->
+          bundles.patch(ask, state, Json.read(ask.body(), ConfigurationPatchRequest.class));
+      case "worker" ->
+          workerCommands.set(ask, state, Json.read(ask.body(), WorkerRegistration.class));
       case "list-version" -> workerCommands.raiseListVersion(ask, state, Json.tree(ask.body()));
       case "room" -> batchRoom.set(ask, state, Json.tree(ask.body()));
       case "copied" -> copied(ask, state, Json.tree(ask.body()));
-      case "storage" -> storage.mark(ask, state, Json.read(ask.body(), StorageState.class));
+      case "storage" -> storage.mark(ask, state, Json.read(ask.body(), StorageNodeState.class));
       case "storage-place" -> storage.place(ask, state);
       case "read" -> read(ask, state);
-      default -> replies.refuse(ask, new Fault.UnknownDuty(ask.duty()));
+      default -> replies.refuse(ask, new ApiError.UnknownRequest(ask.duty()));
     }
   }
 
@@ -148,13 +162,13 @@
    * Responds with the value as it was when the command came: all of it is committed once that is
    * confirmed, which can't be said of what is appended meanwhile.
    */
-  private void read(Ask ask, CoreKeyState state) {
+  private void read(PeerRequest ask, LedKey state) {
     JsonNode value = state.value;
     state.key.confirm(fault -> replies.respond(ask, fault, () -> value));
   }
 
   /** A newcomer of a replica set reports that it has copied. */
-  private void copied(Ask ask, CoreKeyState state, JsonNode body) {
+  private void copied(PeerRequest ask, LedKey state, JsonNode body) {
     state.copied.put(body.path("id").asText(), body.path("number").asLong());
     replies.respond(ask, Response.of(200, body));
     if (state.key.key.equals(MetadataKeys.MEMBERSHIP)) {
@@ -172,7 +186,7 @@
     status.put("replicas", bounds.replicas());
     status.put("shardsWithReducedRedundancy", storage.reduced());
     lossMargin.show(status, surroundings.now());
-    CoreKeyState room = keys.get(MetadataKeys.BATCH_CAPACITY);
+    LedKey room = keys.get(MetadataKeys.BATCH_CAPACITY);
     if (room != null) {
       status.put("waitingBatchItems", room.room.waiting());
     }
--- a/core-logic/src/main/java/applespindle/corelogic/CoreNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -1,26 +1,57 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Records.Worker.GONE;
-import static applespindle.corelogic.Records.Worker.LEAVING;
-import static applespindle.corelogic.Records.Worker.READY;
-
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.CorePing;
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyHandOver;
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.KeysAsked;
-import applespindle.corelogic.Message.KeysKnown;
-import applespindle.corelogic.Records.Roster;
-import applespindle.corelogic.Records.Worker;
+package applespindle.corelogic.controlplane;
+
+import static applespindle.corelogic.metadata.WorkerRegistration.GONE;
+import static applespindle.corelogic.metadata.WorkerRegistration.LEAVING;
+import static applespindle.corelogic.metadata.WorkerRegistration.READY;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.changefeed.ChangeFeedExchange;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.changefeed.UpdateAcknowledgements;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.configuration.ConfigurationFormat;
+import applespindle.corelogic.constants.ChangeFeedConstants;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.membership.HeartbeatExchange;
+import applespindle.corelogic.membership.JoiningMember;
+import applespindle.corelogic.membership.QuorumBootstrap;
+import applespindle.corelogic.membership.QuorumDiscovery;
+import applespindle.corelogic.membership.QuorumPeer;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.membership.StaticBootstrap;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.metadata.WorkerInput;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.AppliedPositions;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.LeadershipTransfer;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.replication.ElectionOutcome;
+import applespindle.corelogic.replication.LogReplica;
+import applespindle.corelogic.replication.LogReplicas;
+import applespindle.corelogic.replication.ReplicaCatchUp;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -34,56 +65,57 @@
  * publishes their changes. This class puts the duties together and routes messages and commands to
  * them; each duty is a class of its own.
  */
-public final class CoreNode extends Node {
-  private final Bounds bounds;
+public final class ControlPlaneNode extends Node {
+  private final NodeSettings bounds;
 
   /** The committed values known here. */
-  final CoreTable table = new CoreTable();
+  final MetadataTable table = new MetadataTable();
 
-  final CoreMembership membership;
-  private final CoreHeartbeat heartbeat;
-  private final CoreDiscovery discovery;
-  private final CoreFounding founding;
-  private final ListedFounders listedFounders;
-  private final CoreNewcomer newcomer;
+  final QuorumView membership;
+  private final HeartbeatExchange heartbeat;
+  private final QuorumDiscovery discovery;
+  private final QuorumBootstrap founding;
+  private final StaticBootstrap listedFounders;
+  private final JoiningMember newcomer;
 
-  private final KeyReplicas replicas;
-  private final ReplicaCopier copier;
+  private final LogReplicas replicas;
+  private final ReplicaCatchUp copier;
 
   /** The core keys that this node leads. */
-  final CoreKeys keys;
+  final LedKeys keys;
 
-  private final CoreFeed feed;
-  private final NewsInForce inForce;
+  private final ChangeFeedExchange feed;
+  private final UpdateAcknowledgements inForce;
 
-  private final CommandReplies replies;
-  private final CoreCommands commands;
-  private final LeaderDuties duties;
-  private final CoreView view;
+  private final CommandResponder replies;
+  private final CommandSender commands;
+  private final ControlManagers duties;
+  private final MetadataView view;
   private boolean started;
 
   /** The founders are the peer addresses of the first members, as told to each of them. */
-  public CoreNode(
-      Surroundings surroundings,
-      Place place,
+  public ControlPlaneNode(
+      Environment surroundings,
+      NodeIdentity place,
       Map<String, String> operatorKeys,
       List<String> founders) {
-    this(surroundings, place, operatorKeys, founders, Bounds.DEFAULT, ConfigurationFormat.OWN);
+    this(
+        surroundings, place, operatorKeys, founders, NodeSettings.DEFAULT, ConfigurationFormat.OWN);
   }
 
   /** Without founders the first members are found by the seeds. */
-  public CoreNode(
-      Surroundings surroundings,
-      Place place,
+  public ControlPlaneNode(
+      Environment surroundings,
+      NodeIdentity place,
       Map<String, String> operatorKeys,
       List<String> founders,
-      Bounds bounds,
+      NodeSettings bounds,
       ConfigurationFormat format) {
     super(surroundings, place);
     this.bounds = bounds;
-    this.membership = new CoreMembership(surroundings, place, () -> roster);
+    this.membership = new QuorumView(surroundings, place, () -> roster);
     this.founding =
-        new CoreFounding(
+        new QuorumBootstrap(
             surroundings,
             place,
             bounds,
@@ -91,13 +123,13 @@
             membership.peers(),
             membership::alive,
             this::learnRoster);
-    this.listedFounders = new ListedFounders(surroundings, place, membership, founders);
+    this.listedFounders = new StaticBootstrap(surroundings, place, membership, founders);
     this.replicas =
-        new KeyReplicas(surroundings, this::send, this::committed, key -> CoreMembership.SET_NAME);
-    this.copier = new ReplicaCopier(surroundings, this, replicas, new HashMap<>(), id -> "");
-    this.newcomer = new CoreNewcomer(surroundings, this, membership, copier);
+        new LogReplicas(surroundings, this::send, this::committed, key -> QuorumView.SET_NAME);
+    this.copier = new ReplicaCatchUp(surroundings, this, replicas, new HashMap<>(), id -> "");
+    this.newcomer = new JoiningMember(surroundings, this, membership, copier);
     this.keys =
-        new CoreKeys(
+        new LedKeys(
             surroundings,
             place,
             membership,
@@ -109,17 +141,17 @@
             this::beginLeading);
     this.heartbeat = newHeartbeat();
     this.feed =
-        new CoreFeed(
+        new ChangeFeedExchange(
             surroundings, place, membership, replicas, table, journal, this::send, this::learn);
     this.discovery =
-        new CoreDiscovery(
+        new QuorumDiscovery(
             place, bounds, membership, feed.freshness()::ageMs, () -> seeds, this::send);
     this.inForce = newNewsInForce();
-    this.replies = new CommandReplies(this::respond, inForce, journal);
-    this.commands = new CoreCommands(this, membership);
+    this.replies = new CommandResponder(this::respond, inForce, journal);
+    this.commands = new CommandSender(this, membership);
     int wantedMembers = founders.isEmpty() ? bounds.replicas() : 0;
     this.duties =
-        new LeaderDuties(
+        new ControlManagers(
             surroundings,
             this,
             bounds,
@@ -129,11 +161,11 @@
             inForce,
             replies,
             commands);
-    this.view = new CoreView(table, feed.freshness());
+    this.view = new MetadataView(table, feed.freshness());
   }
 
-  private CoreHeartbeat newHeartbeat() {
-    return new CoreHeartbeat(
+  private HeartbeatExchange newHeartbeat() {
+    return new HeartbeatExchange(
         surroundings,
         place,
         bounds,
@@ -146,36 +178,36 @@
         this::learnRoster);
   }
 
-  private NewsInForce newNewsInForce() {
-    return new NewsInForce(
+  private UpdateAcknowledgements newNewsInForce() {
+    return new UpdateAcknowledgements(
         surroundings,
         bounds.edgesConfirm(),
-        () -> NewsInForce.Edges.of(table),
+        () -> UpdateAcknowledgements.KnownEdges.of(table),
         () -> membership.isMember() && feed.freshness().isFresh(),
-        address -> send(address, "", new KeysAsked(surroundings.now())));
+        address -> send(address, "", new AppliedPositionsRequest(surroundings.now())));
   }
 
   // ---- start, timers, end
 
   @Override
-  protected void boundsChanged(Bounds newer) {
+  protected void boundsChanged(NodeSettings newer) {
     duties.boundsChanged(newer);
   }
 
   @Override
-  public void recover(DiskRecord record) {
-    if (CoreFounding.owns(record)) {
+  public void recover(LogRecord record) {
+    if (QuorumBootstrap.owns(record)) {
       founding.recover(record);
     } else if (record.kind() == Kind.ROSTER) {
-      learnRoster(Json.read(record.payload(), Roster.class));
+      learnRoster(Json.read(record.payload(), QuorumMembership.class));
     } else {
       replicas.recover(record);
     }
   }
 
   @Override
-  public List<DiskRecord> checkpoint() {
-    List<DiskRecord> records = new ArrayList<>();
+  public List<LogRecord> checkpoint() {
+    List<LogRecord> records = new ArrayList<>();
     if (roster.number() > 0) {
       records.add(rosterRecord());
     } else {
@@ -185,8 +217,8 @@
     return records;
   }
 
-  private DiskRecord rosterRecord() {
-    return new DiskRecord(
+  private LogRecord rosterRecord() {
+    return new LogRecord(
         Kind.ROSTER,
         MetadataKeys.MEMBERSHIP,
         Epoch.NONE,
@@ -204,7 +236,7 @@
     boolean unfounded = listedFounders.isEmpty() && roster.number() == 0;
     for (String address : unfounded ? seeds : listedFounders.addresses()) {
       if (!address.equals(place.peerAddress())) {
-        membership.peers().put(address, new CorePeer());
+        membership.peers().put(address, new QuorumPeer());
       }
     }
     membership.meetMembers();
@@ -215,9 +247,9 @@
       heartbeat.send();
       feed.pollAll();
     }
-    every(Constants.CORE_PING_MS, this::tick);
-    every(Constants.CORE_SEARCH_MS, discovery::search);
-    every(Constants.FEED_POLL_MS, feed::pollAll);
+    every(MembershipConstants.QUORUM_HEARTBEAT_INTERVAL_MS, this::tick);
+    every(MembershipConstants.QUORUM_DISCOVERY_INTERVAL_MS, discovery::search);
+    every(ChangeFeedConstants.POLL_INTERVAL_MS, feed::pollAll);
   }
 
   private void tick() {
@@ -233,7 +265,7 @@
     inForce.tick();
   }
 
-  private void beginLeading(CoreKeyState state) {
+  private void beginLeading(LedKey state) {
     duties.begin(state);
   }
 
@@ -250,7 +282,7 @@
     stopping = true;
     keys.transferAll();
     surroundings.after(
-        Constants.CORE_PING_MS,
+        MembershipConstants.QUORUM_HEARTBEAT_INTERVAL_MS,
         () -> {
           end();
           whenDone.run();
@@ -260,7 +292,7 @@
   // ---- membership and committed values
 
   @Override
-  protected void learnRoster(Roster newer) {
+  protected void learnRoster(QuorumMembership newer) {
     long before = roster.number();
     super.learnRoster(newer);
     if (roster.number() == before || !started) {
@@ -275,28 +307,28 @@
       keys.abandonAll();
       return;
     }
-    replicas.learnSet(CoreMembership.SET_NAME, roster.number(), newcomer::copyIfNewcomer);
+    replicas.learnSet(QuorumView.SET_NAME, roster.number(), newcomer::copyIfNewcomer);
     keys.changeSets();
   }
 
-  private void committed(String key, Entry entry) {
+  private void committed(String key, LogEntry entry) {
     if (!entry.isTakeover() && entry.whole() && !key.equals(MetadataKeys.BATCH_CAPACITY)) {
       byte[] value =
           key.equals(MetadataKeys.CONFIGURATION)
-              ? BundleDuty.forFeed(entry.event())
+              ? ConfigurationManager.forFeed(entry.event())
               : entry.event();
-      learn(new FeedItem(key, entry.sequence(), value));
+      learn(new MetadataRecord(key, entry.sequence(), value));
     }
   }
 
   /** Takes a committed value, from this node's own log or from a peer's feed. */
-  private void learn(FeedItem item) {
+  private void learn(MetadataRecord item) {
     replicas.committedElsewhere(item.key(), item.sequence());
     if (!table.put(item)) {
       return;
     }
     if (item.key().equals(MetadataKeys.MEMBERSHIP)) {
-      learnRoster(Json.read(item.value(), Roster.class));
+      learnRoster(Json.read(item.value(), QuorumMembership.class));
     }
     if (membership.isMember()
         && (item.key().startsWith(MetadataKeys.MEMBER_PREFIX)
@@ -309,51 +341,51 @@
   // ---- commands
 
   @Override
-  protected void handleAsk(Ask ask) {
+  protected void handleAsk(PeerRequest ask) {
     if (ask.duty().equals("copy")) {
       copier.copyOut(ask);
       return;
     }
     if (!membership.isMember()) {
-      replies.refuse(ask, new Fault.NotReady("this process is not in the core's roster"));
+      replies.refuse(ask, new ApiError.NotReady("this process is not in the core's roster"));
       return;
     }
     if (ask.duty().equals("storage-id")) {
       duties.storage().tellId(ask, feed.freshness().isFresh());
       return;
     }
-    CoreKeyState state = keys.get(ask.key());
+    LedKey state = keys.get(ask.key());
     if (state != null) {
       duties.run(ask, state);
       return;
     }
     if (membership.cutOff()) {
-      replies.refuse(ask, new Fault.NoMajority(ask.key()));
+      replies.refuse(ask, new ApiError.NoQuorum(ask.key()));
       return;
     }
     forwardOrClaim(ask);
   }
 
   /** Forwards a command to the key's leader, or else to the one that is first to claim the key. */
-  private void forwardOrClaim(Ask ask) {
-    String first = Rendezvous.first(ask.key(), membership.liveMembers());
-    KeyReplicas.Copy copy = replicas.copies().get(ask.key());
+  private void forwardOrClaim(PeerRequest ask) {
+    String first = RendezvousHashing.first(ask.key(), membership.liveMembers());
+    LogReplica copy = replicas.copies().get(ask.key());
     if (copy != null && !replicas.ownerSilent(copy) && !copy.owner.equals(place.id())) {
       handOver(ask, copy.owner, copy.ownerAddress);
     } else if (!place.id().equals(first)) {
       handOver(ask, first, membership.addressOf(first));
     } else if (stopping) {
-      replies.refuse(ask, new Fault.NodeStopping());
+      replies.refuse(ask, new ApiError.NodeStopping());
     } else {
       keys.claim(ask.key(), outcome -> claimed(ask, outcome));
     }
   }
 
-  private void claimed(Ask ask, OwnedKey.ClaimOutcome outcome) {
+  private void claimed(PeerRequest ask, ElectionOutcome outcome) {
     switch (outcome.claim()) {
       case OWNED -> duties.run(ask, keys.get(ask.key()));
       case BUSY -> handOver(ask, outcome.ownerId(), outcome.ownerAddress());
-      case NO_MAJORITY -> replies.refuse(ask, new Fault.NoMajority(ask.key()));
+      case NO_MAJORITY -> replies.refuse(ask, new ApiError.NoQuorum(ask.key()));
     }
   }
 
@@ -361,21 +393,21 @@
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof CorePing ping) {
+    if (message instanceof QuorumHeartbeat ping) {
       pinged(ping, fromAddress);
-    } else if (message instanceof FeedFollow follow) {
+    } else if (message instanceof ChangeFeedPoll follow) {
       feed.follow(follow, fromId, fromAddress);
-    } else if (message instanceof FeedNews updates) {
+    } else if (message instanceof ChangeFeedUpdate updates) {
       feed.receive(updates, fromAddress);
-    } else if (message instanceof KeysKnown known) {
+    } else if (message instanceof AppliedPositions known) {
       inForce.known(known);
-    } else if (message instanceof KeyPromised promised) {
+    } else if (message instanceof VoteResponse promised) {
       keys.promised(promised, fromId);
-    } else if (message instanceof KeyLogPart part) {
+    } else if (message instanceof LogFetchResponse part) {
       keys.logPart(part);
-    } else if (message instanceof KeyAppended appended) {
+    } else if (message instanceof AppendResponse appended) {
       keys.appended(appended, fromId);
-    } else if (message instanceof KeyHandOver transfer) {
+    } else if (message instanceof LeadershipTransfer transfer) {
       if (membership.isMember() && !stopping && keys.get(transfer.key()) == null) {
         keys.takeOver(transfer.key());
       }
@@ -385,12 +417,12 @@
   }
 
   private void handleAsReplica(Message message, String fromId, String fromAddress) {
-    if (message instanceof KeyAppend append) {
+    if (message instanceof AppendRequest append) {
       replicas.append(append, fromId, fromAddress);
       feed.respondToUnsurePolls();
-    } else if (message instanceof KeyPromise promise) {
+    } else if (message instanceof VoteRequest promise) {
       replicas.promise(promise, fromId, fromAddress);
-    } else if (message instanceof KeyLogAsk logAsk) {
+    } else if (message instanceof LogFetchRequest logAsk) {
       replicas.tellLog(logAsk, fromId, fromAddress);
     }
   }
@@ -399,8 +431,8 @@
    * After a start or a partition a member is answered at once: what the rest of the fleet waits for
    * is that members hear each other.
    */
-  private void pinged(CorePing ping, String fromAddress) {
-    CoreHeartbeat.Contact contact = heartbeat.receive(ping, fromAddress);
+  private void pinged(QuorumHeartbeat ping, String fromAddress) {
+    HeartbeatExchange.ContactChange contact = heartbeat.receive(ping, fromAddress);
     if (!started || !membership.isMember() || !membership.includes(fromAddress)) {
       return;
     }
@@ -415,7 +447,7 @@
 
   // ---- interface of operators and of the platform
 
-  public KeyReplicas replicas() {
+  public LogReplicas replicas() {
     return replicas;
   }
 
@@ -467,13 +499,13 @@
   }
 
   /** The body of a command that marks a worker as leaving or gone. */
-  public static Worker workerMarked(String id, boolean leaving) {
-    return new Worker(id, "", "", leaving ? LEAVING : GONE);
+  public static WorkerRegistration workerMarked(String id, boolean leaving) {
+    return new WorkerRegistration(id, "", "", leaving ? LEAVING : GONE);
   }
 
   /** The body of a command that lists a worker. */
-  public static Worker workerListed(Records.WorkerInput input) {
-    return new Worker(
+  public static WorkerRegistration workerListed(WorkerInput input) {
+    return new WorkerRegistration(
         input.id(), input.address(), input.pool(), input.state() == null ? READY : input.state());
   }
 
@@ -485,7 +517,7 @@
     if (!membership.isMember()) {
       return "not in the core's roster";
     }
-    return feed.freshness().ageMs() > Constants.CORE_SILENT_MS
+    return feed.freshness().ageMs() > MembershipConstants.QUORUM_PEER_TIMEOUT_MS
         ? "no majority of the core heard"
         : "";
   }
--- a/core-logic/src/main/java/applespindle/corelogic/EdgeListDuty.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
@@ -1,6 +1,11 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import applespindle.corelogic.Records.EdgeList;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.changefeed.UpdateAcknowledgements;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.EdgeList;
+import applespindle.corelogic.metadata.MetadataKeys;
 import java.util.Set;
 
 /**
@@ -8,33 +13,33 @@
  * step with the live ones. Invariant: lists change one address at a time, each only once a majority
  * of the listed edges knows the present one.
  */
-final class EdgeListDuty {
+final class EdgeListManager {
   private static final String PART = "core";
 
-  private final Surroundings surroundings;
-  private final CoreTable table;
-  private final CoreMembership membership;
-  private final CoreKeys keys;
-  private final NewsInForce inForce;
-  private final EdgeListing listing;
+  private final Environment surroundings;
+  private final MetadataTable table;
+  private final QuorumView membership;
+  private final LedKeys keys;
+  private final UpdateAcknowledgements inForce;
+  private final EdgeListPolicy listing;
 
-  EdgeListDuty(
-      Surroundings surroundings,
-      CoreTable table,
-      CoreMembership membership,
-      CoreKeys keys,
-      NewsInForce inForce) {
+  EdgeListManager(
+      Environment surroundings,
+      MetadataTable table,
+      QuorumView membership,
+      LedKeys keys,
+      UpdateAcknowledgements inForce) {
     this.surroundings = surroundings;
     this.table = table;
     this.membership = membership;
     this.keys = keys;
     this.inForce = inForce;
-    this.listing = new EdgeListing(surroundings);
+    this.listing = new EdgeListPolicy(surroundings);
   }
 
   void tick() {
-    CoreKeyState state = keys.get(MetadataKeys.EDGE_LIST);
-    Set<String> live = NewsInForce.Edges.of(table).live().keySet();
+    LedKey state = keys.get(MetadataKeys.EDGE_LIST);
+    Set<String> live = UpdateAcknowledgements.KnownEdges.of(table).live().keySet();
     if (state == null) {
       boolean needed = !table.has(MetadataKeys.EDGE_LIST) && !live.isEmpty();
       if (needed && membership.isFirstFor(MetadataKeys.EDGE_LIST)) {
--- a/core-logic/src/main/java/applespindle/corelogic/EdgeListing.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
@@ -1,6 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import applespindle.corelogic.Records.EdgeList;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.EdgeList;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,8 +14,8 @@
  * Decides what the list of edges that count becomes next; see {@link EdgeList} for what the steps
  * must keep to.
  */
-final class EdgeListing {
-  private final Surroundings surroundings;
+final class EdgeListPolicy {
+  private final Environment surroundings;
 
   /** Edges that joined and when the last of them did, until the first list is made. */
   private Set<String> joining = Set.of();
@@ -22,7 +24,7 @@
   private long changedAt;
   private final Map<String, Long> silentSince = new HashMap<>();
 
-  EdgeListing(Surroundings surroundings) {
+  EdgeListPolicy(Environment surroundings) {
     this.surroundings = surroundings;
   }
 
@@ -41,7 +43,7 @@
       lastJoinedAt = surroundings.now();
       return null;
     }
-    boolean settled = surroundings.now() - lastJoinedAt >= Constants.EDGES_SETTLE_MS;
+    boolean settled = surroundings.now() - lastJoinedAt >= MembershipConstants.EDGE_LIST_SETTLE_MS;
     return live.isEmpty() || !settled ? null : new EdgeList(1, List.copyOf(live));
   }
 
@@ -52,7 +54,7 @@
     present.addresses().stream()
         .filter(address -> !live.contains(address))
         .forEach(address -> silentSince.putIfAbsent(address, now));
-    if (now - changedAt < Constants.EDGES_CHANGE_MS || !presentKnownToMost) {
+    if (now - changedAt < MembershipConstants.EDGE_LIST_CHANGE_INTERVAL_MS || !presentKnownToMost) {
       return null;
     }
     List<String> next = new ArrayList<>(present.addresses());
@@ -67,7 +69,8 @@
             .filter(
                 address ->
                     !live.contains(address)
-                        && now - silentSince.getOrDefault(address, now) >= Constants.EDGE_STRUCK_MS)
+                        && now - silentSince.getOrDefault(address, now)
+                            >= MembershipConstants.EDGE_REMOVAL_DELAY_MS)
             .findFirst()
             .map(next::remove)
             .orElse(false);
--- a/core-logic/src/main/java/applespindle/corelogic/CoreKeyState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
@@ -1,7 +1,11 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.replication.ReplicatedLogLeader;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.Map;
@@ -10,8 +14,8 @@
  * A core key that this node leads. Invariant: value and room hold the state after every event that
  * was appended, whether it is committed by now or not; they are lost with the leadership.
  */
-final class CoreKeyState {
-  final OwnedKey key;
+final class LedKey {
+  final ReplicatedLogLeader key;
 
   /** What the last appended event made of the key; null for the batch room, which has a ledger. */
   JsonNode value = JSON.nullNode();
@@ -20,7 +24,7 @@
   long valueSequence;
 
   /** The ledger of the batch room; empty for every other key. */
-  final BatchRoomLedger room = new BatchRoomLedger();
+  final BatchCapacityLedger room = new BatchCapacityLedger();
 
   /** For the key of a member: when its lease ends, on this node's clock. */
   long leaseExpiresAt;
@@ -31,7 +35,7 @@
   private Object decoded;
   private JsonNode decodedFrom;
 
-  CoreKeyState(OwnedKey key) {
+  LedKey(ReplicatedLogLeader key) {
     this.key = key;
   }
 
@@ -45,7 +49,7 @@
   }
 
   /** Applies an entry of the log that was read at the takeover. */
-  void replay(Entry entry) {
+  void replay(LogEntry entry) {
     if (entry.isTakeover()) {
       return;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/CoreKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -1,12 +1,28 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyHandOver;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.OwnedKey.ClaimOutcome;
-import applespindle.corelogic.Records.Member;
+package applespindle.corelogic.controlplane;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.membership.KeyLeadership;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.node.TraceLog;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.LeadershipTransfer;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.protocol.MessageSender;
+import applespindle.corelogic.replication.ElectionOutcome;
+import applespindle.corelogic.replication.Elections;
+import applespindle.corelogic.replication.LogReplica;
+import applespindle.corelogic.replication.LogReplicas;
+import applespindle.corelogic.replication.ReplicatedLogLeader;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -18,29 +34,29 @@
  * from a won claim until its leadership is lost, transferred or given up; of the live members the
  * first in the key's agreed order claims it, and only once its leader has been silent.
  */
-final class CoreKeys implements KeyLeadership {
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final CoreMembership membership;
-  private final KeyReplicas replicas;
-  private final CoreTable table;
-  private final Journal journal;
-  private final KeyReplicas.Replies sender;
+final class LedKeys implements KeyLeadership {
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final QuorumView membership;
+  private final LogReplicas replicas;
+  private final MetadataTable table;
+  private final TraceLog journal;
+  private final MessageSender sender;
   private final BooleanSupplier stopping;
-  private final Consumer<CoreKeyState> whenLed;
-  private final KeyClaims claims;
-  private final Map<String, CoreKeyState> led = new TreeMap<>();
-
-  CoreKeys(
-      Surroundings surroundings,
-      Node.Place place,
-      CoreMembership membership,
-      KeyReplicas replicas,
-      CoreTable table,
-      Journal journal,
-      KeyReplicas.Replies sender,
+  private final Consumer<LedKey> whenLed;
+  private final Elections claims;
+  private final Map<String, LedKey> led = new TreeMap<>();
+
+  LedKeys(
+      Environment surroundings,
+      NodeIdentity place,
+      QuorumView membership,
+      LogReplicas replicas,
+      MetadataTable table,
+      TraceLog journal,
+      MessageSender sender,
       BooleanSupplier stopping,
-      Consumer<CoreKeyState> whenLed) {
+      Consumer<LedKey> whenLed) {
     this.surroundings = surroundings;
     this.place = place;
     this.membership = membership;
@@ -51,17 +67,17 @@
     this.stopping = stopping;
     this.whenLed = whenLed;
     this.claims =
-        new KeyClaims(
+        new Elections(
             surroundings, place.id(), sender, key -> membership.replicaSets(), this::begin, true);
   }
 
   /** By key, in the order of the keys. */
-  Map<String, CoreKeyState> led() {
+  Map<String, LedKey> led() {
     return led;
   }
 
   /** Null if this node does not lead the key. */
-  CoreKeyState get(String key) {
+  LedKey get(String key) {
     return led.get(key);
   }
 
@@ -84,7 +100,7 @@
     claim(key, outcome -> {});
   }
 
-  void claim(String key, Consumer<ClaimOutcome> then) {
+  void claim(String key, Consumer<ElectionOutcome> then) {
     claims.claim(key, false, then);
   }
 
@@ -95,7 +111,7 @@
 
   /** Claims a key if nobody is heard to lead it and this node comes first for it. */
   void claimIfVacant(String key) {
-    KeyReplicas.Copy copy = replicas.copies().get(key);
+    LogReplica copy = replicas.copies().get(key);
     if ((copy == null || replicas.ownerSilent(copy)) && membership.isFirstFor(key)) {
       claim(key);
     }
@@ -114,7 +130,7 @@
               if (!led.containsKey(key)
                   && replicas.ownerSilent(copy)
                   && (needsLeader(key) || replicas.undecided(key))
-                  && place.id().equals(Rendezvous.first(key, live))) {
+                  && place.id().equals(RendezvousHashing.first(key, live))) {
                 claim(key);
               }
             });
@@ -125,17 +141,17 @@
    * them.
    */
   private boolean needsLeader(String key) {
-    FeedItem item = table.get(key);
+    MetadataRecord item = table.get(key);
     if (item != null && key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
-      return Json.read(item.value(), Member.class).live();
+      return Json.read(item.value(), NodeRegistration.class).live();
     }
     return item != null || key.equals(MetadataKeys.BATCH_CAPACITY);
   }
 
-  private void begin(OwnedKey leadership) {
-    CoreKeyState state = new CoreKeyState(leadership);
+  private void begin(ReplicatedLogLeader leadership) {
+    LedKey state = new LedKey(leadership);
     leadership.entries().forEach(state::replay);
-    state.leaseExpiresAt = surroundings.now() + Constants.GRANT_LENGTH_MS;
+    state.leaseExpiresAt = surroundings.now() + MembershipConstants.LEASE_DURATION_MS;
     led.put(leadership.key, state);
     leadership.whenLost(
         () -> {
@@ -149,7 +165,7 @@
   // ---- leading
 
   /** Appends the key's whole new value; the callback runs once it is on a majority. */
-  void put(CoreKeyState state, Object value, Consumer<Fault> then) {
+  void put(LedKey state, Object value, Consumer<ApiError> then) {
     byte[] event = Json.bytes(value);
     state.value = Json.tree(event);
     state.valueSequence = state.key.append(true, event, then);
@@ -161,17 +177,17 @@
     claims.changeSets();
   }
 
-  void promised(KeyPromised message, String fromId) {
+  void promised(VoteResponse message, String fromId) {
     claims.promised(message, fromId);
   }
 
-  void logPart(KeyLogPart message) {
+  void logPart(LogFetchResponse message) {
     claims.logPart(message);
   }
 
-  void appended(KeyAppended message, String fromId) {
-    CoreKeyState state = led.get(message.key());
-    OwnedKey leadership = state != null ? state.key : claims.claiming(message.key());
+  void appended(AppendResponse message, String fromId) {
+    LedKey state = led.get(message.key());
+    ReplicatedLogLeader leadership = state != null ? state.key : claims.claiming(message.key());
     if (leadership != null) {
       leadership.appended(message, fromId);
     }
@@ -195,20 +211,20 @@
    */
   void transfer(String key) {
     String successor =
-        Rendezvous.order(key, membership.liveMembers()).stream()
+        RendezvousHashing.order(key, membership.liveMembers()).stream()
             .filter(id -> !id.equals(place.id()))
             .findFirst()
             .orElse("");
     if (successor.isEmpty() && !stopping.getAsBoolean()) {
       return;
     }
-    OwnedKey leadership = led.remove(key).key;
+    ReplicatedLogLeader leadership = led.remove(key).key;
     leadership.stop();
     if (!successor.isEmpty()) {
-      sender.reply(
+      sender.send(
           membership.addressOf(successor),
           successor,
-          new KeyHandOver(key, leadership.epoch(), leadership.lastSequence()));
+          new LeadershipTransfer(key, leadership.epoch(), leadership.lastSequence()));
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/MemberLeases.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MemberLeaseManager.java
@@ -1,9 +1,14 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Records.Member;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.protocol.Message.PeerRequest;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Consumer;
@@ -13,24 +18,24 @@
  * later than its length, never sooner; a member is live from its first grant until its lease ends
  * or it leaves.
  */
-final class MemberLeases {
+final class MemberLeaseManager {
   private static final String PART = "core";
 
-  private final Surroundings surroundings;
-  private final CoreTable table;
-  private final CoreKeys keys;
-  private final CommandReplies replies;
+  private final Environment surroundings;
+  private final MetadataTable table;
+  private final LedKeys keys;
+  private final CommandResponder replies;
 
   /** Sends the command to leave for a member's key. */
   private final Consumer<String> endMembership;
 
   private long lastExpiryAt = Long.MIN_VALUE / 2;
 
-  MemberLeases(
-      Surroundings surroundings,
-      CoreTable table,
-      CoreKeys keys,
-      CommandReplies replies,
+  MemberLeaseManager(
+      Environment surroundings,
+      MetadataTable table,
+      LedKeys keys,
+      CommandResponder replies,
       Consumer<String> endMembership) {
     this.surroundings = surroundings;
     this.table = table;
@@ -47,26 +52,26 @@
     long now = surroundings.now();
     long suspendedMs = now - lastExpiryAt;
     lastExpiryAt = now;
-    if (suspendedMs > Constants.LOOK_LATE_MS) {
+    if (suspendedMs > MembershipConstants.SUSPENSION_THRESHOLD_MS) {
       keys.led().values().forEach(state -> state.leaseExpiresAt += suspendedMs);
       return;
     }
-    for (CoreKeyState state : List.copyOf(keys.led().values())) {
+    for (LedKey state : List.copyOf(keys.led().values())) {
       if (isLive(state) && now >= state.leaseExpiresAt) {
-        Member member = JSON.convertValue(state.value, Member.class);
+        NodeRegistration member = JSON.convertValue(state.value, NodeRegistration.class);
         surroundings.log(PART, "Member expired: " + member.name() + ".");
         keys.put(state, ended(member), fault -> {});
       }
     }
   }
 
-  private static boolean isLive(CoreKeyState state) {
+  private static boolean isLive(LedKey state) {
     return state.key.key.startsWith(MetadataKeys.MEMBER_PREFIX)
         && state.value.path("live").asBoolean();
   }
 
-  private static Member ended(Member member) {
-    return new Member(
+  private static NodeRegistration ended(NodeRegistration member) {
+    return new NodeRegistration(
         member.id(),
         member.incarnation(),
         member.name(),
@@ -78,10 +83,11 @@
   }
 
   /** Grants or renews a lease. A renewal that changes nothing about the member is not written. */
-  void grant(Ask ask, CoreKeyState state, Member member) {
-    state.leaseExpiresAt = surroundings.now() + Constants.GRANT_LENGTH_MS;
-    ObjectNode body = JSON.createObjectNode().put("grantMs", Constants.GRANT_LENGTH_MS);
-    if (!state.value.isNull() && member.equals(JSON.convertValue(state.value, Member.class))) {
+  void grant(PeerRequest ask, LedKey state, NodeRegistration member) {
+    state.leaseExpiresAt = surroundings.now() + MembershipConstants.LEASE_DURATION_MS;
+    ObjectNode body = JSON.createObjectNode().put("grantMs", MembershipConstants.LEASE_DURATION_MS);
+    if (!state.value.isNull()
+        && member.equals(JSON.convertValue(state.value, NodeRegistration.class))) {
       replies.respond(ask, Response.of(200, body));
       return;
     }
@@ -94,7 +100,7 @@
    * An edge keeps no id over a restart: whoever was at its address has ended, and its duties need
    * not wait for the end of its lease.
    */
-  private void endFormer(Member joined) {
+  private void endFormer(NodeRegistration joined) {
     table.live("edge").stream()
         .filter(
             member ->
@@ -103,14 +109,14 @@
         .forEach(former -> endMembership.accept(MetadataKeys.MEMBER_PREFIX + former.id()));
   }
 
-  void leave(Ask ask, CoreKeyState state) {
+  void leave(PeerRequest ask, LedKey state) {
     if (!state.value.path("live").asBoolean()) {
       replies.respond(ask, Response.of(200, JSON.createObjectNode()));
       return;
     }
     keys.put(
         state,
-        ended(JSON.convertValue(state.value, Member.class)),
+        ended(JSON.convertValue(state.value, NodeRegistration.class)),
         fault -> replies.respond(ask, fault, JSON::createObjectNode));
   }
 }
