--- a/core-logic/src/main/java/applespindle/corelogic/CoreView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
@@ -1,10 +1,15 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.Worker;
+import applespindle.corelogic.changefeed.MetadataFreshness;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.changefeed.UpdateAcknowledgements;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,11 +19,11 @@
  * What a core node tells of the committed keys as they are known here. Invariant: it only reads,
  * and a view that may be old carries its age.
  */
-final class CoreView {
-  private final CoreTable table;
-  private final FeedFreshness freshness;
+final class MetadataView {
+  private final MetadataTable table;
+  private final MetadataFreshness freshness;
 
-  CoreView(CoreTable table, FeedFreshness freshness) {
+  MetadataView(MetadataTable table, MetadataFreshness freshness) {
     this.table = table;
     this.freshness = freshness;
   }
@@ -30,12 +35,12 @@
     table
         .under(MetadataKeys.WORKER_PREFIX)
         .map(item -> Json.tree(item.value()))
-        .filter(worker -> !worker.path("state").asText().equals(Worker.GONE))
+        .filter(worker -> !worker.path("state").asText().equals(WorkerRegistration.GONE))
         .forEach(workers::add);
     if (table.has(MetadataKeys.WORKER_LIST)) {
       Json.tree(table.get(MetadataKeys.WORKER_LIST).value()).path("workers").forEach(workers::add);
     }
-    FeedItem version = table.get(MetadataKeys.WORKER_LIST_VERSION);
+    MetadataRecord version = table.get(MetadataKeys.WORKER_LIST_VERSION);
     body.put("version", version == null ? 0 : Json.tree(version.value()).path("version").asLong());
     return body.put("ageMs", freshness.ageMs());
   }
@@ -44,9 +49,9 @@
   List<String> workerIds() {
     return table
         .under(MetadataKeys.WORKER_PREFIX)
-        .map(item -> Json.read(item.value(), Worker.class))
-        .filter(worker -> !worker.state().equals(Worker.GONE))
-        .map(Worker::id)
+        .map(item -> Json.read(item.value(), WorkerRegistration.class))
+        .filter(worker -> !worker.state().equals(WorkerRegistration.GONE))
+        .map(WorkerRegistration::id)
         .toList();
   }
 
@@ -56,10 +61,11 @@
     table.live().forEach(member -> members.add(JSON.<JsonNode>valueToTree(member)));
     status.set("workers", workers().get("workers"));
     ArrayNode edges = status.putArray("edges");
-    NewsInForce.Edges.of(table).listed().forEach(edges::add);
-    FeedItem bundle = table.get(MetadataKeys.CONFIGURATION);
+    UpdateAcknowledgements.KnownEdges.of(table).listed().forEach(edges::add);
+    MetadataRecord bundle = table.get(MetadataKeys.CONFIGURATION);
     status.put(
-        "bundle", bundle == null ? 0 : Json.read(bundle.value(), SignedBundle.class).number());
+        "bundle",
+        bundle == null ? 0 : Json.read(bundle.value(), SignedConfiguration.class).number());
     ObjectNode shards = status.putObject("shards");
     table
         .under(MetadataKeys.SHARD_PREFIX)
--- a/core-logic/src/main/java/applespindle/corelogic/CoreMembershipChange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
@@ -1,7 +1,13 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Roster;
+package applespindle.corelogic.controlplane;
+
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.membership.QuorumPeer;
+import applespindle.corelogic.membership.QuorumView;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,13 +21,13 @@
  * it does, both sets are in force, and the new one alone only once the newcomer has copied; each
  * step is taken only when the one before is committed and in use here.
  */
-final class CoreMembershipChange {
+final class QuorumMembershipManager {
   private static final String PART = "core";
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final CoreMembership membership;
-  private final CoreKeys keys;
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final QuorumView membership;
+  private final LedKeys keys;
 
   /** A core of fewer members than this is grown; 0 where the founders are listed. */
   private final int wantedMembers;
@@ -29,11 +35,11 @@
   /** By member id; only known to this process. */
   private final Map<String, Long> silentSince = new HashMap<>();
 
-  CoreMembershipChange(
-      Surroundings surroundings,
-      Node.Place place,
-      CoreMembership membership,
-      CoreKeys keys,
+  QuorumMembershipManager(
+      Environment surroundings,
+      NodeIdentity place,
+      QuorumView membership,
+      LedKeys keys,
       int wantedMembers) {
     this.surroundings = surroundings;
     this.place = place;
@@ -44,12 +50,13 @@
 
   /** Takes the next step, if there is one to take and this node leads the key. */
   void advance() {
-    CoreKeyState state = keys.get(MetadataKeys.MEMBERSHIP);
+    LedKey state = keys.get(MetadataKeys.MEMBERSHIP);
     if (state == null) {
       keys.claimIfVacant(MetadataKeys.MEMBERSHIP);
       return;
     }
-    Roster present = state.value.isNull() ? membership.current() : state.as(Roster.class);
+    QuorumMembership present =
+        state.value.isNull() ? membership.current() : state.as(QuorumMembership.class);
     if (present.number() != membership.current().number()) {
       return;
     }
@@ -61,8 +68,8 @@
   }
 
   /** Ends a change once the newcomer has copied, or calls it off if the newcomer is silent. */
-  private void settle(CoreKeyState state, Roster present) {
-    CoreMember newcomer =
+  private void settle(LedKey state, QuorumMembership present) {
+    QuorumMember newcomer =
         present.next().stream()
             .filter(member -> !present.members().contains(member))
             .findFirst()
@@ -75,17 +82,17 @@
     }
   }
 
-  private boolean isThere(CoreMember member) {
-    CorePeer peer = membership.peers().get(member.peerAddress());
+  private boolean isThere(QuorumMember member) {
+    QuorumPeer peer = membership.peers().get(member.peerAddress());
     return peer != null && membership.alive(peer) && peer.member.id().equals(member.id());
   }
 
   /** True if a replacement was begun. */
-  private boolean replaceLost(CoreKeyState state, Roster present) {
-    for (CoreMember member : present.members()) {
-      Optional<CoreMember> replacement = replacementOf(member);
+  private boolean replaceLost(LedKey state, QuorumMembership present) {
+    for (QuorumMember member : present.members()) {
+      Optional<QuorumMember> replacement = replacementOf(member);
       if (replacement.isPresent()) {
-        List<CoreMember> next = new ArrayList<>(present.members());
+        List<QuorumMember> next = new ArrayList<>(present.members());
         next.set(next.indexOf(member), replacement.get());
         String names = member.name() + " is being replaced by " + replacement.get().name();
         begin(state, present, next, "Core member " + names + ".");
@@ -96,8 +103,8 @@
   }
 
   /** Empty while the member is there, or may come back, or nobody can take its place. */
-  private Optional<CoreMember> replacementOf(CoreMember member) {
-    CorePeer peer = membership.peers().get(member.peerAddress());
+  private Optional<QuorumMember> replacementOf(QuorumMember member) {
+    QuorumPeer peer = membership.peers().get(member.peerAddress());
     if (member.id().equals(place.id()) || isThere(member)) {
       silentSince.remove(member.id());
       return Optional.empty();
@@ -111,17 +118,19 @@
     if (peer != null && !sameProcess && membership.alive(peer) && peer.candidate) {
       return Optional.of(peer.member);
     }
-    return silentMs >= Constants.CORE_REPLACE_MS ? candidateFor(member) : Optional.empty();
+    return silentMs >= MembershipConstants.QUORUM_MEMBER_REPLACEMENT_DELAY_MS
+        ? candidateFor(member)
+        : Optional.empty();
   }
 
-  private void grow(CoreKeyState state, Roster present) {
+  private void grow(LedKey state, QuorumMembership present) {
     if (present.members().size() >= wantedMembers) {
       return;
     }
     candidateFor(null)
         .ifPresent(
             candidate -> {
-              List<CoreMember> next = new ArrayList<>(present.members());
+              List<QuorumMember> next = new ArrayList<>(present.members());
               next.add(candidate);
               begin(state, present, next, "The core takes " + candidate.name() + " in.");
             });
@@ -131,15 +140,15 @@
    * One of the leaver's zone first, then one of a zone with the fewest members; the leaver is null
    * when the core grows.
    */
-  private Optional<CoreMember> candidateFor(CoreMember leaver) {
+  private Optional<QuorumMember> candidateFor(QuorumMember leaver) {
     return membership.peers().values().stream()
         .filter(peer -> membership.alive(peer) && peer.candidate)
         .map(peer -> peer.member)
         .min(
             Comparator.comparing(
-                    (CoreMember each) -> leaver != null && !each.zone().equals(leaver.zone()))
+                    (QuorumMember each) -> leaver != null && !each.zone().equals(leaver.zone()))
                 .thenComparing(each -> membersIn(each.zone()))
-                .thenComparing(CoreMember::id));
+                .thenComparing(QuorumMember::id));
   }
 
   private long membersIn(String zone) {
@@ -148,14 +157,15 @@
         .count();
   }
 
-  private void begin(CoreKeyState state, Roster present, List<CoreMember> next, String sentence) {
+  private void begin(
+      LedKey state, QuorumMembership present, List<QuorumMember> next, String sentence) {
     surroundings.log(PART, sentence);
     state.copied.clear();
     put(state, present, present.members(), next);
   }
 
   private void put(
-      CoreKeyState state, Roster present, List<CoreMember> members, List<CoreMember> next) {
-    keys.put(state, new Roster(present.number() + 1, members, next), fault -> {});
+      LedKey state, QuorumMembership present, List<QuorumMember> members, List<QuorumMember> next) {
+    keys.put(state, new QuorumMembership(present.number() + 1, members, next), fault -> {});
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/ShardPlacement.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardPlacement.java
@@ -1,8 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.controlplane;
 
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Shard;
-import applespindle.corelogic.Records.StorageReplica;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.ShardAssignment;
+import applespindle.corelogic.metadata.ShardReplica;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,17 +14,18 @@
 
 /** Which storage nodes should hold a shard; choices only, nothing is changed here. */
 final class ShardPlacement {
-  static List<StorageReplica> placeShard(String key, List<Member> storage, int replicas) {
-    Map<String, Member> byId = new HashMap<>();
+  static List<ShardReplica> placeShard(String key, List<NodeRegistration> storage, int replicas) {
+    Map<String, NodeRegistration> byId = new HashMap<>();
     storage.forEach(member -> byId.put(member.id(), member));
-    List<Member> ordered = Rendezvous.order(key, byId.keySet()).stream().map(byId::get).toList();
-    List<Member> chosenMembers = new ArrayList<>();
+    List<NodeRegistration> ordered =
+        RendezvousHashing.order(key, byId.keySet()).stream().map(byId::get).toList();
+    List<NodeRegistration> chosenMembers = new ArrayList<>();
     Set<String> zones = new LinkedHashSet<>();
     ordered.stream().filter(member -> zones.add(member.zone())).forEach(chosenMembers::add);
     ordered.stream().filter(member -> !chosenMembers.contains(member)).forEach(chosenMembers::add);
     return chosenMembers.stream()
         .limit(replicas)
-        .map(member -> new StorageReplica(member.id(), member.peerAddress(), member.zone()))
+        .map(member -> new ShardReplica(member.id(), member.peerAddress(), member.zone()))
         .toList();
   }
 
@@ -31,15 +33,15 @@
    * Spares that are not in the set: those of a zone the rest does not cover first, then those that
    * hold least.
    */
-  static List<Member> candidates(
+  static List<NodeRegistration> candidates(
       String key,
-      Shard shard,
-      List<StorageReplica> leaving,
-      List<Member> spares,
+      ShardAssignment shard,
+      List<ShardReplica> leaving,
+      List<NodeRegistration> spares,
       Map<String, Long> holding) {
     Set<String> present = new LinkedHashSet<>();
     Set<String> zones = new LinkedHashSet<>();
-    for (StorageReplica each : shard.replicas()) {
+    for (ShardReplica each : shard.replicas()) {
       present.add(each.id());
       if (!leaving.contains(each)) {
         zones.add(each.zone());
@@ -48,13 +50,14 @@
     return spares.stream()
         .filter(member -> !present.contains(member.id()))
         .sorted(
-            Comparator.comparing((Member member) -> zones.contains(member.zone()))
+            Comparator.comparing((NodeRegistration member) -> zones.contains(member.zone()))
                 .thenComparing(member -> holding.getOrDefault(member.id(), 0L))
-                .thenComparing(member -> Rendezvous.mix(Rendezvous.hash(key + member.id()))))
+                .thenComparing(
+                    member -> RendezvousHashing.mix(RendezvousHashing.hash(key + member.id()))))
         .toList();
   }
 
-  static long zonesWithout(Shard shard, StorageReplica leaver, Member newcomer) {
+  static long zonesWithout(ShardAssignment shard, ShardReplica leaver, NodeRegistration newcomer) {
     Set<String> zones = new LinkedHashSet<>();
     shard.replicas().stream()
         .filter(each -> !each.equals(leaver))
@@ -65,11 +68,12 @@
     return zones.size();
   }
 
-  static List<StorageReplica> replaced(Shard shard, StorageReplica leaver, Member newcomer) {
-    List<StorageReplica> next = new ArrayList<>(shard.replicas());
+  static List<ShardReplica> replaced(
+      ShardAssignment shard, ShardReplica leaver, NodeRegistration newcomer) {
+    List<ShardReplica> next = new ArrayList<>(shard.replicas());
     next.remove(leaver);
     if (newcomer != null) {
-      next.add(new StorageReplica(newcomer.id(), newcomer.peerAddress(), newcomer.zone()));
+      next.add(new ShardReplica(newcomer.id(), newcomer.peerAddress(), newcomer.zone()));
     }
     return next;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/StorageSets.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
@@ -1,12 +1,22 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Shard;
-import applespindle.corelogic.Records.StorageReplica;
-import applespindle.corelogic.Records.StorageState;
+package applespindle.corelogic.controlplane;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.changefeed.MetadataTable;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.ShardConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.ShardAssignment;
+import applespindle.corelogic.metadata.ShardReplica;
+import applespindle.corelogic.metadata.StorageNodeState;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.replication.FaultToleranceMonitor;
+import applespindle.corelogic.replication.ReplicaConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -23,12 +33,12 @@
  * Which storage nodes hold which shard: the owner of a shard's key changes its set, one member at a
  * time.
  */
-final class StorageSets {
+final class ShardReplicaManager {
   private static final String PART = "core";
 
-  private final Surroundings surroundings;
-  private final CoreNode core;
-  private final CoreTable table;
+  private final Environment surroundings;
+  private final ControlPlaneNode core;
+  private final MetadataTable table;
   private final int replicas;
 
   /**
@@ -39,7 +49,7 @@
 
   private boolean lookPlanned;
 
-  StorageSets(Surroundings surroundings, CoreNode core, Bounds bounds) {
+  ShardReplicaManager(Environment surroundings, ControlPlaneNode core, NodeSettings bounds) {
     this.surroundings = surroundings;
     this.core = core;
     this.table = core.table;
@@ -49,7 +59,7 @@
   void tick() {
     make();
     change();
-    if (pending() == 0 && surroundings.random().nextInt(Constants.BALANCE_ONE_IN) == 0) {
+    if (pending() == 0 && surroundings.random().nextInt(ShardConstants.BALANCE_CHECK_ONE_IN) == 0) {
       balance();
     }
   }
@@ -62,7 +72,7 @@
     if (!lookPlanned) {
       lookPlanned = true;
       surroundings.after(
-          Constants.SHARD_LOOK_MS,
+          ShardConstants.MIN_CHECK_INTERVAL_MS,
           () -> {
             lookPlanned = false;
             if (!core.stopped() && !core.stopping) {
@@ -74,37 +84,37 @@
 
   /** Gives every shard its first replica set once enough storage nodes are there. */
   private void make() {
-    List<Member> storage = table.live("storage");
-    if (storage.size() < replicas || table.shards().size() == Constants.SHARDS) {
+    List<NodeRegistration> storage = table.live("storage");
+    if (storage.size() < replicas || table.shards().size() == ShardConstants.SHARD_COUNT) {
       return;
     }
     List<String> live = core.membership.liveMembers();
-    for (int shard = 0; shard < Constants.SHARDS; shard++) {
+    for (int shard = 0; shard < ShardConstants.SHARD_COUNT; shard++) {
       String key = MetadataKeys.SHARD_PREFIX + shard;
-      if (table.has(key) || !core.place().id().equals(Rendezvous.first(key, live))) {
+      if (table.has(key) || !core.place().id().equals(RendezvousHashing.first(key, live))) {
         continue;
       }
-      CoreKeyState state = core.keys.get(key);
+      LedKey state = core.keys.get(key);
       if (state == null) {
         core.keys.claim(key);
       } else if (state.value.isNull()) {
         core.keys.put(
             state,
-            new Shard(1, ShardPlacement.placeShard(key, storage, replicas), List.of()),
+            new ShardAssignment(1, ShardPlacement.placeShard(key, storage, replicas), List.of()),
             fault -> {});
       }
     }
   }
 
   /** Live storage nodes by id. */
-  private Map<String, Member> live() {
-    Map<String, Member> live = new TreeMap<>();
+  private Map<String, NodeRegistration> live() {
+    Map<String, NodeRegistration> live = new TreeMap<>();
     table.live("storage").forEach(member -> live.put(member.id(), member));
     return live;
   }
 
   /** Live storage nodes that take shards. */
-  private List<Member> spares() {
+  private List<NodeRegistration> spares() {
     return table.live("storage").stream().filter(member -> table.active(member.id())).toList();
   }
 
@@ -120,7 +130,7 @@
     return holding;
   }
 
-  private List<CoreKeyState> ownedShards() {
+  private List<LedKey> ownedShards() {
     return core.keys.led().values().stream()
         .filter(
             state -> state.key.key.startsWith(MetadataKeys.SHARD_PREFIX) && !state.value.isNull())
@@ -128,26 +138,28 @@
   }
 
   private long pending() {
-    return ownedShards().stream().filter(state -> !state.as(Shard.class).next().isEmpty()).count();
+    return ownedShards().stream()
+        .filter(state -> !state.as(ShardAssignment.class).next().isEmpty())
+        .count();
   }
 
   private void change() {
     long now = surroundings.now();
-    Map<String, Member> live = live();
+    Map<String, NodeRegistration> live = live();
     silentSince.keySet().removeAll(live.keySet());
     Map<String, Long> holding = held();
     holding.keySet().stream()
         .filter(id -> !live.containsKey(id))
         .forEach(id -> silentSince.putIfAbsent(id, now));
     silentSince.keySet().retainAll(holding.keySet());
-    List<Member> spares = spares();
+    List<NodeRegistration> spares = spares();
     long pending = pending();
-    for (CoreKeyState state : ownedShards()) {
-      Shard shard = state.as(Shard.class);
+    for (LedKey state : ownedShards()) {
+      ShardAssignment shard = state.as(ShardAssignment.class);
       if (!shard.next().isEmpty()) {
         settle(state, shard, live);
-      } else if (pending < Constants.SHARD_CHANGES_MOST) {
-        List<StorageReplica> next = repaired(state.key.key, shard, live, spares, holding, now);
+      } else if (pending < ShardConstants.MAX_CONCURRENT_CHANGES) {
+        List<ShardReplica> next = repaired(state.key.key, shard, live, spares, holding, now);
         if (next != null) {
           pending++;
           changeTo(state, shard, next);
@@ -156,10 +168,11 @@
     }
   }
 
-  private void changeTo(CoreKeyState state, Shard shard, List<StorageReplica> next) {
+  private void changeTo(LedKey state, ShardAssignment shard, List<ShardReplica> next) {
     state.copied.clear();
     core.journal().add("changing", state.key.key, "set " + (shard.number() + 1));
-    core.keys.put(state, new Shard(shard.number() + 1, shard.replicas(), next), fault -> {});
+    core.keys.put(
+        state, new ShardAssignment(shard.number() + 1, shard.replicas(), next), fault -> {});
   }
 
   /**
@@ -168,22 +181,22 @@
    * shards to and fro.
    */
   private void balance() {
-    Map<String, Member> live = live();
+    Map<String, NodeRegistration> live = live();
     boolean settled = table.shards().values().stream().allMatch(shard -> whole(shard, live));
     if (!settled) {
       return;
     }
-    List<Member> spares = spares();
+    List<NodeRegistration> spares = spares();
     Map<String, Long> holding = held();
-    for (CoreKeyState state : ownedShards()) {
-      Shard shard = state.as(Shard.class);
-      List<Member> candidates =
+    for (LedKey state : ownedShards()) {
+      ShardAssignment shard = state.as(ShardAssignment.class);
+      List<NodeRegistration> candidates =
           ShardPlacement.candidates(state.key.key, shard, List.of(), spares, holding).stream()
               .sorted(Comparator.comparingLong(member -> holding.getOrDefault(member.id(), 0L)))
               .limit(1)
               .toList();
-      for (Member candidate : candidates) {
-        Optional<StorageReplica> fullest =
+      for (NodeRegistration candidate : candidates) {
+        Optional<ShardReplica> fullest =
             shard.replicas().stream()
                 .filter(
                     each ->
@@ -201,7 +214,7 @@
   }
 
   /** All replicas are there, live and to stay, and no change is under way. */
-  private boolean whole(Shard shard, Map<String, Member> live) {
+  private boolean whole(ShardAssignment shard, Map<String, NodeRegistration> live) {
     return shard.next().isEmpty()
         && shard.replicas().size() == replicas
         && shard.replicas().stream()
@@ -209,18 +222,22 @@
   }
 
   /** Ends a change once the newcomer has copied, or calls it off if the newcomer has died. */
-  private void settle(CoreKeyState state, Shard shard, Map<String, Member> live) {
-    List<StorageReplica> newcomers =
+  private void settle(LedKey state, ShardAssignment shard, Map<String, NodeRegistration> live) {
+    List<ShardReplica> newcomers =
         shard.next().stream().filter(each -> !shard.replicas().contains(each)).toList();
-    List<StorageReplica> needed = newcomers.isEmpty() ? shard.next() : newcomers;
+    List<ShardReplica> needed = newcomers.isEmpty() ? shard.next() : newcomers;
     if (needed.stream()
         .allMatch(each -> state.copied.getOrDefault(each.id(), 0L) == shard.number())) {
       surroundings.log(PART, "Replicas changed: " + state.key.key + ".");
       core.keys.put(
-          state, new Shard(shard.number() + 1, shard.next(), List.of()), fault -> lookSoon());
+          state,
+          new ShardAssignment(shard.number() + 1, shard.next(), List.of()),
+          fault -> lookSoon());
     } else if (newcomers.stream().anyMatch(each -> !live.containsKey(each.id()))) {
       core.keys.put(
-          state, new Shard(shard.number() + 1, shard.replicas(), List.of()), fault -> lookSoon());
+          state,
+          new ShardAssignment(shard.number() + 1, shard.replicas(), List.of()),
+          fault -> lookSoon());
     }
   }
 
@@ -228,15 +245,15 @@
    * The set that should be next, differing in one member, or null if nothing is dead, leaving or
    * missing, or if no spare is there: a set never shrinks, as it would bear fewer losses then.
    */
-  private List<StorageReplica> repaired(
+  private List<ShardReplica> repaired(
       String key,
-      Shard shard,
-      Map<String, Member> live,
-      List<Member> spares,
+      ShardAssignment shard,
+      Map<String, NodeRegistration> live,
+      List<NodeRegistration> spares,
       Map<String, Long> holding,
       long now) {
-    for (StorageReplica each : shard.replicas()) {
-      Optional<Member> inItsPlace =
+    for (ShardReplica each : shard.replicas()) {
+      Optional<NodeRegistration> inItsPlace =
           table
               .liveAt(each.address())
               .filter(
@@ -249,17 +266,18 @@
         return ShardPlacement.replaced(shard, each, inItsPlace.get());
       }
     }
-    List<StorageReplica> leaving =
+    List<ShardReplica> leaving =
         shard.replicas().stream()
             .filter(
                 each ->
                     !table.active(each.id())
                         || !live.containsKey(each.id())
                             && now - silentSince.getOrDefault(each.id(), now)
-                                >= Constants.STORAGE_SILENT_MS)
-            .sorted(Comparator.comparing((StorageReplica each) -> live.containsKey(each.id())))
+                                >= ShardConstants.REPLACEMENT_DELAY_MS)
+            .sorted(Comparator.comparing((ShardReplica each) -> live.containsKey(each.id())))
             .toList();
-    List<Member> candidates = ShardPlacement.candidates(key, shard, leaving, spares, holding);
+    List<NodeRegistration> candidates =
+        ShardPlacement.candidates(key, shard, leaving, spares, holding);
     boolean lacksOne = leaving.isEmpty() && shard.replicas().size() < replicas;
     if (candidates.isEmpty() || leaving.isEmpty() && !lacksOne) {
       return null;
@@ -273,21 +291,21 @@
    * Marks a storage node as emptying or retired. The same mark again gets the same answer. Emptying
    * is refused unless as many others remain as a shard has replicas; if fewer do later, it waits.
    */
-  void mark(Ask ask, CoreKeyState state, StorageState sent) {
-    StorageState known = state.as(StorageState.class);
+  void mark(PeerRequest ask, LedKey state, StorageNodeState sent) {
+    StorageNodeState known = state.as(StorageNodeState.class);
     int shards =
         (int) table.shards().values().stream().filter(shard -> names(shard, sent.id())).count();
-    Fault refusal = null;
+    ApiError refusal = null;
     if (known == null && !table.has(MetadataKeys.MEMBER_PREFIX + sent.id())) {
-      refusal = new Fault.NoSuchStorage(sent.id());
-    } else if (sent.state().equals(StorageState.EMPTYING)) {
+      refusal = new ApiError.NoSuchStorageNode(sent.id());
+    } else if (sent.state().equals(StorageNodeState.EMPTYING)) {
       int others = othersThan(sent.id());
       refusal =
-          known != null && known.state().equals(StorageState.RETIRED)
-              ? new Fault.StorageRetired(sent.id())
-              : known == null && others < replicas ? new Fault.TooFewCopies(others) : null;
+          known != null && known.state().equals(StorageNodeState.RETIRED)
+              ? new ApiError.StorageNodeRetired(sent.id())
+              : known == null && others < replicas ? new ApiError.TooFewReplicas(others) : null;
     } else if (shards > 0 || known == null) {
-      refusal = new Fault.StorageNotEmpty(shards);
+      refusal = new ApiError.StorageNodeNotEmpty(shards);
     }
     Response answer =
         refusal != null
@@ -314,7 +332,7 @@
   }
 
   /** Which node a name means; only a core node with fresh news can say that there is none. */
-  void tellId(Ask ask, boolean fresh) {
+  void tellId(PeerRequest ask, boolean fresh) {
     Optional<String> id = idOf(ask.key());
     core.respond(
         ask,
@@ -322,8 +340,8 @@
             ? Response.of(200, JSON.createObjectNode().put("id", id.get()))
             : Response.of(
                 fresh
-                    ? new Fault.NoSuchStorage(ask.key())
-                    : new Fault.NotReady("no majority of the core heard")));
+                    ? new ApiError.NoSuchStorageNode(ask.key())
+                    : new ApiError.NotReady("no majority of the core heard")));
   }
 
   /**
@@ -338,23 +356,23 @@
                 member.role().equals("storage")
                     && (member.id().equals(idOrName) || member.name().equals(idOrName)))
         .max(
-            Comparator.comparing((Member member) -> member.id().equals(idOrName))
+            Comparator.comparing((NodeRegistration member) -> member.id().equals(idOrName))
                 .thenComparing(member -> member.live() && !table.displaced(member.id()))
                 .thenComparing(member -> !table.displaced(member.id()))
                 .thenComparing(member -> holding.getOrDefault(member.id(), 0L))
-                .thenComparing(Member::id))
-        .map(Member::id);
+                .thenComparing(NodeRegistration::id))
+        .map(NodeRegistration::id);
   }
 
   /**
    * Whether the node may be taken away, disk and all. Every shard is asked of its owner, as news of
    * a set that names the node may still be on its way here.
    */
-  void place(Ask ask, CoreKeyState state) {
+  void place(PeerRequest ask, LedKey state) {
     String id = state.key.key.substring(MetadataKeys.STORAGE_PREFIX.length());
     state.key.confirm(
         fault -> {
-          StorageState known = state.as(StorageState.class);
+          StorageNodeState known = state.as(StorageNodeState.class);
           if (fault != null) {
             core.respond(ask, Response.of(fault));
           } else if (known == null) {
@@ -369,8 +387,8 @@
     return Response.of(200, JSON.createObjectNode().put("complete", complete));
   }
 
-  private void readShard(Ask ask, String id, int number) {
-    if (number == Constants.SHARDS) {
+  private void readShard(PeerRequest ask, String id, int number) {
+    if (number == ShardConstants.SHARD_COUNT) {
       core.respond(ask, place(true));
       return;
     }
@@ -379,9 +397,9 @@
         MetadataKeys.SHARD_PREFIX + number,
         JSON.createObjectNode(),
         response -> {
-          Shard shard =
+          ShardAssignment shard =
               response.good() && !response.body().isNull()
-                  ? JSON.convertValue(response.body(), Shard.class)
+                  ? JSON.convertValue(response.body(), ShardAssignment.class)
                   : null;
           if (!response.good()) {
             core.respond(ask, response);
@@ -398,7 +416,8 @@
    */
   ObjectNode planEmptying(String id) {
     Map<String, Long> holding = held();
-    List<Member> spares = spares().stream().filter(member -> !member.id().equals(id)).toList();
+    List<NodeRegistration> spares =
+        spares().stream().filter(member -> !member.id().equals(id)).toList();
     ObjectNode plan =
         JSON.createObjectNode().put("node", id).put("refused", othersThan(id) < replicas);
     ArrayNode moves = plan.putArray("moves");
@@ -411,7 +430,7 @@
                     .findFirst()
                     .ifPresent(
                         leaver -> {
-                          List<Member> candidates =
+                          List<NodeRegistration> candidates =
                               ShardPlacement.candidates(
                                   key, shard, List.of(leaver), spares, holding);
                           String to = candidates.isEmpty() ? "" : candidates.get(0).name();
@@ -427,7 +446,7 @@
     return plan;
   }
 
-  private static boolean names(Shard shard, String id) {
+  private static boolean names(ShardAssignment shard, String id) {
     return shard.replicas().stream().anyMatch(each -> each.id().equals(id))
         || shard.next().stream().anyMatch(each -> each.id().equals(id));
   }
@@ -436,7 +455,8 @@
   int lossesBearable() {
     Set<String> live = live().keySet();
     return table.shards().values().stream()
-        .mapToInt(shard -> LossMargin.bearable(ReplicaSets.of(shard), live::contains))
+        .mapToInt(
+            shard -> FaultToleranceMonitor.bearable(ReplicaConfiguration.of(shard), live::contains))
         .min()
         .orElse(replicas / 2);
   }
@@ -466,7 +486,7 @@
                   .put("shards", shards)
                   .put(
                       "state",
-                      state.equals(StorageState.EMPTYING) && shards == 0 ? "emptied" : state);
+                      state.equals(StorageNodeState.EMPTYING) && shards == 0 ? "emptied" : state);
             });
     return rows;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/WorkerListDuty.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
@@ -1,11 +1,15 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.Records.ListedWorkers;
-import applespindle.corelogic.Records.Worker;
-import applespindle.corelogic.Surroundings.ListedWorker;
-import applespindle.corelogic.Surroundings.WorkerPage;
+package applespindle.corelogic.controlplane;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.WorkerListConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ListedWorker;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.WorkerList;
+import applespindle.corelogic.metadata.WorkerRegistration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,17 +24,17 @@
  * for all that changed in one read. A read that is not whole changes nothing; an owner that lost
  * the key writes nothing, as its epoch is refused.
  */
-final class WorkerListDuty {
+final class WorkerListSynchronizer {
   /** Appends the key's whole new value. */
   interface PutValue {
-    void put(CoreKeyState state, Object value, Consumer<Fault> then);
+    void put(LedKey state, Object value, Consumer<ApiError> then);
   }
 
   private static final String PART = "workers";
 
-  private final Surroundings surroundings;
-  private Bounds bounds;
-  private final Predicate<CoreKeyState> stillOwned;
+  private final Environment surroundings;
+  private NodeSettings bounds;
+  private final Predicate<LedKey> stillOwned;
   private final PutValue put;
   private final Runnable handOver;
 
@@ -49,10 +53,10 @@
    */
   private Set<String> lacking = Set.of();
 
-  WorkerListDuty(
-      Surroundings surroundings,
-      Bounds bounds,
-      Predicate<CoreKeyState> stillOwned,
+  WorkerListSynchronizer(
+      Environment surroundings,
+      NodeSettings bounds,
+      Predicate<LedKey> stillOwned,
       PutValue put,
       Runnable handOver) {
     this.surroundings = surroundings;
@@ -62,25 +66,25 @@
     this.handOver = handOver;
   }
 
-  void begin(CoreKeyState state) {
+  void begin(LedKey state) {
     goodAt = surroundings.now();
     emptyReads = 0;
-    quickReads = Constants.LIST_QUICK_READS;
+    quickReads = WorkerListConstants.FAST_POLLS;
     lacking = Set.of();
     read(state);
   }
 
-  private void read(CoreKeyState state) {
+  private void read(LedKey state) {
     if (!stillOwned.test(state)) {
       return;
     }
     long number = ++reading;
     readPage(state, number, "", new ArrayList<>(), 1);
-    surroundings.after(Constants.LIST_READ_MS, () -> failed(state, number));
+    surroundings.after(WorkerListConstants.READ_TIMEOUT_MS, () -> failed(state, number));
   }
 
   private void readPage(
-      CoreKeyState state, long number, String token, List<ListedWorker> before, int pages) {
+      LedKey state, long number, String token, List<ListedWorker> before, int pages) {
     surroundings.listWorkers(
         token,
         page -> {
@@ -92,25 +96,25 @@
   }
 
   private void took(
-      CoreKeyState state, long number, WorkerPage page, List<ListedWorker> before, int pages) {
+      LedKey state, long number, WorkerListPage page, List<ListedWorker> before, int pages) {
     before.addAll(page.workers());
     String next = page.nextToken();
     if (next == null || next.isEmpty()) {
       reading++;
       whole(state, before, pages);
-    } else if (pages >= Constants.LIST_PAGES_MOST) {
+    } else if (pages >= WorkerListConstants.MAX_PAGES) {
       failed(state, number);
     } else {
       readPage(state, number, next, before, pages + 1);
     }
   }
 
-  private void failed(CoreKeyState state, long number) {
+  private void failed(LedKey state, long number) {
     if (number != reading || !stillOwned.test(state)) {
       return;
     }
     reading++;
-    if (surroundings.now() - goodAt >= Constants.LIST_HAND_OVER_MS) {
+    if (surroundings.now() - goodAt >= WorkerListConstants.LEADERSHIP_TRANSFER_DELAY_MS) {
       goodAt = surroundings.now();
       surroundings.log(PART, "The outside list can not be read from here.");
       handOver.run();
@@ -118,10 +122,10 @@
         return;
       }
     }
-    surroundings.after(pause(Constants.LIST_FAULT_MS), () -> read(state));
+    surroundings.after(pause(WorkerListConstants.RETRY_DELAY_MS), () -> read(state));
   }
 
-  void boundsChanged(Bounds newer) {
+  void boundsChanged(NodeSettings newer) {
     bounds = bounds.taking(newer);
   }
 
@@ -130,19 +134,19 @@
     return Math.max(wanted, (long) (2_000 / bounds.listCallsPerS()));
   }
 
-  private void whole(CoreKeyState state, List<ListedWorker> listed, int pages) {
+  private void whole(LedKey state, List<ListedWorker> listed, int pages) {
     goodAt = surroundings.now();
-    List<Worker> known =
+    List<WorkerRegistration> known =
         state.value.isNull()
             ? List.of()
-            : JSON.convertValue(state.value, ListedWorkers.class).workers();
+            : JSON.convertValue(state.value, WorkerList.class).workers();
     emptyReads = listed.isEmpty() ? emptyReads + 1 : 0;
     boolean doubted = emptyReads == 1 && !known.isEmpty();
     if (!doubted) {
-      List<Worker> next = next(known, listed, pages);
+      List<WorkerRegistration> next = next(known, listed, pages);
       if (!next.equals(known)) {
-        quickReads = Constants.LIST_QUICK_READS;
-        put.put(state, new ListedWorkers(next), fault -> {});
+        quickReads = WorkerListConstants.FAST_POLLS;
+        put.put(state, new WorkerList(next), fault -> {});
         surroundings.log(PART, "Outside list of " + next.size() + " workers taken.");
       } else if (quickReads > 0) {
         quickReads--;
@@ -150,24 +154,30 @@
     }
     boolean quick = doubted || quickReads > 0 || !lacking.isEmpty();
     surroundings.after(
-        pause(quick ? Constants.LIST_QUICK_MS : Constants.LIST_CALM_MS), () -> read(state));
+        pause(
+            quick
+                ? WorkerListConstants.FAST_POLL_INTERVAL_MS
+                : WorkerListConstants.POLL_INTERVAL_MS),
+        () -> read(state));
   }
 
   /** A leaving worker stays so while it is listed: what comes back is a new one under a new id. */
-  private List<Worker> next(List<Worker> known, List<ListedWorker> listed, int pages) {
-    Map<String, Worker> before = new TreeMap<>();
+  private List<WorkerRegistration> next(
+      List<WorkerRegistration> known, List<ListedWorker> listed, int pages) {
+    Map<String, WorkerRegistration> before = new TreeMap<>();
     known.forEach(worker -> before.put(worker.id(), worker));
-    Map<String, Worker> next = new TreeMap<>();
+    Map<String, WorkerRegistration> next = new TreeMap<>();
     for (ListedWorker each : listed) {
-      Worker present = before.get(each.id());
-      boolean leaving = each.leaving() || present != null && present.state().equals(Worker.LEAVING);
+      WorkerRegistration present = before.get(each.id());
+      boolean leaving =
+          each.leaving() || present != null && present.state().equals(WorkerRegistration.LEAVING);
       next.put(
           each.id(),
-          new Worker(
+          new WorkerRegistration(
               each.id(),
               each.address(),
               each.pool(),
-              leaving ? Worker.LEAVING : Worker.READY,
+              leaving ? WorkerRegistration.LEAVING : WorkerRegistration.READY,
               each.zone(),
               each.slots()));
     }
--- a/core-logic/src/main/java/applespindle/corelogic/LeaderPlacement.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/BatchLeaderPlacement.java
@@ -1,8 +1,10 @@
-package applespindle.corelogic;
+package applespindle.corelogic.dataplane;
 
-import applespindle.corelogic.Node.Place;
-import applespindle.corelogic.Node.Target;
-import applespindle.corelogic.Records.Member;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.node.NodeIdentity;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -19,54 +21,54 @@
  * link, as it told them when it joined, let it take a batch of typical size in a moment, or nearly
  * as fast as any edge could. Where no machine tells what it has, all are fit.
  */
-final class LeaderPlacement {
+public final class BatchLeaderPlacement {
   /** How many fit edges are asked before an edge that is not fit leads what was handed in to it. */
   private static final int TRIES_ELSEWHERE = 2;
 
   private final int replicas;
-  private final Map<String, Member> fit = new LinkedHashMap<>();
-  private final Map<String, Member> others = new LinkedHashMap<>();
+  private final Map<String, NodeRegistration> fit = new LinkedHashMap<>();
+  private final Map<String, NodeRegistration> others = new LinkedHashMap<>();
 
   /**
    * @param replicas how many copies of a batch its leader sends out
    * @param edges those that are live now
    */
-  LeaderPlacement(int replicas, Collection<Member> edges) {
+  BatchLeaderPlacement(int replicas, Collection<NodeRegistration> edges) {
     this.replicas = replicas;
     double fastestMs = edges.stream().mapToDouble(this::takeMs).min().orElse(0);
-    double slowestMs = Math.max(Constants.LEADER_TAKES_MS, 2 * fastestMs);
-    for (Member edge : edges) {
+    double slowestMs = Math.max(BatchConstants.MAX_LEADER_ACCEPT_MS, 2 * fastestMs);
+    for (NodeRegistration edge : edges) {
       (takeMs(edge) <= slowestMs ? fit : others).put(edge.id(), edge);
     }
   }
 
   /** Whether an edge is fit to lead, or there is none. */
-  boolean mayLead(String edgeId) {
+  public boolean mayLead(String edgeId) {
     return fit.containsKey(edgeId) || fit.isEmpty();
   }
 
   /** The edge at this place in the agreed order for a key, begun anew behind the last; or null. */
-  Target edge(String key, int attempt) {
+  public NodeAddress edge(String key, int attempt) {
     return target(order(key), attempt);
   }
 
   /** The same in the order for a batch that is handed in at an edge; itself where none is known. */
-  Target edgeFrom(Place here, String key, int attempt) {
-    Target chosen = target(orderFrom(here.id(), here.zone(), key), attempt);
-    return chosen != null ? chosen : new Target(here.id(), here.peerAddress());
+  public NodeAddress edgeFrom(NodeIdentity here, String key, int attempt) {
+    NodeAddress chosen = target(orderFrom(here.id(), here.zone(), key), attempt);
+    return chosen != null ? chosen : new NodeAddress(here.id(), here.peerAddress());
   }
 
-  private static Target target(List<Member> order, int attempt) {
+  private static NodeAddress target(List<NodeRegistration> order, int attempt) {
     if (order.isEmpty()) {
       return null;
     }
-    Member edge = order.get(attempt % order.size());
-    return new Target(edge.id(), edge.peerAddress());
+    NodeRegistration edge = order.get(attempt % order.size());
+    return new NodeAddress(edge.id(), edge.peerAddress());
   }
 
   /** All edges in the order agreed for a key: those fit to lead before the others. */
-  List<Member> order(String key) {
-    List<Member> order = new ArrayList<>(rendezvous(key, fit));
+  List<NodeRegistration> order(String key) {
+    List<NodeRegistration> order = new ArrayList<>(rendezvous(key, fit));
     order.addAll(rendezvous(key, others));
     return order;
   }
@@ -77,13 +79,13 @@
    * #TRIES_ELSEWHERE} of them; then itself, as one that is cut off from those can still lead; then
    * the agreed order.
    */
-  List<Member> orderFrom(String ownId, String ownZone, String key) {
-    List<Member> agreed = order(key);
-    Set<Member> order = new LinkedHashSet<>();
+  List<NodeRegistration> orderFrom(String ownId, String ownZone, String key) {
+    List<NodeRegistration> agreed = order(key);
+    Set<NodeRegistration> order = new LinkedHashSet<>();
     if (!fit.containsKey(ownId)) {
-      Stream<Member> near =
+      Stream<NodeRegistration> near =
           agreed.stream().limit(fit.size()).filter(edge -> edge.zone().equals(ownZone));
-      Stream<Member> all = agreed.stream().limit(fit.size());
+      Stream<NodeRegistration> all = agreed.stream().limit(fit.size());
       Stream.concat(near, all).distinct().limit(TRIES_ELSEWHERE).forEach(order::add);
     }
     agreed.stream().filter(edge -> edge.id().equals(ownId)).forEach(order::add);
@@ -92,17 +94,20 @@
   }
 
   /** How long an edge takes for a typical batch, in milliseconds; 0 where it told nothing. */
-  private double takeMs(Member edge) {
+  private double takeMs(NodeRegistration edge) {
     double processorMs =
-        edge.processorCores() <= 0 ? 0 : Constants.LEADER_PROCESSOR_MS / edge.processorCores();
+        edge.processorCores() <= 0
+            ? 0
+            : BatchConstants.LEADER_PROCESSOR_MS_PER_BATCH / edge.processorCores();
     double linkMs =
         edge.linkMegabits() <= 0
             ? 0
-            : Constants.TYPICAL_BATCH_BYTES * 8.0 * replicas / (edge.linkMegabits() * 1_000);
+            : BatchConstants.TYPICAL_BATCH_BYTES * 8.0 * replicas / (edge.linkMegabits() * 1_000);
     return processorMs + linkMs;
   }
 
-  private static List<Member> rendezvous(String key, Map<String, Member> edges) {
-    return Rendezvous.order(key, edges.keySet()).stream().map(edges::get).toList();
+  private static List<NodeRegistration> rendezvous(
+      String key, Map<String, NodeRegistration> edges) {
+    return RendezvousHashing.order(key, edges.keySet()).stream().map(edges::get).toList();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/DataNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -1,22 +1,38 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Records.Worker.GONE;
-
-import applespindle.corelogic.Message.FeedFollow;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Message.KeyPlace;
-import applespindle.corelogic.Message.KeysAsked;
-import applespindle.corelogic.Message.KeysKnown;
-import applespindle.corelogic.Message.WhereIsCore;
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.EdgeList;
-import applespindle.corelogic.Records.ListedWorkers;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Roster;
-import applespindle.corelogic.Records.Shard;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.Worker;
+package applespindle.corelogic.dataplane;
+
+import static applespindle.corelogic.metadata.WorkerRegistration.GONE;
+
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.changefeed.SharedMetadataDigest;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.ChangeFeedConstants;
+import applespindle.corelogic.constants.LifecycleConstants;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.EdgeList;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.metadata.ShardAssignment;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.WorkerList;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppliedPositions;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
+import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.KeyPosition;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
+import applespindle.corelogic.replication.ReplicaConfiguration;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -32,36 +48,36 @@
  * A data-plane process: finds the core by its seeds, holds a grant there, and follows the feed from
  * a place on.
  */
-public abstract class DataNode extends Node {
+public abstract class DataPlaneNode extends Node {
   private static final String PART = "feed";
 
   /**
    * Newest value known for each key. Sequences never fall, so repeats, switches and reordering are
    * harmless.
    */
-  private final Map<String, FeedItem> table = new TreeMap<>();
+  private final Map<String, MetadataRecord> table = new TreeMap<>();
 
-  private final SharedDigest sharedDigest = new SharedDigest();
+  private final SharedMetadataDigest sharedDigest = new SharedMetadataDigest();
 
   /** Views folded from the table. */
-  protected final Map<String, Member> members = new TreeMap<>();
+  protected final Map<String, NodeRegistration> members = new TreeMap<>();
 
-  protected final Map<String, Worker> workers = new TreeMap<>();
+  protected final Map<String, WorkerRegistration> workers = new TreeMap<>();
 
   /** Those of them that are on the outside list. */
   private List<String> outsideWorkers = List.of();
 
-  private final Map<String, Shard> shards = new HashMap<>();
-  protected Bundle bundle;
+  private final Map<String, ShardAssignment> shards = new HashMap<>();
+  protected RoutingConfiguration bundle;
   private String feedId = "";
   private long feedIncarnation;
   private long feedNumber;
   private int chosenCore;
 
   /** The core's members in the order in which this node turns to them, and of which roster. */
-  private List<CoreMember> coreOrder = List.of();
+  private List<QuorumMember> coreOrder = List.of();
 
-  private Roster coreOrderOf;
+  private QuorumMembership coreOrderOf;
 
   /** Whose turn it is among the fellows to be told what this node works by. */
   private int toldFellow;
@@ -96,18 +112,18 @@
   private boolean leaving;
 
   /** As told at the start, with what a running process may take over of newer ones. */
-  protected Bounds bounds;
+  protected NodeSettings bounds;
 
   /** Null after the members have changed, until it is asked for. */
-  private LeaderPlacement leaderPlacement;
+  private BatchLeaderPlacement leaderPlacement;
 
-  protected DataNode(Surroundings surroundings, Place place, Bounds bounds) {
+  protected DataPlaneNode(Environment surroundings, NodeIdentity place, NodeSettings bounds) {
     super(surroundings, place);
     this.bounds = bounds;
   }
 
   @Override
-  protected void boundsChanged(Bounds newer) {
+  protected void boundsChanged(NodeSettings newer) {
     bounds = bounds.taking(newer);
   }
 
@@ -118,13 +134,13 @@
     lastHeardAt = startedAt;
     findCore();
     lookForCore();
-    every(Constants.FEED_POLL_MS, this::followFeed);
-    every(Constants.GRANT_RENEW_MS, this::renewGrant);
-    every(Constants.NEAR_CORE_MS, this::lookForNearCore);
+    every(ChangeFeedConstants.POLL_INTERVAL_MS, this::followFeed);
+    every(MembershipConstants.LEASE_RENEWAL_INTERVAL_MS, this::renewGrant);
+    every(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::lookForNearCore);
     every(
-        Constants.GRANT_LENGTH_MS,
+        MembershipConstants.LEASE_DURATION_MS,
         () -> {
-          if (surroundings.now() - coreHeardAt > Constants.FEED_SWITCH_MS) {
+          if (surroundings.now() - coreHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
             findCore();
           }
         });
@@ -136,10 +152,10 @@
    */
   private void lookForCore() {
     surroundings.after(
-        Constants.FEED_FIRST_MS,
+        ChangeFeedConstants.INITIAL_POLL_INTERVAL_MS,
         () -> {
           if (!heardCore && !stopped()) {
-            if (surroundings.now() - lastHeardAt > Constants.FEED_FIRST_SWITCH_MS
+            if (surroundings.now() - lastHeardAt > ChangeFeedConstants.INITIAL_SOURCE_TIMEOUT_MS
                 && !roster.members().isEmpty()) {
               chosenCore++;
               lastHeardAt = surroundings.now();
@@ -152,7 +168,7 @@
 
   /** The first roster: the feed and the grant are asked for at once. */
   @Override
-  protected void learnRoster(Roster told) {
+  protected void learnRoster(QuorumMembership told) {
     boolean first = roster.members().isEmpty();
     super.learnRoster(told);
     if (started && first && !roster.members().isEmpty()) {
@@ -167,14 +183,16 @@
    * the members in turn, so that what a large fleet says meanwhile grows with its nodes only.
    */
   private void findCore() {
-    List<Member> known = List.copyOf(members.values());
-    int asked = Math.min(Constants.MEMBERS_ASKED, known.size());
+    List<NodeRegistration> known = List.copyOf(members.values());
+    int asked = Math.min(ChangeFeedConstants.DISCOVERY_FANOUT, known.size());
     for (int count = 0; count < asked; count++) {
-      Member member = known.get(Math.floorMod(askedMember++, known.size()));
-      send(member.peerAddress(), "", new WhereIsCore());
+      NodeRegistration member = known.get(Math.floorMod(askedMember++, known.size()));
+      send(member.peerAddress(), "", new QuorumDiscoveryRequest());
     }
-    seeds.forEach(seed -> send(seed, "", new WhereIsCore()));
-    roster.members().forEach(member -> send(member.peerAddress(), member.id(), new WhereIsCore()));
+    seeds.forEach(seed -> send(seed, "", new QuorumDiscoveryRequest()));
+    roster
+        .members()
+        .forEach(member -> send(member.peerAddress(), member.id(), new QuorumDiscoveryRequest()));
   }
 
   private void followFeed() {
@@ -182,14 +200,14 @@
       findCore();
       return;
     }
-    if (surroundings.now() - lastHeardAt > Constants.FEED_SWITCH_MS) {
+    if (surroundings.now() - lastHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
       chosenCore++;
       lastHeardAt = surroundings.now();
     }
-    CoreMember core = chosenCore();
+    QuorumMember core = chosenCore();
     send(core.peerAddress(), core.id(), follow(feedId, feedIncarnation, feedNumber));
     long unheardMs = Math.max(feedAge(), surroundings.now() - coreHeardAt);
-    if (heardCore && unheardMs > Constants.FELLOWS_ASKED_AFTER_MS) {
+    if (heardCore && unheardMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
       askFellows();
     }
   }
@@ -202,15 +220,15 @@
   private void askFellows() {
     List<String> addresses = fellowAddresses();
     addresses.forEach(address -> send(address, "", follow("", 0, 0)));
-    int told = Math.min(Constants.FELLOWS_TOLD, addresses.size());
+    int told = Math.min(ChangeFeedConstants.PEER_EDGES_NOTIFIED, addresses.size());
     for (int count = 0; count < told; count++) {
       tellKnown(List.of(addresses.get(Math.floorMod(toldFellow++, addresses.size()))));
     }
   }
 
-  private FeedFollow follow(String coreId, long incarnation, long number) {
-    FeedItem bundleItem = table.get(MetadataKeys.CONFIGURATION);
-    return new FeedFollow(
+  private ChangeFeedPoll follow(String coreId, long incarnation, long number) {
+    MetadataRecord bundleItem = table.get(MetadataKeys.CONFIGURATION);
+    return new ChangeFeedPoll(
         coreId,
         incarnation,
         number,
@@ -226,8 +244,8 @@
     return List.copyOf(addresses);
   }
 
-  private CoreMember chosenCore() {
-    List<CoreMember> ordered = coreInOrder();
+  private QuorumMember chosenCore() {
+    List<QuorumMember> ordered = coreInOrder();
     return ordered.get(Math.floorMod(chosenCore, ordered.size()));
   }
 
@@ -237,19 +255,19 @@
    */
   private void lookForNearCore() {
     if (heardCore && !roster.members().isEmpty() && chosenCore() != coreInOrder().get(0)) {
-      CoreMember nearest = coreInOrder().get(0);
+      QuorumMember nearest = coreInOrder().get(0);
       send(nearest.peerAddress(), nearest.id(), follow("", 0, 0));
     }
   }
 
   /** Members of this node's zone first, so that what is asked all the time stays within it. */
-  private List<CoreMember> coreInOrder() {
+  private List<QuorumMember> coreInOrder() {
     if (coreOrderOf != roster) {
       coreOrderOf = roster;
-      Map<String, CoreMember> byId = new HashMap<>();
+      Map<String, QuorumMember> byId = new HashMap<>();
       roster.members().forEach(member -> byId.put(member.id(), member));
       coreOrder =
-          Rendezvous.order(place.id(), byId.keySet()).stream()
+          RendezvousHashing.order(place.id(), byId.keySet()).stream()
               .map(byId::get)
               .sorted(Comparator.comparing(member -> !member.zone().equals(place.zone())))
               .toList();
@@ -266,8 +284,8 @@
             return null;
           }
           int chosen = Math.max(0, roster.members().indexOf(chosenCore()));
-          CoreMember member = roster.members().get((chosen + attempt) % roster.members().size());
-          return new Target(member.id(), member.peerAddress());
+          QuorumMember member = roster.members().get((chosen + attempt) % roster.members().size());
+          return new NodeAddress(member.id(), member.peerAddress());
         },
         duty,
         key,
@@ -282,7 +300,7 @@
     }
     long sentAt = surroundings.now();
     var self =
-        new Member(
+        new NodeRegistration(
             place.id(),
             place.incarnation(),
             place.name(),
@@ -297,10 +315,10 @@
         "grant",
         MetadataKeys.MEMBER_PREFIX + place.id(),
         self,
-        Constants.GRANT_LENGTH_MS,
+        MembershipConstants.LEASE_DURATION_MS,
         response -> {
           if (response.good()) {
-            joinedUntil = Math.max(joinedUntil, sentAt + Constants.GRANT_LENGTH_MS);
+            joinedUntil = Math.max(joinedUntil, sentAt + MembershipConstants.LEASE_DURATION_MS);
           }
         });
   }
@@ -320,7 +338,7 @@
         "leave",
         MetadataKeys.MEMBER_PREFIX + place.id(),
         new byte[] {'{', '}'},
-        Constants.GRANT_LENGTH_MS,
+        MembershipConstants.LEASE_DURATION_MS,
         response -> whenDone.run());
   }
 
@@ -330,7 +348,7 @@
   }
 
   protected boolean feedStale() {
-    return feedAge() > Constants.FEED_STALE_MS;
+    return feedAge() > ChangeFeedConstants.STALE_AFTER_MS;
   }
 
   /**
@@ -350,21 +368,21 @@
                 address ->
                     address.equals(place.peerAddress())
                         || now - fellows.getOrDefault(address, Long.MIN_VALUE / 2)
-                            < Constants.FELLOW_HEARD_MS)
+                            < ChangeFeedConstants.PEER_EDGE_TIMEOUT_MS)
             .count();
     return !heardCore || reached * 2 <= listedEdges.size();
   }
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof FeedNews news) {
+    if (message instanceof ChangeFeedUpdate news) {
       news(news, fromAddress);
-    } else if (message instanceof FeedFollow follow) {
+    } else if (message instanceof ChangeFeedPoll follow) {
       if (heardCore) {
         send(
             fromAddress,
             fromId,
-            new FeedNews(
+            new ChangeFeedUpdate(
                 place.id(),
                 place.incarnation(),
                 0,
@@ -375,19 +393,19 @@
                 follow.sentAt(),
                 sharedItems(follow)));
       }
-    } else if (message instanceof KeysAsked) {
+    } else if (message instanceof AppliedPositionsRequest) {
       tellKnown(List.of(fromAddress));
-    } else if (message instanceof KeysKnown known) {
+    } else if (message instanceof AppliedPositions known) {
       roster.members().forEach(member -> send(member.peerAddress(), member.id(), known));
     }
   }
 
   /** Of what fellows share, what this one may lack. */
-  private List<FeedItem> sharedItems(FeedFollow follow) {
+  private List<MetadataRecord> sharedItems(ChangeFeedPoll follow) {
     return follow.sharedDigest() == sharedDigest.value()
         ? List.of()
         : table.values().stream()
-            .filter(item -> SharedDigest.covers(item.key()) && !follow.holds(item))
+            .filter(item -> SharedMetadataDigest.covers(item.key()) && !follow.holds(item))
             .toList();
   }
 
@@ -400,18 +418,19 @@
         addresses,
         table.values().stream()
             .filter(item -> MetadataKeys.mustBeInForce(item.key()))
-            .map(item -> new KeyPlace(item.key(), item.sequence()))
+            .map(item -> new KeyPosition(item.key(), item.sequence()))
             .toList());
   }
 
-  private void tellKnown(List<String> addresses, List<KeyPlace> places) {
+  private void tellKnown(List<String> addresses, List<KeyPosition> places) {
     if (!heardCore || !place.role().equals("edge")) {
       return;
     }
-    addresses.forEach(address -> send(address, "", new KeysKnown(place.peerAddress(), places)));
+    addresses.forEach(
+        address -> send(address, "", new AppliedPositions(place.peerAddress(), places)));
   }
 
-  private void news(FeedNews news, String fromAddress) {
+  private void news(ChangeFeedUpdate news, String fromAddress) {
     long now = surroundings.now();
     if (news.relayed()) {
       fellows.put(fromAddress, news.echoedAt());
@@ -420,7 +439,7 @@
       if (!news.checkpoint() && !(follows && news.fromNumber() <= feedNumber)) {
         return;
       }
-      if (news.ageMs() < Constants.CORE_SILENT_MS) {
+      if (news.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
         lastHeardAt = now;
         followFrom(news.coreId());
       }
@@ -429,21 +448,21 @@
       feedIncarnation = news.incarnation();
     }
     boolean unheard = !heardCore;
-    List<KeyPlace> learned = new ArrayList<>();
-    for (FeedItem item : news.items()) {
-      FeedItem known = table.get(item.key());
+    List<KeyPosition> learned = new ArrayList<>();
+    for (MetadataRecord item : news.items()) {
+      MetadataRecord known = table.get(item.key());
       if (known == null || known.sequence() < item.sequence()) {
         table.put(item.key(), item);
         sharedDigest.replaced(known, item);
         fold(item);
         if (MetadataKeys.mustBeInForce(item.key())) {
-          learned.add(new KeyPlace(item.key(), item.sequence()));
+          learned.add(new KeyPosition(item.key(), item.sequence()));
         }
       }
     }
     if (news.echoedAt() > 0) {
       freshAt = Math.max(freshAt, news.echoedAt() - news.ageMs());
-      if (!news.relayed() && news.ageMs() < Constants.CORE_SILENT_MS) {
+      if (!news.relayed() && news.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
         if (!heardCore) {
           heardCore = true;
           surroundings.log(
@@ -455,7 +474,7 @@
     if (unheard && heardCore) {
       firstNews();
     }
-    List<String> core = roster.members().stream().map(CoreMember::peerAddress).toList();
+    List<String> core = roster.members().stream().map(QuorumMember::peerAddress).toList();
     if (unheard) {
       tellKnown(core);
     } else if (!learned.isEmpty()) {
@@ -463,19 +482,19 @@
     }
   }
 
-  private void fold(FeedItem item) {
+  private void fold(MetadataRecord item) {
     String key = item.key();
     journal.add("known", key, "sequence " + item.sequence());
     if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       leaderPlacement = null;
-      Member member = Json.read(item.value(), Member.class);
+      NodeRegistration member = Json.read(item.value(), NodeRegistration.class);
       if (member.live()) {
         members.put(member.id(), member);
       } else {
         members.remove(member.id());
       }
     } else if (key.startsWith(MetadataKeys.WORKER_PREFIX)) {
-      Worker worker = Json.read(item.value(), Worker.class);
+      WorkerRegistration worker = Json.read(item.value(), WorkerRegistration.class);
       if (worker.state().equals(GONE)) {
         workers.remove(worker.id());
       } else {
@@ -483,18 +502,18 @@
       }
     } else if (key.equals(MetadataKeys.WORKER_LIST)) {
       outsideWorkers.forEach(workers::remove);
-      List<Worker> listed = Json.read(item.value(), ListedWorkers.class).workers();
+      List<WorkerRegistration> listed = Json.read(item.value(), WorkerList.class).workers();
       listed.forEach(worker -> workers.put(worker.id(), worker));
-      outsideWorkers = listed.stream().map(Worker::id).toList();
+      outsideWorkers = listed.stream().map(WorkerRegistration::id).toList();
     } else if (key.equals(MetadataKeys.EDGE_LIST)) {
       listedEdges = Json.read(item.value(), EdgeList.class).addresses();
     } else if (key.equals(MetadataKeys.MEMBERSHIP)) {
-      learnRoster(Json.read(item.value(), Roster.class));
+      learnRoster(Json.read(item.value(), QuorumMembership.class));
     } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
-      shards.put(key, Json.read(item.value(), Shard.class));
+      shards.put(key, Json.read(item.value(), ShardAssignment.class));
     } else if (key.equals(MetadataKeys.CONFIGURATION)) {
-      SignedBundle signed = Json.read(item.value(), SignedBundle.class);
-      Bundle.Checked checked = Bundle.kept(signed.bytes());
+      SignedConfiguration signed = Json.read(item.value(), SignedConfiguration.class);
+      RoutingConfiguration.ValidationResult checked = RoutingConfiguration.kept(signed.bytes());
       if (checked.fault() == null) {
         bundle = checked.bundle();
         surroundings.log(PART, "Bundle " + bundle.number() + " is in force.");
@@ -522,31 +541,31 @@
 
   /** This process is new and may have the core's news in a moment. */
   protected boolean starting() {
-    return !heardCore && surroundings.now() - startedAt < Constants.START_LONGEST_MS;
+    return !heardCore && surroundings.now() - startedAt < LifecycleConstants.MAX_STARTUP_MS;
   }
 
   /** Called after the view of a key has changed. */
   protected void changed(String key) {}
 
-  protected List<Member> liveEdges() {
+  protected List<NodeRegistration> liveEdges() {
     return members.values().stream().filter(member -> member.role().equals("edge")).toList();
   }
 
   /** Where batches are led, by the edges that are live now. */
-  protected LeaderPlacement leaderPlacement() {
+  protected BatchLeaderPlacement leaderPlacement() {
     if (leaderPlacement == null) {
-      leaderPlacement = new LeaderPlacement(bounds.replicas(), liveEdges());
+      leaderPlacement = new BatchLeaderPlacement(bounds.replicas(), liveEdges());
     }
     return leaderPlacement;
   }
 
   /** The replica sets of the shard a key belongs to; none while the shard has none. */
-  protected ReplicaSets setsOf(String key) {
-    Shard shard = shards.get(MetadataKeys.shardOf(key));
-    return shard == null ? ReplicaSets.NONE : ReplicaSets.of(shard);
+  protected ReplicaConfiguration setsOf(String key) {
+    ShardAssignment shard = shards.get(MetadataKeys.shardOf(key));
+    return shard == null ? ReplicaConfiguration.NONE : ReplicaConfiguration.of(shard);
   }
 
-  protected Map<String, Shard> shards() {
+  protected Map<String, ShardAssignment> shards() {
     return shards;
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/OpaqueGateway.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeGateway.java
@@ -1,20 +1,26 @@
-package applespindle.corelogic;
-
+package applespindle.corelogic.edge;
+
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.live.RequestHandle;
 import java.util.function.Consumer;
 
 /**
  * What a door for opaque requests asks of the logic behind it; on the logic's thread, but for
  * whenBundleChanges.
  */
-public interface OpaqueGateway {
+public interface EdgeGateway {
   /** Told of each bundle that comes into force here; to be set before the start. */
-  void whenBundleChanges(Consumer<Bundle> then);
+  void whenBundleChanges(Consumer<RoutingConfiguration> then);
 
   /** Passes an opaque request on to a worker by the bundle's routes. */
-  LiveDesk.Handle pass(OpaqueRequest request, OpaqueListener listener);
+  RequestHandle pass(ProxiedRequest request, ProxiedResponseListener listener);
 
   /** The route an opaque request or batch would take under the bundle in force, or null. */
-  Bundle.Route route(String host, String path);
+  RoutingConfiguration.Route route(String host, String path);
 
   /**
    * Takes a whole batch of opaque items under the client's own id; 201 once it is on a majority of
--- a/core-logic/src/main/java/applespindle/corelogic/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -1,26 +1,72 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.BatchEvent.Accepted;
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.AskProgress;
-import applespindle.corelogic.Message.BatchEnded;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyHandOver;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.RangeHandout;
-import applespindle.corelogic.Message.RangePull;
-import applespindle.corelogic.Message.RangeReport;
-import applespindle.corelogic.Message.RangeReported;
-import applespindle.corelogic.Message.Unfinished;
-import applespindle.corelogic.Message.WorkOffer;
-import applespindle.corelogic.Message.WorkerLoads;
-import applespindle.corelogic.OwnedKey.Claim;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Worker;
+package applespindle.corelogic.edge;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchDispatcher;
+import applespindle.corelogic.batch.BatchEvent;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.batch.BatchFormat;
+import applespindle.corelogic.batch.BatchInput;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.batch.BatchLeader;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.batch.PendingSubmissions;
+import applespindle.corelogic.batch.SubmissionReader;
+import applespindle.corelogic.batch.SubmissionWarmUp;
+import applespindle.corelogic.batch.SubmissionsInProgress;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.LifecycleConstants;
+import applespindle.corelogic.constants.LiveRequestConstants;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.dataplane.DataPlaneNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Invariant;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.StageTimer;
+import applespindle.corelogic.live.LiveRequest;
+import applespindle.corelogic.live.LiveRequestDispatcher;
+import applespindle.corelogic.live.LiveResponseListener;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.live.ProxyDispatcher;
+import applespindle.corelogic.live.RequestHandle;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.BatchEnded;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.LeaderlessBatches;
+import applespindle.corelogic.protocol.Message.LeadershipTransfer;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.PeerLoadReport;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.PeerRequestProgress;
+import applespindle.corelogic.protocol.Message.RangeAssignment;
+import applespindle.corelogic.protocol.Message.RangeReport;
+import applespindle.corelogic.protocol.Message.RangeReportResponse;
+import applespindle.corelogic.protocol.Message.RangeRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.replication.ElectionOutcome;
+import applespindle.corelogic.replication.ElectionResult;
+import applespindle.corelogic.replication.Elections;
+import applespindle.corelogic.replication.ReplicaConfiguration;
+import applespindle.corelogic.replication.ReplicatedLogLeader;
+import applespindle.corelogic.worker.EdgeContext;
+import applespindle.corelogic.worker.PeerLoadReporter;
+import applespindle.corelogic.worker.WorkerRegistry;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -39,18 +85,18 @@
  * The data plane's edge role: live requests, the batch interface, and the leader's and feeder's
  * duties.
  */
-public final class EdgeNode extends DataNode
-    implements BatchLeader.Edge, BatchFeeder.Edge, LiveDesk.Edge, OpaqueGateway {
+public final class EdgeNode extends DataPlaneNode
+    implements BatchLeader.Context, BatchDispatcher.Context, EdgeContext, EdgeGateway {
   private static final String PART = "edge";
 
-  private final WorkerBook book;
-  private final LiveDesk live;
-  private final OpaqueDesk opaque;
-  private final BatchFeeder feeder;
-  private final BatchIntake intake;
+  private final WorkerRegistry book;
+  private final LiveRequestDispatcher live;
+  private final ProxyDispatcher opaque;
+  private final BatchDispatcher feeder;
+  private final SubmissionReader intake;
   private final SubmissionWarmUp warmUp;
-  private final SubmissionsInWork submissionsInWork = new SubmissionsInWork();
-  private final OpenSubmissions submissions = new OpenSubmissions();
+  private final SubmissionsInProgress submissionsInWork = new SubmissionsInProgress();
+  private final PendingSubmissions submissions = new PendingSubmissions();
   private boolean stopAnnounced;
 
   /** Of the bundle in force. */
@@ -59,9 +105,9 @@
   /** Requests that came before the core's first news; in their order. */
   private final List<Early> early = new ArrayList<>();
 
-  private Consumer<Bundle> whenBundleChanges = unheard -> {};
+  private Consumer<RoutingConfiguration> whenBundleChanges = unheard -> {};
   private final Map<String, BatchLeader> leaders = new TreeMap<>();
-  private final KeyClaims claims;
+  private final Elections claims;
 
   /**
    * When each batch is due on our clock, as its leader last offered it. The log knows a batch's age
@@ -72,7 +118,7 @@
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > Constants.DUE_KEPT;
+          return size() > BatchConstants.MAX_REMEMBERED_BATCHES;
         }
       };
 
@@ -80,45 +126,46 @@
    * Who said last that it leads a batch. Only a hint: whoever is asked finds the true leader by the
    * replicas.
    */
-  private final Map<String, Target> leaderOfBatch =
+  private final Map<String, NodeAddress> leaderOfBatch =
       new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Target> eldest) {
-          return size() > Constants.DUE_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<String, NodeAddress> eldest) {
+          return size() > BatchConstants.MAX_REMEMBERED_BATCHES;
         }
       };
 
   /** By worker, the edge that feeds it; forgotten whenever the members or the workers change. */
   private final Map<String, String> feederOfWorker = new HashMap<>();
 
-  public EdgeNode(Surroundings surroundings, Place place) {
-    this(surroundings, place, Bounds.DEFAULT);
+  public EdgeNode(Environment surroundings, NodeIdentity place) {
+    this(surroundings, place, NodeSettings.DEFAULT);
   }
 
-  public EdgeNode(Surroundings surroundings, Place place, Bounds bounds) {
+  public EdgeNode(Environment surroundings, NodeIdentity place, NodeSettings bounds) {
     this(surroundings, place, bounds, BatchFormat.OWN);
   }
 
-  public EdgeNode(Surroundings surroundings, Place place, Bounds bounds, BatchFormat format) {
+  public EdgeNode(
+      Environment surroundings, NodeIdentity place, NodeSettings bounds, BatchFormat format) {
     super(surroundings, place, bounds);
-    intake = new BatchIntake(format);
+    intake = new SubmissionReader(format);
     warmUp = new SubmissionWarmUp(surroundings, place, format, intake);
-    claims = new KeyClaims(surroundings, place.id(), this::send, this::setsOf, this::begin);
-    book = new WorkerBook(surroundings, this::pump);
-    book.whenBegan(new PeerLoads(surroundings, book, this::zonePeers, this::send)::began);
-    live = new LiveDesk(surroundings, place.id(), this, book);
-    opaque = new OpaqueDesk(surroundings, place.zone(), this, book);
-    feeder = new BatchFeeder(surroundings, place.id(), this, book);
+    claims = new Elections(surroundings, place.id(), this::send, this::setsOf, this::begin);
+    book = new WorkerRegistry(surroundings, this::pump);
+    book.whenBegan(new PeerLoadReporter(surroundings, book, this::zonePeers, this::send)::began);
+    live = new LiveRequestDispatcher(surroundings, place.id(), this, book);
+    opaque = new ProxyDispatcher(surroundings, place.zone(), this, book);
+    feeder = new BatchDispatcher(surroundings, place.id(), this, book);
   }
 
   @Override
   public void start() {
     super.start();
-    every(Constants.LOAD_POLL_MS, this::tick);
+    every(WorkerConstants.LOAD_POLL_INTERVAL_MS, this::tick);
   }
 
   /** The other live edges of this one's zone, which mostly send to the same workers. */
-  private List<Member> zonePeers() {
+  private List<NodeRegistration> zonePeers() {
     return liveEdges().stream()
         .filter(member -> member.zone().equals(place.zone()) && !member.id().equals(place.id()))
         .toList();
@@ -184,35 +231,35 @@
   // ---- what the interface calls
 
   @Override
-  public void whenBundleChanges(Consumer<Bundle> then) {
+  public void whenBundleChanges(Consumer<RoutingConfiguration> then) {
     whenBundleChanges = then;
   }
 
-  public LiveDesk.Handle complete(LiveDesk.Request request, LiveDesk.Listener listener) {
+  public RequestHandle complete(LiveRequest request, LiveResponseListener listener) {
     return live.take(request, listener);
   }
 
   /** Passes an opaque request on to a worker by the bundle's routes. */
   @Override
-  public LiveDesk.Handle pass(OpaqueRequest request, OpaqueListener listener) {
-    if (!starting() || early.size() >= Constants.START_HELD_MOST) {
+  public RequestHandle pass(ProxiedRequest request, ProxiedResponseListener listener) {
+    if (!starting() || early.size() >= LifecycleConstants.MAX_STARTUP_HELD_REQUESTS) {
       return opaque.take(request, listener);
     }
     Early held = new Early(request, listener);
     early.add(held);
-    surroundings.after(Constants.START_HOLD_MS, held::goOn);
+    surroundings.after(LifecycleConstants.STARTUP_HOLD_MS, held::goOn);
     return held;
   }
 
   /** A request that waits for the core's first news. */
-  private final class Early implements LiveDesk.Handle {
-    private final OpaqueRequest request;
-    private final OpaqueListener listener;
+  private final class Early implements RequestHandle {
+    private final ProxiedRequest request;
+    private final ProxiedResponseListener listener;
     private final long cameAt = surroundings.now();
     private boolean gone;
-    private LiveDesk.Handle taken;
+    private RequestHandle taken;
 
-    Early(OpaqueRequest request, OpaqueListener listener) {
+    Early(ProxiedRequest request, ProxiedResponseListener listener) {
       this.request = request;
       this.listener = listener;
     }
@@ -223,9 +270,11 @@
         return;
       }
       Route route = route(request.host(), request.path());
-      if (route != null && route.type() == Bundle.RouteType.BATCH) {
+      if (route != null && route.type() == RoutingConfiguration.RouteType.BATCH) {
         // The door could not tell that it is a batch; it is handed in again.
-        listener.refused(Response.comeBackInMs(new Fault.NoBundle(), Constants.COME_BACK_LEAST_MS));
+        listener.refused(
+            Response.comeBackInMs(
+                new ApiError.NoConfiguration(), LiveRequestConstants.MIN_RETRY_AFTER_MS));
       } else {
         taken = opaque.take(request.after(surroundings.now() - cameAt), listener, cameAt);
       }
@@ -246,7 +295,7 @@
   }
 
   @Override
-  public Bundle.Route route(String host, String path) {
+  public RoutingConfiguration.Route route(String host, String path) {
     return routes.find(host, path);
   }
 
@@ -256,27 +305,29 @@
    */
   @Override
   public void submitOpaque(BatchSubmission submission, Consumer<Response> then) {
-    Fault hindrance = mayBegin();
+    ApiError hindrance = mayBegin();
     if (hindrance == null && bundle == null) {
-      hindrance = new Fault.NoBundle();
+      hindrance = new ApiError.NoConfiguration();
     }
     if (hindrance == null && routes.findBatch(submission.host(), submission.path()) == null) {
-      hindrance = new Fault.NoMatchingRule();
+      hindrance = new ApiError.NoMatchingRule();
     }
     if (hindrance != null) {
       then.accept(Response.of(hindrance));
       return;
     }
-    StageTrace trace = new StageTrace(surroundings);
-    byte[] body = new BatchSubmission.Sent(submission, bundle.number()).encode();
+    StageTimer trace = new StageTimer(surroundings);
+    byte[] body = new BatchSubmission.Forwarded(submission, bundle.number()).encode();
     String batch = BatchKeys.opaqueId(submission.id());
-    long expiryMs = Constants.ASK_EXPIRY_MS + toReplicasMs(body.length);
-    long open = submissions.begin(batch, surroundings.now() + expiryMs + Constants.ANSWER_SLACK_MS);
+    long expiryMs = PeerRequestConstants.REQUEST_TIMEOUT_MS + toReplicasMs(body.length);
+    long open =
+        submissions.begin(
+            batch, surroundings.now() + expiryMs + PeerRequestConstants.RESPONSE_SLACK_MS);
     askLeader(
-        Ask.SUBMIT,
+        PeerRequest.SUBMIT,
         batch,
         body,
-        Constants.ASK_TRY_MS + toReplicasMs(body.length),
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS + toReplicasMs(body.length),
         expiryMs,
         response -> {
           submissions.end(open);
@@ -300,12 +351,12 @@
 
   /** How long a leader on a slow link takes to send so much to its replicas. */
   private long toReplicasMs(long bytes) {
-    return bytes * (2L * bounds.lossesToBear() + 1) / Constants.SLOW_LINK_BYTES_PER_MS;
+    return bytes * (2L * bounds.lossesToBear() + 1) / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
   }
 
   @Override
   public void opaqueResults(String batch, long from, long wantedHoldMs, Consumer<Response> then) {
-    long holdMs = Math.min(wantedHoldMs, Constants.HOLD_MOST_MS);
+    long holdMs = Math.min(wantedHoldMs, BatchConstants.MAX_LONG_POLL_MS);
     readOpaque(
         "opaque-results",
         batch,
@@ -324,11 +375,11 @@
         duty,
         BatchKeys.opaqueId(batch),
         body,
-        holdMs + Constants.READ_TRY_MS,
-        holdMs + Constants.READ_EXPIRY_MS,
+        holdMs + BatchConstants.READ_ATTEMPT_TIMEOUT_MS,
+        holdMs + BatchConstants.READ_TIMEOUT_MS,
         response ->
             then.accept(
-                response.status() >= 500 ? Response.of(new Fault.NoMajority(batch)) : response));
+                response.status() >= 500 ? Response.of(new ApiError.NoQuorum(batch)) : response));
   }
 
   @Override
@@ -343,9 +394,9 @@
 
   public void submit(
       String sender, String idempotencyKey, BatchInput input, Consumer<Response> then) {
-    Fault hindrance = mayBegin();
+    ApiError hindrance = mayBegin();
     if (hindrance == null && bundle == null) {
-      hindrance = new Fault.NoBundle();
+      hindrance = new ApiError.NoConfiguration();
     }
     if (hindrance != null) {
       then.accept(Response.of(hindrance));
@@ -361,7 +412,7 @@
             input.expiresInMs(),
             items,
             null);
-    askLeader(Ask.SUBMIT, BatchKeys.batchId(sender, idempotencyKey), accepted, then);
+    askLeader(PeerRequest.SUBMIT, BatchKeys.batchId(sender, idempotencyKey), accepted, then);
   }
 
   public void readBatch(String batch, Consumer<Response> then) {
@@ -378,7 +429,13 @@
   }
 
   private void askLeader(String duty, String batch, Object body, Consumer<Response> then) {
-    askLeader(duty, batch, body, Constants.ASK_TRY_MS, Constants.ASK_EXPIRY_MS, then);
+    askLeader(
+        duty,
+        batch,
+        body,
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
+        PeerRequestConstants.REQUEST_TIMEOUT_MS,
+        then);
   }
 
   private void askLeader(
@@ -392,11 +449,11 @@
    * first of those that are fit to lead it, seen from here; else the first in the agreed order.
    * Whoever is asked finds the true leader.
    */
-  private Target leaderOf(String key, String duty, int attempt) {
+  private NodeAddress leaderOf(String key, String duty, int attempt) {
     if (leaders.containsKey(key)) {
-      return new Target(place.id(), place.peerAddress());
+      return new NodeAddress(place.id(), place.peerAddress());
     }
-    Target known = leaderOfBatch.get(BatchKeys.batchOf(key));
+    NodeAddress known = leaderOfBatch.get(BatchKeys.batchOf(key));
     if (known != null
         && attempt == 0
         && members.containsKey(known.id())
@@ -404,7 +461,7 @@
       return known;
     }
     int rank = known == null ? attempt : Math.max(0, attempt - 1);
-    if (!duty.equals(Ask.SUBMIT) || !BatchKeys.isOpaque(key)) {
+    if (!duty.equals(PeerRequest.SUBMIT) || !BatchKeys.isOpaque(key)) {
       return leaderPlacement().edge(key, rank);
     }
     return leaderPlacement().edgeFrom(place, key, rank);
@@ -413,20 +470,20 @@
   // ---- asks to the leader of a batch
 
   @Override
-  protected void handleAsk(Ask ask) {
+  protected void handleAsk(PeerRequest ask) {
     BatchLeader leader = leaders.get(ask.key());
     boolean leads = leader != null && leader.key.owned();
-    if (ask.duty().equals(Ask.SUBMIT) && submissionsInWork.join(ask)) {
+    if (ask.duty().equals(PeerRequest.SUBMIT) && submissionsInWork.join(ask)) {
       count("submissions_joined");
-    } else if (leads && !ask.duty().equals(Ask.SUBMIT)) {
+    } else if (leads && !ask.duty().equals(PeerRequest.SUBMIT)) {
       serve(ask, leader);
     } else if (leads) {
       takeSubmission(ask, (accepted, trace) -> serveSubmission(ask, leader, accepted));
     } else if (stopping) {
-      respond(ask, Response.of(new Fault.NodeStopping()));
+      respond(ask, Response.of(new ApiError.NodeStopping()));
     } else if (isolated()) {
-      respond(ask, Response.of(new Fault.NodeIsolated(feedAge())));
-    } else if (ask.duty().equals(Ask.SUBMIT)) {
+      respond(ask, Response.of(new ApiError.NodeIsolated(feedAge())));
+    } else if (ask.duty().equals(PeerRequest.SUBMIT)) {
       takeSubmission(ask, (accepted, trace) -> reserveThenLead(ask, accepted, trace));
     } else {
       peek(
@@ -435,24 +492,24 @@
               serveFound(
                   ask,
                   peeked,
-                  Response.of(new Fault.NoSuchBatch(BatchKeys.batchOf(ask.key()))),
+                  Response.of(new ApiError.NoSuchBatch(BatchKeys.batchOf(ask.key()))),
                   led -> serve(ask, led)));
     }
   }
 
   /** Reads the batch that is handed in; one that can't be taken is refused at once. */
-  private void takeSubmission(Ask ask, BiConsumer<Accepted, StageTrace> then) {
-    if (submissionsInWork.bytes() > Constants.SUBMISSIONS_IN_WORK_BYTES) {
-      respond(ask, Response.of(new Fault.Overloaded("batches being accepted")));
+  private void takeSubmission(PeerRequest ask, BiConsumer<Accepted, StageTimer> then) {
+    if (submissionsInWork.bytes() > BatchConstants.MAX_SUBMISSION_BYTES_IN_PROGRESS) {
+      respond(ask, Response.of(new ApiError.Overloaded("batches being accepted")));
       return;
     }
     submissionsInWork.begin(ask);
-    surroundings.after(Constants.ASK_PROGRESS_MS, () -> tellProgress(ask));
+    surroundings.after(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(ask));
     if (!leaderPlacement().mayLead(place.id())) {
       count("submissions_at_unfit_edge");
     }
-    StageTrace trace = new StageTrace(surroundings);
-    BatchIntake.Taken taken = intake.take(ask.body(), bundle, routes);
+    StageTimer trace = new StageTimer(surroundings);
+    SubmissionReader.ReadResult taken = intake.take(ask.body(), bundle, routes);
     trace.mark("read");
     if (taken.fault() != null) {
       respond(ask, Response.of(taken.fault()));
@@ -465,33 +522,33 @@
    * Says that this edge still works on a batch, as long as it hears the core: whoever asked sends
    * the body to no second leader meanwhile.
    */
-  private void tellProgress(Ask submission) {
-    List<Ask> waiting = submissionsInWork.waitingFor(submission);
+  private void tellProgress(PeerRequest submission) {
+    List<PeerRequest> waiting = submissionsInWork.waitingFor(submission);
     if (waiting.isEmpty() || stopped() || isolated()) {
       return;
     }
-    for (Ask each : waiting) {
-      send(each.originAddress(), each.originId(), new AskProgress(each.correlation()));
+    for (PeerRequest each : waiting) {
+      send(each.originAddress(), each.originId(), new PeerRequestProgress(each.correlation()));
     }
-    surroundings.after(Constants.ASK_PROGRESS_MS, () -> tellProgress(submission));
+    surroundings.after(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(submission));
   }
 
   /** Whoever joined the ask while it was at work is told the same. */
   @Override
-  protected void respond(Ask ask, Response response) {
+  public void respond(PeerRequest ask, Response response) {
     super.respond(ask, response);
     submissionsInWork.end(ask).forEach(joined -> super.respond(joined, response));
   }
 
   @Override
-  protected void handOver(Ask ask, String toId, String toAddress) {
+  protected void handOver(PeerRequest ask, String toId, String toAddress) {
     super.handOver(ask, toId, toAddress);
     submissionsInWork.end(ask).forEach(joined -> super.handOver(joined, toId, toAddress));
   }
 
   /** What the replicas say of a key: whether there is such a record, and who holds it just now. */
-  private record Peeked(Boolean present, KeyReplicas.Holder holder) {
-    static final Peeked UNCERTAIN = new Peeked(null, KeyReplicas.Holder.NONE);
+  private record Peeked(Boolean present, NodeAddress holder) {
+    static final Peeked UNCERTAIN = new Peeked(null, NodeAddress.NONE);
   }
 
   /**
@@ -499,22 +556,22 @@
    * the first one. Else this edge claims it.
    */
   private void serveFound(
-      Ask ask, Peeked peeked, Response whenAbsent, Consumer<BatchLeader> whenLed) {
-    KeyReplicas.Holder holder = peeked.holder();
+      PeerRequest ask, Peeked peeked, Response whenAbsent, Consumer<BatchLeader> whenLed) {
+    NodeAddress holder = peeked.holder();
     if (peeked.present() == null) {
-      respond(ask, Response.of(new Fault.NoMajority(ask.key())));
+      respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
     } else if (!peeked.present()) {
       respond(ask, whenAbsent);
     } else if (ask.hops() > 0 && !holder.id().isEmpty() && !holder.id().equals(place.id())) {
       handOver(ask, holder.id(), holder.address());
     } else {
-      lead(ask, new StageTrace(surroundings), whenLed);
+      lead(ask, new StageTimer(surroundings), whenLed);
     }
   }
 
-  private void serve(Ask ask, BatchLeader leader) {
+  private void serve(PeerRequest ask, BatchLeader leader) {
     if (!leader.key.hearsMajority()) {
-      respond(ask, Response.of(new Fault.NoMajority(ask.key())));
+      respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
       return;
     }
     JsonNode body = Json.tree(ask.body());
@@ -534,15 +591,15 @@
               response -> respond(ask, response));
       case "opaque-item" ->
           leader.opaqueItem(body.path("item").asText(), response -> respond(ask, response));
-      default -> respond(ask, Response.of(new Fault.UnknownDuty(ask.duty())));
+      default -> respond(ask, Response.of(new ApiError.UnknownRequest(ask.duty())));
     }
   }
 
-  private void serveSubmission(Ask ask, BatchLeader leader, Accepted accepted) {
+  private void serveSubmission(PeerRequest ask, BatchLeader leader, Accepted accepted) {
     if (leader.key.hearsMajority()) {
       leader.submit(accepted, response -> respond(ask, response));
     } else {
-      respond(ask, Response.of(new Fault.NoMajority(ask.key())));
+      respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
     }
   }
 
@@ -550,13 +607,13 @@
    * Room first, then the record: a refusal for want of room is said before anything of the batch is
    * written.
    */
-  private void reserveThenLead(Ask ask, Accepted accepted, StageTrace trace) {
+  private void reserveThenLead(PeerRequest ask, Accepted accepted, StageTimer trace) {
     Consumer<BatchLeader> whenLed = leader -> serveSubmission(ask, leader, accepted);
     askCore(
         "room",
         MetadataKeys.BATCH_CAPACITY,
         reservation(BatchKeys.batchOf(ask.key()), accepted),
-        Constants.RESERVATION_EXPIRY_MS,
+        PeerRequestConstants.CAPACITY_RESERVATION_TIMEOUT_MS,
         response -> {
           trace.mark("reserve");
           if (response.good()) {
@@ -565,14 +622,14 @@
               || response.faultType().equals("BatchOverCeiling")) {
             peek(ask.key(), peeked -> serveFound(ask, peeked, response, whenLed));
           } else {
-            respond(ask, Response.of(new Fault.NoMajority(MetadataKeys.BATCH_CAPACITY)));
+            respond(ask, Response.of(new ApiError.NoQuorum(MetadataKeys.BATCH_CAPACITY)));
           }
         });
   }
 
   private ObjectNode reservation(String batch, Accepted accepted) {
     ObjectNode reservation = JSON.createObjectNode().put("batch", batch).put("reserve", true);
-    BatchEvent.Opaque opaque = accepted.opaque();
+    BatchEvent.ProxiedRoute opaque = accepted.opaque();
     if (opaque == null) {
       return reservation
           .put("items", accepted.items().size())
@@ -588,7 +645,7 @@
         .put("group", opaque.route());
   }
 
-  private void lead(Ask ask, StageTrace trace, Consumer<BatchLeader> whenLed) {
+  private void lead(PeerRequest ask, StageTimer trace, Consumer<BatchLeader> whenLed) {
     claim(
         ask.key(),
         false,
@@ -607,27 +664,27 @@
             case OWNED -> {
               BatchLeader leader = leaders.get(ask.key());
               if (leader == null) {
-                respond(ask, Response.of(new Fault.NotOwner(ask.key())));
+                respond(ask, Response.of(new ApiError.NotLeader(ask.key())));
               } else {
                 whenLed.accept(leader);
               }
             }
             case BUSY -> handOver(ask, outcome.ownerId(), outcome.ownerAddress());
-            case NO_MAJORITY -> respond(ask, Response.of(new Fault.NoMajority(ask.key())));
+            case NO_MAJORITY -> respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
           }
         });
   }
 
-  private void claim(String key, boolean handedOver, Consumer<OwnedKey.ClaimOutcome> then) {
+  private void claim(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
     BatchLeader present = leaders.get(key);
     if (present != null && present.key.owned()) {
-      then.accept(new OwnedKey.ClaimOutcome(Claim.OWNED, place.id(), place.peerAddress()));
+      then.accept(new ElectionOutcome(ElectionResult.OWNED, place.id(), place.peerAddress()));
       return;
     }
     claims.claim(key, handedOver, then);
   }
 
-  private void begin(OwnedKey ownedKey) {
+  private void begin(ReplicatedLogLeader ownedKey) {
     String key = ownedKey.key;
     leaders.put(key, new BatchLeader(surroundings, this, BatchKeys.batchOf(key), ownedKey));
     journal.add("leads", key, "epoch " + ownedKey.epoch().counter());
@@ -647,26 +704,26 @@
    * the last.
    */
   private void askReplicas(
-      ReplicaSets sets,
+      ReplicaConfiguration sets,
       String duty,
       String key,
       ObjectNode body,
       BiConsumer<String, Response> then) {
     body.put("setNumber", sets.number());
-    for (OwnedKey.Replica replica : sets.all()) {
+    for (NodeAddress replica : sets.all()) {
       ask(
-          attempt -> attempt == 0 ? new Target(replica.id(), replica.address()) : null,
+          attempt -> attempt == 0 ? new NodeAddress(replica.id(), replica.address()) : null,
           duty,
           key,
           body,
-          Constants.ASK_TRY_MS,
+          PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
           response -> then.accept(replica.id(), response));
     }
   }
 
   /** True or false on a majority's evidence, else null. Writes nothing anywhere. */
   private void peek(String key, Consumer<Peeked> then) {
-    ReplicaSets sets = setsOf(key);
+    ReplicaConfiguration sets = setsOf(key);
     if (sets.isEmpty()) {
       then.accept(Peeked.UNCERTAIN);
       return;
@@ -693,8 +750,8 @@
         });
   }
 
-  private static KeyReplicas.Holder holder(Response peeked) {
-    return new KeyReplicas.Holder(
+  private static NodeAddress holder(Response peeked) {
+    return new NodeAddress(
         peeked.body().path("holder").asText(), peeked.body().path("holderAddress").asText());
   }
 
@@ -720,7 +777,7 @@
         "room",
         MetadataKeys.BATCH_CAPACITY,
         JSON.createObjectNode().put("batch", batch).put("items", room),
-        Constants.COMMAND_EXPIRY_MS,
+        ReplicationConstants.COMMIT_TIMEOUT_MS,
         response -> {
           if (response.good()) {
             then.accept(response.body().path("waiting").asLong());
@@ -759,7 +816,8 @@
         .id()
         .equals(
             feederOfWorker.computeIfAbsent(
-                worker, unseen -> Rendezvous.first("feeder/" + worker, feederCandidates(worker))));
+                worker,
+                unseen -> RendezvousHashing.first("feeder/" + worker, feederCandidates(worker))));
   }
 
   /**
@@ -767,33 +825,33 @@
    * it has none.
    */
   private List<String> feederCandidates(String workerId) {
-    List<Member> edges = liveEdges();
-    Worker worker = workers.get(workerId);
+    List<NodeRegistration> edges = liveEdges();
+    WorkerRegistration worker = workers.get(workerId);
     List<String> near =
         worker == null || worker.zone() == null || worker.zone().isEmpty()
             ? List.of()
             : edges.stream()
                 .filter(member -> member.zone().equals(worker.zone()))
-                .map(Member::id)
+                .map(NodeRegistration::id)
                 .toList();
-    return near.isEmpty() ? edges.stream().map(Member::id).toList() : near;
+    return near.isEmpty() ? edges.stream().map(NodeRegistration::id).toList() : near;
   }
 
   @Override
-  public Fault mayBegin() {
+  public ApiError mayBegin() {
     if (stopping) {
-      return new Fault.NodeStopping();
+      return new ApiError.NodeStopping();
     }
     return mayGoOn();
   }
 
   @Override
-  public Fault mayGoOn() {
-    return isolated() ? new Fault.NodeIsolated(feedAge()) : null;
+  public ApiError mayGoOn() {
+    return isolated() ? new ApiError.NodeIsolated(feedAge()) : null;
   }
 
   @Override
-  public Bundle bundle() {
+  public RoutingConfiguration bundle() {
     return bundle;
   }
 
@@ -813,11 +871,11 @@
   }
 
   @Override
-  public void claimOnce(String id, String token, Consumer<Fault> then) {
+  public void claimOnce(String id, String token, Consumer<ApiError> then) {
     String key = MetadataKeys.ONCE_PREFIX + id;
-    ReplicaSets sets = setsOf(key);
+    ReplicaConfiguration sets = setsOf(key);
     if (sets.isEmpty()) {
-      then.accept(new Fault.NoMajority(key));
+      then.accept(new ApiError.NoQuorum(key));
       return;
     }
     Set<String> won = new HashSet<>();
@@ -848,7 +906,9 @@
           then.accept(
               !lost
                   ? null
-                  : claimedByOther[0] ? new Fault.AlreadyClaimed(id) : new Fault.NoMajority(key));
+                  : claimedByOther[0]
+                      ? new ApiError.AlreadyClaimed(id)
+                      : new ApiError.NoQuorum(key));
         });
   }
 
@@ -860,11 +920,11 @@
         .forEach(
             replica ->
                 ask(
-                    attempt -> new Target(replica.id(), replica.address()),
+                    attempt -> new NodeAddress(replica.id(), replica.address()),
                     "unclaim",
                     key,
                     JSON.createObjectNode().put("token", token),
-                    Constants.COMMAND_EXPIRY_MS,
+                    ReplicationConstants.COMMIT_TIMEOUT_MS,
                     response -> {}));
   }
 
@@ -872,41 +932,41 @@
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof KeyPromised promised) {
+    if (message instanceof VoteResponse promised) {
       claims.promised(promised, fromId);
-    } else if (message instanceof KeyLogPart part) {
+    } else if (message instanceof LogFetchResponse part) {
       claims.logPart(part);
-    } else if (message instanceof KeyAppended appended) {
+    } else if (message instanceof AppendResponse appended) {
       BatchLeader leader = leaders.get(appended.key());
-      OwnedKey ownedKey = leader != null ? leader.key : claims.claiming(appended.key());
+      ReplicatedLogLeader ownedKey = leader != null ? leader.key : claims.claiming(appended.key());
       if (ownedKey != null) {
         ownedKey.appended(appended, fromId);
       }
-    } else if (message instanceof KeyHandOver handedOver) {
+    } else if (message instanceof LeadershipTransfer handedOver) {
       if (!stopping && !leaders.containsKey(handedOver.key())) {
         claim(handedOver.key(), true, outcome -> {});
       }
-    } else if (message instanceof Unfinished unfinished) {
+    } else if (message instanceof LeaderlessBatches unfinished) {
       unfinished.keys().forEach(this::takeOrphan);
-    } else if (message instanceof WorkOffer offer) {
+    } else if (message instanceof BatchOffer offer) {
       dueAtOfBatch.put(offer.batch(), surroundings.now() + offer.dueInMs());
-      leaderOfBatch.put(offer.batch(), new Target(fromId, fromAddress));
+      leaderOfBatch.put(offer.batch(), new NodeAddress(fromId, fromAddress));
       feeder.offered(offer, fromId, fromAddress);
-    } else if (message instanceof RangePull pull) {
+    } else if (message instanceof RangeRequest pull) {
       BatchLeader leader = leaders.get(BatchKeys.keyOf(pull.batch()));
       if (leader != null) {
         leader.pulled(pull, fromId, fromAddress);
       }
-    } else if (message instanceof RangeHandout handout) {
+    } else if (message instanceof RangeAssignment handout) {
       feeder.handedOut(handout, fromId, fromAddress);
     } else if (message instanceof RangeReport report) {
       BatchLeader leader = leaders.get(BatchKeys.keyOf(report.batch()));
       if (leader != null) {
         leader.reported(report, fromId, fromAddress);
       }
-    } else if (message instanceof RangeReported answer) {
+    } else if (message instanceof RangeReportResponse answer) {
       feeder.answered(answer);
-    } else if (message instanceof WorkerLoads loads) {
+    } else if (message instanceof PeerLoadReport loads) {
       book.peerTold(fromId, loads);
     } else if (message instanceof BatchEnded ended) {
       dueAtOfBatch.remove(ended.batch());
@@ -929,7 +989,7 @@
         false,
         outcome -> {
           BatchLeader leader = leaders.get(key);
-          if (outcome.claim() != Claim.OWNED || leader == null) {
+          if (outcome.claim() != ElectionResult.OWNED || leader == null) {
             return;
           }
           if (leader.view.accepted == null) {
@@ -985,8 +1045,8 @@
   @Override
   public void stop(Runnable whenDone) {
     stopAnnounced = true;
-    surroundings.after(Constants.STOP_FEEDING_MS, this::stopFeeding);
-    surroundings.after(Constants.STOP_NOTICE_MS, () -> stopTaking(whenDone));
+    surroundings.after(LifecycleConstants.SHUTDOWN_DISPATCH_END_MS, this::stopFeeding);
+    surroundings.after(LifecycleConstants.SHUTDOWN_NOTICE_MS, () -> stopTaking(whenDone));
   }
 
   /**
@@ -995,15 +1055,20 @@
   private void stopFeeding() {
     if (!stopping) {
       feeder.drain();
-      surroundings.after(Constants.DRAIN_LOOK_MS, this::stopFeeding);
+      surroundings.after(LifecycleConstants.DRAIN_CHECK_INTERVAL_MS, this::stopFeeding);
     }
   }
 
   private void stopTaking(Runnable whenDone) {
     stopping = true;
-    long left = bounds.graceMs() - Constants.STOP_NOTICE_MS - Constants.STOP_MARGIN_MS;
-    long drainEndsAt = surroundings.now() + Math.max(0, Math.min(Constants.DRAIN_MS, left));
-    long itemsEndAt = Math.min(drainEndsAt, surroundings.now() + Constants.STOP_ITEMS_MS);
+    long left =
+        bounds.graceMs()
+            - LifecycleConstants.SHUTDOWN_NOTICE_MS
+            - LifecycleConstants.SHUTDOWN_MARGIN_MS;
+    long drainEndsAt =
+        surroundings.now() + Math.max(0, Math.min(LifecycleConstants.DRAIN_TIMEOUT_MS, left));
+    long itemsEndAt =
+        Math.min(drainEndsAt, surroundings.now() + LifecycleConstants.SHUTDOWN_ITEM_GRACE_MS);
     surroundings.log(
         PART,
         "Takes nothing new: "
@@ -1013,18 +1078,18 @@
             + " batch items still run.");
     feeder.drain();
     leaveCore(() -> {});
-    surroundings.after(Constants.CLAIM_BACKOFF_MS, this::handOverLeaders);
+    surroundings.after(ReplicationConstants.MAX_ELECTION_BACKOFF_MS, this::handOverLeaders);
     surroundings.after(
-        Constants.CLAIM_BACKOFF_MS + Constants.DRAIN_LOOK_MS,
+        ReplicationConstants.MAX_ELECTION_BACKOFF_MS + LifecycleConstants.DRAIN_CHECK_INTERVAL_MS,
         () -> drain(drainEndsAt, itemsEndAt, whenDone));
   }
 
   private void handOverLeaders() {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
       String key = leader.key.key;
-      Target successor = null;
+      NodeAddress successor = null;
       for (int attempt = 0; attempt < liveEdges().size() && successor == null; attempt++) {
-        Target candidate = leaderPlacement().edge(key, attempt);
+        NodeAddress candidate = leaderPlacement().edge(key, attempt);
         successor = candidate.id().equals(place.id()) ? null : candidate;
       }
       leader.key.stop();
@@ -1034,7 +1099,7 @@
         send(
             successor.address(),
             successor.id(),
-            new KeyHandOver(key, leader.key.epoch(), leader.key.lastSequence()));
+            new LeadershipTransfer(key, leader.key.epoch(), leader.key.lastSequence()));
         feeder.leaderMoved(leader.batch, successor.id(), successor.address());
         surroundings.log("batch", "Batch handed over: " + leader.batch + ".");
       }
@@ -1052,7 +1117,9 @@
       end();
       whenDone.run();
     } else {
-      surroundings.after(Constants.DRAIN_LOOK_MS, () -> drain(drainEndsAt, itemsEndAt, whenDone));
+      surroundings.after(
+          LifecycleConstants.DRAIN_CHECK_INTERVAL_MS,
+          () -> drain(drainEndsAt, itemsEndAt, whenDone));
     }
   }
 }
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/package-info.java
@@ -0,0 +1,2 @@
+/** The edge: the node that takes clients' requests and batches, wired from the packages below. */
+package applespindle.corelogic.edge;
--- a/core-logic/src/main/java/applespindle/corelogic/Surroundings.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
@@ -1,5 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.environment;
 
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.protocol.Envelope;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -8,14 +11,14 @@
  * The ports of one process: all that the logic sees of the world. Every call and callback is on the
  * logic thread.
  */
-public interface Surroundings {
+public interface Environment {
   /**
    * Monotonic milliseconds; they do not jump with the wall clock and go on while the process is
    * frozen.
    */
   long now();
 
-  Schedule after(long millis, Runnable task);
+  ScheduledTask after(long millis, Runnable task);
 
   /** Sends to a peer address; may be lost, repeated or late. The own address is delivered too. */
   void send(String peerAddress, Envelope envelope);
@@ -24,7 +27,7 @@
    * Appends records; runs the callback once these and all earlier ones are synced, never if the
    * sync fails.
    */
-  void write(List<DiskRecord> records, Runnable whenSynced);
+  void write(List<LogRecord> records, Runnable whenSynced);
 
   /**
    * False while the disk is so far behind that a replica must stay silent rather than promise more.
@@ -35,15 +38,15 @@
    * Starts a run at a worker. The listener hears zero or more texts and then exactly one end or
    * fault.
    */
-  WorkerRun run(WorkerCall call, WorkerListener listener);
+  WorkerCallHandle run(WorkerCall call, WorkerCallListener listener);
 
-  void readLoad(String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty);
+  void readLoad(String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty);
 
   /**
    * Hands an opaque request to a worker, in the worker's own format. The listener hears one end or
    * one fault.
    */
-  default WorkerRun exchange(WorkerExchange exchange, ExchangeListener listener) {
+  default WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
     throw new UnsupportedOperationException("no workers of opaque requests here");
   }
 
@@ -52,7 +55,7 @@
    * page.
    */
   default void listWorkers(
-      String pageToken, Consumer<WorkerPage> whenRead, Consumer<Fault> whenFaulty) {
+      String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty) {
     throw new UnsupportedOperationException("no outside list of workers here");
   }
 
@@ -78,12 +81,12 @@
   void log(String part, String sentence);
 
   /** A timer that was set. */
-  interface Schedule {
+  interface ScheduledTask {
     void cancel();
   }
 
   /** A request that is under way at a worker. */
-  interface WorkerRun {
+  interface WorkerCallHandle {
     /** Closes the connection; no callback comes after this. */
     void cancel();
   }
@@ -102,7 +105,7 @@
   record WorkerExchange(
       String address,
       String workerId,
-      OpaqueRequest request,
+      ProxiedRequest request,
       int rank,
       long expiryMs,
       String resumeAfter) {}
@@ -113,9 +116,9 @@
      * Final status and headers of the worker's own response, whatever the status, unless it says
      * that it has not run.
      */
-    void head(OpaqueRequest.Head head);
+    void head(ProxiedRequest.ResponseHead head);
 
-    void piece(OpaqueRequest.Piece piece);
+    void piece(ProxiedRequest.ResponseChunk piece);
 
     /** The body is whole. */
     void end();
@@ -124,10 +127,10 @@
     void load(WorkerLoad load);
 
     /**
-     * mayHaveRun is false only if the worker said so (WorkerRefused) or nothing of the request was
+     * mayHaveRun is false only if the worker said so (WorkerRejected) or nothing of the request was
      * ever sent.
      */
-    void fault(Fault fault, boolean mayHaveRun);
+    void fault(ApiError fault, boolean mayHaveRun);
   }
 
   /**
@@ -144,16 +147,16 @@
       long warmUpMs) {}
 
   /** nextToken is empty on the last page. */
-  record WorkerPage(List<ListedWorker> workers, String nextToken) {}
+  record WorkerListPage(List<ListedWorker> workers, String nextToken) {}
 
   /** Hears how a prompt at a worker goes on. */
-  interface WorkerListener {
+  interface WorkerCallListener {
     void text(String text);
 
     /** The terminal event and the end mark were both seen: the output is whole. */
     void end(String finishReason);
 
     /** mayHaveRun is false only when the worker can not have begun: no connection, or a refusal. */
-    void fault(Fault fault, boolean mayHaveRun);
+    void fault(ApiError fault, boolean mayHaveRun);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/Invariant.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/Invariant.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.environment;
 
 import java.util.Locale;
 
--- a/core-logic/src/main/java/applespindle/corelogic/Bounds.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
@@ -1,4 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.environment;
+
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.LifecycleConstants;
 
 /**
  * What a process is told of the deployment's bounds at its start; times in milliseconds.
@@ -15,7 +18,7 @@
  * the commit. processorCores: what the machine has for this process, in cores of full speed; 0
  * where that is not told.
  */
-public record Bounds(
+public record NodeSettings(
     int lossesToBear,
     boolean bootstrap,
     boolean voter,
@@ -36,8 +39,8 @@
    * The product's own way of running: one loss, signed bundles, workers told by the platform's own
    * calls.
    */
-  public static final Bounds DEFAULT =
-      new Bounds(
+  public static final NodeSettings DEFAULT =
+      new NodeSettings(
           1,
           true,
           true,
@@ -46,16 +49,18 @@
           0,
           3_000,
           3_000,
-          Constants.STOP_NOTICE_MS + Constants.DRAIN_MS + Constants.STOP_MARGIN_MS,
+          LifecycleConstants.SHUTDOWN_NOTICE_MS
+              + LifecycleConstants.DRAIN_TIMEOUT_MS
+              + LifecycleConstants.SHUTDOWN_MARGIN_MS,
           2_000,
-          Constants.RETENTION_MS,
+          BatchConstants.DEFAULT_RETENTION_MS,
           0,
           0,
           0,
           true,
           0);
 
-  public Bounds(
+  public NodeSettings(
       int lossesToBear,
       boolean bootstrap,
       boolean voter,
@@ -92,8 +97,8 @@
   /**
    * The same on a machine that has so much processor time for this process, in full-speed cores.
    */
-  public Bounds onProcessor(double cores) {
-    return new Bounds(
+  public NodeSettings onProcessor(double cores) {
+    return new NodeSettings(
         lossesToBear,
         bootstrap,
         voter,
@@ -116,8 +121,8 @@
    * The same for a process at its own place: whether its disk counts, and whether this is the first
    * start of all.
    */
-  public Bounds at(boolean votes, boolean firstStart) {
-    return new Bounds(
+  public NodeSettings at(boolean votes, boolean firstStart) {
+    return new NodeSettings(
         lossesToBear,
         firstStart,
         votes,
@@ -140,8 +145,8 @@
    * These, with what may change while a process runs as the newer ones have it; the rest holds
    * until its next start.
    */
-  public Bounds taking(Bounds newer) {
-    return new Bounds(
+  public NodeSettings taking(NodeSettings newer) {
+    return new NodeSettings(
         lossesToBear,
         bootstrap,
         voter,
--- a/core-logic/src/main/java/applespindle/corelogic/OpaqueRequest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/ProxiedRequest.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.environment;
 
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * model, its tokens, and the prompt's parts in order, which say what a worker may still keep from
  * earlier requests. resumeAfter: the id of the last event the client already has, or empty.
  */
-public record OpaqueRequest(
+public record ProxiedRequest(
     String id,
     String method,
     String target,
@@ -28,17 +28,17 @@
   public record PromptPart(String id, int tokens) {}
 
   /** Status and end-to-end headers of a worker's response, as the worker sent them. */
-  public record Head(int status, List<Header> headers) {}
+  public record ResponseHead(int status, List<Header> headers) {}
 
   /**
    * One whole event with its id, or, where the body is no event stream, some of its bytes with an
    * empty id.
    */
-  public record Piece(String eventId, byte[] bytes) {}
+  public record ResponseChunk(String eventId, byte[] bytes) {}
 
   /** The same after it has waited for a while. */
-  OpaqueRequest after(long waitedMs) {
-    return new OpaqueRequest(
+  public ProxiedRequest after(long waitedMs) {
+    return new ProxiedRequest(
         id,
         method,
         target,
--- a/core-logic/src/main/java/applespindle/corelogic/StageTrace.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
@@ -1,18 +1,18 @@
-package applespindle.corelogic;
+package applespindle.corelogic.environment;
 
 /**
  * The stages that one piece of work went through, each with its elapsed time and the processor time
  * of the thread that ran it, for one line of the log. Confined to that thread. Processor time
  * covers all that the thread did meanwhile, also for other work.
  */
-public final class StageTrace {
-  private final Surroundings surroundings;
+public final class StageTimer {
+  private final Environment surroundings;
   private final long beganAt;
   private final StringBuilder stages = new StringBuilder();
   private long lastAt;
   private long lastProcessorMicros;
 
-  public StageTrace(Surroundings surroundings) {
+  public StageTimer(Environment surroundings) {
     this.surroundings = surroundings;
     beganAt = surroundings.now();
     lastAt = beganAt;
--- a/core-logic/src/main/java/applespindle/corelogic/LiveDesk.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
@@ -1,9 +1,20 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Surroundings.WorkerCall;
-import applespindle.corelogic.Surroundings.WorkerListener;
-import applespindle.corelogic.Surroundings.WorkerRun;
-import com.fasterxml.jackson.databind.node.ObjectNode;
+package applespindle.corelogic.live;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.configuration.CompiledRules;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.LiveRequestConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.worker.EdgeContext;
+import applespindle.corelogic.worker.WorkerRegistry;
+import applespindle.corelogic.worker.WorkerState;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,80 +23,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 
 /**
  * Live requests on one edge: takes them, queues them by class, selects a worker, and streams the
  * response back.
  */
-public final class LiveDesk {
-  /**
-   * A live request as checked; body is what a worker gets, prompt what its way and its worker are
-   * chosen by.
-   */
-  public record Request(
-      String sender,
-      String model,
-      String trafficClass,
-      Map<String, String> headers,
-      String prompt,
-      ObjectNode body,
-      boolean stream,
-      String onceId) {}
-
-  /** Hears texts only if the request streams, then exactly one end or fault. */
-  public interface Listener {
-    void text(String text);
-
-    /**
-     * A worker has begun to answer a request that does not stream; may be told again after another
-     * worker was tried.
-     */
-    default void running() {}
-
-    void end(String wholeOutput, String finishReason);
-
-    /** cut: texts were already passed on, so the output must be shown as incomplete. */
-    void fault(Response response, boolean cut);
-  }
-
-  /** A request that was taken; lets its client give it up. */
-  public interface Handle {
-    void cancel();
-  }
-
-  /** What the desk needs of the edge it lives on. */
-  interface Edge {
-    Fault mayBegin();
-
-    /**
-     * Null when a request that was already taken may go on to a worker; a polite stop alone does
-     * not hinder it.
-     */
-    Fault mayGoOn();
-
-    Bundle bundle();
-
-    /** What that bundle says of opaque requests; empty while there is none. */
-    RouteTable routes();
-
-    void claimOnce(String id, String token, Consumer<Fault> then);
-
-    void unclaimOnce(String id, String token);
-
-    void count(String counter);
-  }
+public final class LiveRequestDispatcher {
 
-  private final class Taken implements Handle {
-    final Request request;
-    final Listener listener;
-    final Bundle.Way way;
-    final Bundle.Pool pool;
+  private final class Taken implements RequestHandle {
+    final LiveRequest request;
+    final LiveResponseListener listener;
+    final RoutingConfiguration.RoutingAction way;
+    final RoutingConfiguration.Pool pool;
 
     /**
      * Rank and queue limit of the bundle the request began with; a later bundle does not touch it.
      */
-    final Bundle.ClassLimit classLimit;
+    final RoutingConfiguration.ClassLimit classLimit;
 
     final long takenAt = surroundings.now();
     final long expiresAt;
@@ -93,15 +47,19 @@
     final StringBuilder output = new StringBuilder();
     String token = "";
     int retriesLeft;
-    WorkerBook.Known worker;
-    WorkerRun run;
-    WorkerListener runListener;
+    WorkerState worker;
+    WorkerCallHandle run;
+    WorkerCallListener runListener;
     long lastTextAt;
     boolean passedOn;
     boolean handedOver;
     boolean over;
 
-    Taken(Request request, Listener listener, Bundle bundle, Bundle.Way way) {
+    Taken(
+        LiveRequest request,
+        LiveResponseListener listener,
+        RoutingConfiguration bundle,
+        RoutingConfiguration.RoutingAction way) {
       this.request = request;
       this.listener = listener;
       this.way = way;
@@ -119,7 +77,7 @@
       }
     }
 
-    void refuse(Fault fault) {
+    void refuse(ApiError fault) {
       if (over) {
         return;
       }
@@ -129,7 +87,7 @@
       finish();
       listener.fault(
           unknownOnce
-              ? Response.of(new Fault.OutcomeUnknown(request.onceId()))
+              ? Response.of(new ApiError.OutcomeUnknown(request.onceId()))
               : Response.of(fault, comeBack),
           passedOn);
     }
@@ -153,10 +111,10 @@
     }
   }
 
-  private final Surroundings surroundings;
+  private final Environment surroundings;
   private final String nodeId;
-  private final Edge edge;
-  private final WorkerBook book;
+  private final EdgeContext edge;
+  private final WorkerRegistry book;
 
   /** By rank, then class: short checks stand before notes and are never behind them. */
   private final TreeMap<String, ArrayDeque<Taken>> queues = new TreeMap<>();
@@ -164,11 +122,12 @@
   private final Map<String, Double> startIntervals = new HashMap<>();
   private final Map<String, Long> lastStartAt = new HashMap<>();
   private CompiledRules rules;
-  private Bundle rulesOf;
+  private RoutingConfiguration rulesOf;
   private long tokens;
   private final Set<Taken> atWorkers = new LinkedHashSet<>();
 
-  LiveDesk(Surroundings surroundings, String nodeId, Edge edge, WorkerBook book) {
+  public LiveRequestDispatcher(
+      Environment surroundings, String nodeId, EdgeContext edge, WorkerRegistry book) {
     this.surroundings = surroundings;
     this.nodeId = nodeId;
     this.edge = edge;
@@ -181,11 +140,11 @@
         unseen -> new ArrayDeque<>());
   }
 
-  Handle take(Request request, Listener listener) {
-    Fault hindrance = edge.mayBegin();
-    Bundle bundle = edge.bundle();
+  public RequestHandle take(LiveRequest request, LiveResponseListener listener) {
+    ApiError hindrance = edge.mayBegin();
+    RoutingConfiguration bundle = edge.bundle();
     if (hindrance == null && bundle == null) {
-      hindrance = new Fault.NoBundle();
+      hindrance = new ApiError.NoConfiguration();
     }
     if (hindrance != null) {
       edge.count("live_refused_" + hindrance.type());
@@ -196,7 +155,7 @@
       rules = CompiledRules.compile(bundle);
       rulesOf = bundle;
     }
-    Bundle.Way way =
+    RoutingConfiguration.RoutingAction way =
         rules.run(
             new CompiledRules.Subject(
                 request.model(),
@@ -205,11 +164,11 @@
                 request.headers(),
                 request.prompt().length()));
     if (way == null) {
-      listener.fault(Response.of(new Fault.NoMatchingRule()), false);
+      listener.fault(Response.of(new ApiError.NoMatchingRule()), false);
       return () -> {};
     }
     Taken taken = new Taken(request, listener, bundle, way);
-    Fault refusal = refusalAtOnce(taken);
+    ApiError refusal = refusalAtOnce(taken);
     if (refusal != null) {
       taken.refuse(refusal);
       return taken;
@@ -224,42 +183,43 @@
   }
 
   /** What can not start within its expiry hears so now, not at the end of it. */
-  private Fault refusalAtOnce(Taken taken) {
+  private ApiError refusalAtOnce(Taken taken) {
     ArrayDeque<Taken> queue = queue(taken);
     if (queue.size() >= taken.classLimit.queueMost()
         && (queue.size() > 0 || select(taken) == null)) {
-      return new Fault.QueueFull(taken.way.trafficClass());
+      return new ApiError.QueueFull(taken.way.trafficClass());
     }
     if (book.all().stream()
         .noneMatch(worker -> ofPool(worker, taken) && book.comesBackBy(worker, taken.expiresAt))) {
-      return new Fault.NoWorker(taken.way.pool());
+      return new ApiError.NoWorker(taken.way.pool());
     }
     double interval = startIntervals.getOrDefault(taken.way.trafficClass(), 0.0);
-    return queue.size() * interval > taken.way.expiryMs() ? new Fault.ExpiryPassed() : null;
+    return queue.size() * interval > taken.way.expiryMs() ? new ApiError.DeadlineExceeded() : null;
   }
 
   /**
    * From what is known now: the pace of the queue, or when the first worker's rest ends; else the
    * fault's own.
    */
-  private int comeBackSeconds(Fault fault, Taken taken) {
+  private int comeBackSeconds(ApiError fault, Taken taken) {
     long waitMs;
-    if (fault instanceof Fault.QueueFull || fault instanceof Fault.ExpiryPassed) {
+    if (fault instanceof ApiError.QueueFull || fault instanceof ApiError.DeadlineExceeded) {
       waitMs =
           (long) (queue(taken).size() * startIntervals.getOrDefault(taken.way.trafficClass(), 0.0));
-    } else if (fault instanceof Fault.NoWorker
-        || fault instanceof Fault.WorkerRefused
-        || fault instanceof Fault.WorkerUnreachable) {
+    } else if (fault instanceof ApiError.NoWorker
+        || fault instanceof ApiError.WorkerRejected
+        || fault instanceof ApiError.WorkerUnreachable) {
       waitMs =
           book.all().stream()
               .filter(worker -> ofPool(worker, taken))
               .mapToLong(book::restMs)
               .min()
-              .orElse(Constants.LOAD_STALE_MS);
+              .orElse(WorkerConstants.LOAD_STALE_AFTER_MS);
     } else {
       return fault.row().comeBackSeconds();
     }
-    return (int) Math.max(1, Math.min(Constants.COME_BACK_MOST_S, (waitMs + 999) / 1_000));
+    return (int)
+        Math.max(1, Math.min(LiveRequestConstants.MAX_RETRY_AFTER_S, (waitMs + 999) / 1_000));
   }
 
   private void claimThenEnqueue(Taken taken) {
@@ -289,19 +249,19 @@
         Math.max(0, taken.expiresAt - surroundings.now()),
         () -> {
           if (!taken.over && taken.run == null) {
-            taken.refuse(new Fault.ExpiryPassed());
+            taken.refuse(new ApiError.DeadlineExceeded());
           }
         });
     pump();
   }
 
-  void pump() {
+  public void pump() {
     for (ArrayDeque<Taken> queue : queues.values()) {
       for (Taken taken : List.copyOf(queue)) {
         if (taken.over || taken.run != null) {
           continue;
         }
-        WorkerBook.Known worker = select(taken);
+        WorkerState worker = select(taken);
         if (worker == null) {
           if (book.all().stream()
               .noneMatch(
@@ -309,7 +269,7 @@
                       ofPool(each, taken)
                           && book.comesBackBy(each, taken.expiresAt)
                           && !taken.tried.contains(each.worker.id()))) {
-            taken.refuse(new Fault.NoWorker(taken.way.pool()));
+            taken.refuse(new ApiError.NoWorker(taken.way.pool()));
             continue;
           }
           break;
@@ -320,7 +280,7 @@
     }
   }
 
-  private boolean ofPool(WorkerBook.Known worker, Taken taken) {
+  private boolean ofPool(WorkerState worker, Taken taken) {
     return worker.worker.pool().equals(taken.way.pool());
   }
 
@@ -329,10 +289,10 @@
    * beyond the bound; so the same prefix meets the same cache from every edge without any talk
    * between them.
    */
-  private WorkerBook.Known select(Taken taken) {
-    Map<String, WorkerBook.Known> usable = new TreeMap<>();
+  private WorkerState select(Taken taken) {
+    Map<String, WorkerState> usable = new TreeMap<>();
     int load = 0;
-    for (WorkerBook.Known each : book.all()) {
+    for (WorkerState each : book.all()) {
       if (ofPool(each, taken) && book.usable(each) && !taken.tried.contains(each.worker.id())) {
         usable.put(each.worker.id(), each);
         load += each.running();
@@ -342,10 +302,10 @@
       return null;
     }
     double bound = Math.ceil(taken.pool.loadFactor() * (load + 1) / usable.size());
-    WorkerBook.Known fallback = null;
+    WorkerState fallback = null;
     for (String id :
-        Rendezvous.order(prefix(taken.request.prompt(), taken.pool), usable.keySet())) {
-      WorkerBook.Known each = usable.get(id);
+        RendezvousHashing.order(prefix(taken.request.prompt(), taken.pool), usable.keySet())) {
+      WorkerState each = usable.get(id);
       if (each.free() <= 0) {
         continue;
       }
@@ -359,7 +319,7 @@
     return fallback;
   }
 
-  static String prefix(String prompt, Bundle.Pool pool) {
+  static String prefix(String prompt, RoutingConfiguration.Pool pool) {
     int blocks = Math.min(pool.prefixBlocks(), prompt.length() / pool.prefixBlockChars());
     return blocks == 0 ? prompt : prompt.substring(0, blocks * pool.prefixBlockChars());
   }
@@ -367,10 +327,10 @@
   /**
    * Expiry and staleness are checked here, right before the hand-over: what was refused never runs.
    */
-  private void handOver(Taken taken, WorkerBook.Known worker) {
-    Fault hindrance = edge.mayGoOn();
+  private void handOver(Taken taken, WorkerState worker) {
+    ApiError hindrance = edge.mayGoOn();
     if (hindrance == null && surroundings.now() >= taken.expiresAt) {
-      hindrance = new Fault.ExpiryPassed();
+      hindrance = new ApiError.DeadlineExceeded();
     }
     if (hindrance != null) {
       taken.refuse(hindrance);
@@ -381,7 +341,9 @@
     taken.handedOver = true;
     taken.output.setLength(0);
     book.began(worker, false);
-    long expiry = Math.max(1, taken.expiresAt - surroundings.now()) + Constants.STREAM_SILENCE_MS;
+    long expiry =
+        Math.max(1, taken.expiresAt - surroundings.now())
+            + LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS;
     taken.lastTextAt = surroundings.now();
     taken.runListener = listener(taken, worker);
     taken.run =
@@ -396,7 +358,7 @@
    * would have been free.
    */
   private void refuseIfHindered() {
-    Fault hindrance = edge.mayGoOn();
+    ApiError hindrance = edge.mayGoOn();
     if (hindrance != null) {
       queues.values().stream()
           .flatMap(queue -> List.copyOf(queue).stream())
@@ -406,12 +368,12 @@
   }
 
   /** Ends runs at workers that have gone dark, long before their connections would. */
-  void tick() {
+  public void tick() {
     refuseIfHindered();
     for (Taken taken : List.copyOf(atWorkers)) {
       if (taken.run != null && book.lost(taken.worker, taken.lastTextAt)) {
         taken.run.cancel();
-        taken.runListener.fault(new Fault.WorkerSilent(taken.worker.worker.id()), true);
+        taken.runListener.fault(new ApiError.WorkerTimeout(taken.worker.worker.id()), true);
       }
     }
     pump();
@@ -429,8 +391,8 @@
     }
   }
 
-  private WorkerListener listener(Taken taken, WorkerBook.Known worker) {
-    return new WorkerListener() {
+  private WorkerCallListener listener(Taken taken, WorkerState worker) {
+    return new WorkerCallListener() {
       private boolean stands() {
         return !taken.over && taken.worker == worker && taken.run != null;
       }
@@ -466,19 +428,19 @@
       }
 
       @Override
-      public void fault(Fault fault, boolean mayHaveRun) {
+      public void fault(ApiError fault, boolean mayHaveRun) {
         if (!stands()) {
           return;
         }
         release();
-        if (WorkerBook.saysFull(fault)) {
+        if (WorkerRegistry.saysFull(fault)) {
           book.refused(worker);
           taken.handedOver = false;
           queue(taken).addFirst(taken);
           pump();
           return;
         }
-        if (!(fault instanceof Fault.WorkerRefused)) {
+        if (!(fault instanceof ApiError.WorkerRejected)) {
           book.faulted(worker);
         }
         edge.count("live_worker_faults");
@@ -502,11 +464,11 @@
     };
   }
 
-  int runningRequests() {
+  public int runningRequests() {
     return atWorkers.size();
   }
 
-  int queuedRequests() {
+  public int queuedRequests() {
     return queues.values().stream().mapToInt(ArrayDeque::size).sum();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/OpaqueListener.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
@@ -1,16 +1,18 @@
-package applespindle.corelogic;
+package applespindle.corelogic.live;
 
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Piece;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 
 /**
  * Hears one head, any number of pieces and the end; or a refusal instead of a head; or a cut after
  * the head.
  */
-public interface OpaqueListener {
-  void head(Head head);
+public interface ProxiedResponseListener {
+  void head(ResponseHead head);
 
-  void piece(Piece piece);
+  void piece(ResponseChunk piece);
 
   /** Every piece of the worker's body was told: the response is whole. */
   void end();
@@ -24,5 +26,5 @@
   /**
    * The response must be shown as incomplete: the connection is closed without the format's end.
    */
-  void cut(Fault fault);
+  void cut(ApiError fault);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/OpaqueDesk.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
@@ -1,14 +1,27 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Bundle.RouteType;
-import applespindle.corelogic.Bundle.Share;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.Surroundings.ExchangeListener;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
-import applespindle.corelogic.Surroundings.WorkerRun;
+package applespindle.corelogic.live;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.RoutingConfiguration.PoolWeight;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
+import applespindle.corelogic.constants.LifecycleConstants;
+import applespindle.corelogic.constants.LiveRequestConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.worker.EdgeContext;
+import applespindle.corelogic.worker.PrefixCache;
+import applespindle.corelogic.worker.WorkerRegistry;
+import applespindle.corelogic.worker.WorkerSelection;
+import applespindle.corelogic.worker.WorkerState;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -21,7 +34,7 @@
  * it comes, and goes on at another worker where the route allows it. Nothing is queued here:
  * workers queue, by rank, and what fits nowhere in time is refused at once.
  */
-final class OpaqueDesk {
+public final class ProxyDispatcher {
   /** How long first bytes take on a route. */
   private static final class Pace {
     double firstMs;
@@ -32,15 +45,16 @@
         firstMs = ms;
         deviationMs = ms / 2;
       } else {
-        deviationMs += (Math.abs(ms - firstMs) - deviationMs) * Constants.OUTCOME_WEIGHT;
-        firstMs += (ms - firstMs) * Constants.OUTCOME_WEIGHT;
+        deviationMs +=
+            (Math.abs(ms - firstMs) - deviationMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
+        firstMs += (ms - firstMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
       }
     }
   }
 
-  private final class Taken implements LiveDesk.Handle {
-    final OpaqueRequest request;
-    final OpaqueListener listener;
+  private final class Taken implements RequestHandle {
+    final ProxiedRequest request;
+    final ProxiedResponseListener listener;
     final Route route;
     final String pool;
     final long takenAt = surroundings.now();
@@ -66,9 +80,9 @@
     boolean over;
 
     Taken(
-        OpaqueRequest request,
-        OpaqueListener listener,
-        Bundle bundle,
+        ProxiedRequest request,
+        ProxiedResponseListener listener,
+        RoutingConfiguration bundle,
         Route route,
         String pool,
         long arrivedAt) {
@@ -81,20 +95,21 @@
           request.deadlineMs() > 0
               ? Math.min(takenAt + request.deadlineMs(), routeTimeoutAt)
               : routeTimeoutAt;
-      this.targetMs = route.targetMs() > 0 ? route.targetMs() : Constants.TARGET_GUESS_MS;
+      this.targetMs =
+          route.targetMs() > 0 ? route.targetMs() : WorkerConstants.DEFAULT_LATENCY_TARGET_MS;
       this.demand = demand(bundle.pools().get(pool));
       this.sendsLeft = Math.max(1, route.attempts());
       this.lastEventId = request.resumeAfter();
     }
 
-    private WorkerSelection.Demand demand(Bundle.Pool limits) {
+    private WorkerSelection.Demand demand(RoutingConfiguration.Pool limits) {
       Long keptTokensMost = limits == null ? null : limits.keptTokensMost();
       return new WorkerSelection.Demand(
           pool,
           targetMs,
           route.sticky(),
           request.prompt(),
-          KeptPrompts.chain(request.prompt(), request.model()),
+          PrefixCache.chain(request.prompt(), request.model()),
           request.promptTokens() + request.outputTokensMost(),
           keptTokensMost == null ? 0 : keptTokensMost);
     }
@@ -125,7 +140,7 @@
      * The end for want of a whole response. Only what certainly never ran is answered with a
      * promise.
      */
-    void conclude(Fault fault) {
+    void conclude(ApiError fault) {
       if (over) {
         return;
       }
@@ -138,7 +153,7 @@
         listener.refused(Response.comeBackInMs(fault, comeBackMs(fault, this)));
       } else {
         boolean open = fault.row().status() == 502 || fault.row().status() == 504;
-        listener.refused(Response.of(open ? fault : new Fault.OutcomeUnknown(request.id())));
+        listener.refused(Response.of(open ? fault : new ApiError.OutcomeUnknown(request.id())));
       }
     }
   }
@@ -146,7 +161,7 @@
   /** One send to one worker. */
   private final class Run implements ExchangeListener {
     final Taken taken;
-    final WorkerBook.Known worker;
+    final WorkerState worker;
     final long sentAt = surroundings.now();
     final double expectedWaitMs;
 
@@ -162,12 +177,12 @@
     private double toRead;
 
     long heardAt = sentAt;
-    WorkerRun exchange;
+    WorkerCallHandle exchange;
 
     /**
      * Held until something follows it, so that a run which brings nothing can still be replaced.
      */
-    Head head;
+    ResponseHead head;
 
     /**
      * The response is not shown to the client, as another worker is to run the request or as the
@@ -175,7 +190,7 @@
      */
     boolean dropped;
 
-    Run(Taken taken, WorkerBook.Known worker, double expectedWaitMs, double reading) {
+    Run(Taken taken, WorkerState worker, double expectedWaitMs, double reading) {
       this.taken = taken;
       this.worker = worker;
       this.expectedWaitMs = expectedWaitMs;
@@ -216,14 +231,14 @@
     }
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
       if (!stands()) {
         return;
       }
       heard();
       boolean good = head.status() < 300;
       if (taken.headPassed && !good
-          || Fault.promisesNotRun(head.status())
+          || ApiError.promisesNotRun(head.status())
           || head.status() >= 500 && taken.repeatable() && mayMove(taken, worker)) {
         dropped = true;
       }
@@ -234,7 +249,7 @@
     }
 
     @Override
-    public void piece(Piece piece) {
+    public void piece(ResponseChunk piece) {
       if (!stands()) {
         return;
       }
@@ -266,7 +281,7 @@
       release();
       if (dropped) {
         book.failed(worker);
-        endUncertain(new Fault.WorkerFailed(head.status()));
+        endUncertain(new ApiError.WorkerFailed(head.status()));
         return;
       }
       if (head.status() >= 500) {
@@ -283,7 +298,7 @@
     }
 
     /** The worker may have run the request: another run only where the route allows a second. */
-    private void endUncertain(Fault fault) {
+    private void endUncertain(ApiError fault) {
       taken.mayHaveRun = true;
       taken.tried.add(worker.worker.id());
       if (taken.repeatable()) {
@@ -299,13 +314,13 @@
     }
 
     @Override
-    public void fault(Fault fault, boolean mayHaveRun) {
+    public void fault(ApiError fault, boolean mayHaveRun) {
       if (!stands()) {
         return;
       }
       release();
       edge.count("opaque_worker_" + fault.type());
-      if (fault instanceof Fault.InvalidInput) {
+      if (fault instanceof ApiError.InvalidInput) {
         taken.conclude(fault);
         return;
       }
@@ -315,75 +330,78 @@
         return;
       }
       taken.tried.add(worker.worker.id());
-      if (WorkerBook.saysFull(fault)) {
+      if (WorkerRegistry.saysFull(fault)) {
         book.heard(worker);
         book.refused(worker);
       } else {
         book.faulted(worker);
       }
-      if (!(fault instanceof Fault.WorkerRefused)) {
+      if (!(fault instanceof ApiError.WorkerRejected)) {
         taken.sendsLeft++;
       }
       sendOn(taken, fault);
     }
   }
 
-  private final Surroundings surroundings;
-  private final LiveDesk.Edge edge;
-  private final WorkerBook book;
+  private final Environment surroundings;
+  private final EdgeContext edge;
+  private final WorkerRegistry book;
   private final WorkerSelection selection;
   private final Set<Taken> open = new LinkedHashSet<>();
   private final Map<String, Pace> paces = new HashMap<>();
 
   /** The pending look at the open requests; null while there are none. */
-  private Surroundings.Schedule look;
+  private Environment.ScheduledTask look;
 
   private long lookDueAt;
   private long lookedAt;
 
-  OpaqueDesk(Surroundings surroundings, String zone, LiveDesk.Edge edge, WorkerBook book) {
+  public ProxyDispatcher(
+      Environment surroundings, String zone, EdgeContext edge, WorkerRegistry book) {
     this.surroundings = surroundings;
     this.edge = edge;
     this.book = book;
     this.selection = new WorkerSelection(surroundings, zone, edge, book);
   }
 
-  LiveDesk.Handle take(OpaqueRequest request, OpaqueListener listener) {
+  public RequestHandle take(ProxiedRequest request, ProxiedResponseListener listener) {
     return take(request, listener, surroundings.now());
   }
 
   /** The route's timeout runs from arrivedAt on, which lies back if the request has waited. */
-  LiveDesk.Handle take(OpaqueRequest request, OpaqueListener listener, long arrivedAt) {
-    Fault hindrance = edge.mayBegin();
+  public RequestHandle take(
+      ProxiedRequest request, ProxiedResponseListener listener, long arrivedAt) {
+    ApiError hindrance = edge.mayBegin();
     if (hindrance == null && edge.bundle() == null) {
-      hindrance = new Fault.NoBundle();
+      hindrance = new ApiError.NoConfiguration();
     }
     Route route = hindrance == null ? edge.routes().find(request.host(), request.path()) : null;
     if (hindrance == null && (route == null || route.type() == RouteType.BATCH)) {
-      hindrance = new Fault.NoMatchingRule();
+      hindrance = new ApiError.NoMatchingRule();
     }
     if (hindrance != null) {
       edge.count("opaque_refused_" + hindrance.type());
       boolean starting =
-          hindrance instanceof Fault.NodeIsolated || hindrance instanceof Fault.NoBundle;
+          hindrance instanceof ApiError.NodeIsolated
+              || hindrance instanceof ApiError.NoConfiguration;
       listener.refused(
           starting
-              ? Response.comeBackInMs(hindrance, Constants.START_COME_BACK_MS)
+              ? Response.comeBackInMs(hindrance, LifecycleConstants.STARTUP_RETRY_AFTER_MS)
               : Response.of(hindrance));
       return () -> {};
     }
     edge.count("opaque_taken");
     Taken taken = new Taken(request, listener, edge.bundle(), route, pool(route), arrivedAt);
     open.add(taken);
-    sendOn(taken, new Fault.NoWorker(taken.pool));
+    sendOn(taken, new ApiError.NoWorker(taken.pool));
     return taken;
   }
 
   /** One of the route's pools by weight; one without workers only if all are. */
   private String pool(Route route) {
-    List<Share> shares = route.split();
+    List<PoolWeight> shares = route.split();
     if (shares.size() > 1) {
-      List<Share> manned =
+      List<PoolWeight> manned =
           shares.stream()
               .filter(
                   share ->
@@ -397,11 +415,11 @@
       shares = manned.isEmpty() ? shares : manned;
     }
     long total = 0;
-    for (Share share : shares) {
+    for (PoolWeight share : shares) {
       total += share.weight();
     }
     long drawn = total <= 1 ? 0 : surroundings.random().nextLong(total);
-    for (Share share : shares) {
+    for (PoolWeight share : shares) {
       drawn -= share.weight();
       if (drawn < 0) {
         return share.pool();
@@ -414,16 +432,16 @@
    * To the next worker, or to the end. Whether this node and the worker may take it is looked at
    * here, right before the send; fault is what ended the last run.
    */
-  private void sendOn(Taken taken, Fault fault) {
-    Fault hindrance = edge.mayGoOn();
+  private void sendOn(Taken taken, ApiError fault) {
+    ApiError hindrance = edge.mayGoOn();
     if (hindrance == null && surroundings.now() >= taken.expiresAt) {
-      hindrance = new Fault.ExpiryPassed();
+      hindrance = new ApiError.DeadlineExceeded();
     }
     if (hindrance != null) {
       taken.conclude(hindrance);
       return;
     }
-    WorkerBook.Known worker = taken.sendsLeft <= 0 ? null : select(taken, null);
+    WorkerState worker = taken.sendsLeft <= 0 ? null : select(taken, null);
     if (worker == null) {
       taken.conclude(fault);
       return;
@@ -431,7 +449,7 @@
     long left = taken.expiresAt - surroundings.now();
     double waitMs = selection.waitMs(taken.demand, worker);
     if (waitMs > left) {
-      taken.conclude(new Fault.ExpiryPassed());
+      taken.conclude(new ApiError.DeadlineExceeded());
       return;
     }
     taken.sendsLeft--;
@@ -440,7 +458,7 @@
     book.began(worker, false);
     worker.tokens += taken.demand.tokens();
     worker.kept.read(taken.request.prompt(), taken.demand.chain(), taken.demand.keptTokensMost());
-    WorkerRun exchange =
+    WorkerCallHandle exchange =
         surroundings.exchange(
             new WorkerExchange(
                 worker.worker.address(),
@@ -459,29 +477,29 @@
   }
 
   /** Whether another worker could take the request from this one. */
-  private boolean mayMove(Taken taken, WorkerBook.Known from) {
+  private boolean mayMove(Taken taken, WorkerState from) {
     return taken.sendsLeft > 0 && edge.mayGoOn() == null && select(taken, from) != null;
   }
 
   /** Null if no worker is left; except: one that it is not to go to. */
-  private WorkerBook.Known select(Taken taken, WorkerBook.Known except) {
+  private WorkerState select(Taken taken, WorkerState except) {
     return selection.select(
         taken.demand,
         worker -> worker != except && !taken.tried.contains(worker.worker.id()),
         taken.repeatable());
   }
 
-  private long comeBackMs(Fault fault, Taken taken) {
+  private long comeBackMs(ApiError fault, Taken taken) {
     boolean ofWorkers =
-        fault instanceof Fault.NoWorker
-            || fault instanceof Fault.WorkerRefused
-            || fault instanceof Fault.WorkerUnreachable
-            || fault instanceof Fault.ExpiryPassed;
+        fault instanceof ApiError.NoWorker
+            || fault instanceof ApiError.WorkerRejected
+            || fault instanceof ApiError.WorkerUnreachable
+            || fault instanceof ApiError.DeadlineExceeded;
     if (!ofWorkers) {
       return fault.row().comeBackSeconds() * 1_000L;
     }
-    double waitMs = Constants.COME_BACK_LONGEST_MS;
-    for (WorkerBook.Known each : book.all()) {
+    double waitMs = LiveRequestConstants.MAX_RETRY_AFTER_MS;
+    for (WorkerState each : book.all()) {
       if (each.worker.pool().equals(taken.pool) && !each.leaving()) {
         double slotMs = each.serviceMs / Math.max(1, each.capacity());
         waitMs =
@@ -492,7 +510,7 @@
                     each.restsUntil - surroundings.now()));
       }
     }
-    return Math.max(Constants.COME_BACK_LEAST_MS, Math.round(waitMs));
+    return Math.max(LiveRequestConstants.MIN_RETRY_AFTER_MS, Math.round(waitMs));
   }
 
   private Pace pace(Route route) {
@@ -507,8 +525,8 @@
     long now = surroundings.now();
     long dueAt =
         Math.min(
-            now + Constants.SILENCE_LOOK_MS,
-            Math.max(now + Constants.EXPIRY_LOOK_LEAST_MS, nextExpiresAt));
+            now + LiveRequestConstants.SILENCE_CHECK_INTERVAL_MS,
+            Math.max(now + LiveRequestConstants.MIN_EXPIRY_CHECK_INTERVAL_MS, nextExpiresAt));
     if (look != null && lookDueAt <= dueAt) {
       return;
     }
@@ -524,13 +542,13 @@
   private void lookOnce() {
     look = null;
     long now = surroundings.now();
-    boolean frozen = now - lookedAt > 4 * Constants.SILENCE_LOOK_MS;
+    boolean frozen = now - lookedAt > 4 * LiveRequestConstants.SILENCE_CHECK_INTERVAL_MS;
     for (Taken taken : List.copyOf(open)) {
       if (taken.over || taken.run == null) {
         continue;
       }
       if (now >= taken.expiresAt) {
-        taken.conclude(new Fault.WorkerSilent(taken.run.worker.worker.id()));
+        taken.conclude(new ApiError.WorkerTimeout(taken.run.worker.worker.id()));
       } else if (frozen) {
         taken.run.heardAt = now;
       } else {
@@ -552,7 +570,7 @@
    */
   private void lookAt(Taken taken, long now) {
     Run run = taken.run;
-    WorkerBook.Known worker = run.worker;
+    WorkerState worker = run.worker;
     long silentMs = now - Math.max(run.heardAt, worker.heardAt);
     if (silentMs <= silenceMs(run)) {
       return;
@@ -570,7 +588,7 @@
       taken.mayHaveRun = true;
       taken.tried.add(worker.worker.id());
       run.leave();
-      sendOn(taken, new Fault.WorkerSilent(worker.worker.id()));
+      sendOn(taken, new ApiError.WorkerTimeout(worker.worker.id()));
     }
   }
 
@@ -578,17 +596,19 @@
     Route route = run.taken.route;
     if (run.head != null && route.gapTargetMs() > 0) {
       return Math.max(
-          Constants.SILENCE_LEAST_MS, (double) Constants.SILENCE_GAPS * route.gapTargetMs());
+          LiveRequestConstants.MIN_SILENCE_TIMEOUT_MS,
+          (double) LiveRequestConstants.SILENCE_TIMEOUT_GAPS * route.gapTargetMs());
     }
     Pace pace = pace(route);
     double expected = pace.firstMs + 2 * pace.deviationMs + run.expectedWaitMs;
-    return Math.max(Math.max(Constants.SILENCE_LEAST_MS, run.taken.targetMs), 2 * expected);
+    return Math.max(
+        Math.max(LiveRequestConstants.MIN_SILENCE_TIMEOUT_MS, run.taken.targetMs), 2 * expected);
   }
 
   private boolean mostAreSuspect(String pool) {
     int all = 0;
     int suspect = 0;
-    for (WorkerBook.Known each : book.all()) {
+    for (WorkerState each : book.all()) {
       if (each.worker.pool().equals(pool) && !each.leaving()) {
         all++;
         suspect += each.suspect ? 1 : 0;
@@ -619,7 +639,7 @@
     return Long.valueOf(text);
   }
 
-  int openRequests() {
+  public int openRequests() {
     return open.size();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/StreamText.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/StreamText.java
@@ -1,15 +1,15 @@
-package applespindle.corelogic;
+package applespindle.corelogic.live;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.OpaqueRequest.Piece;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
 
 /**
  * The text of one item's event stream, put together over one or more runs. Holds the data of every
  * whole event once, in order; after event n only a run that was asked to go on behind n may add to
  * it.
  */
-final class StreamText {
+public final class StreamText {
   private static final String DATA_FIELD = "data:";
 
   private final StringBuilder text = new StringBuilder();
@@ -19,17 +19,17 @@
   /** False once an event without an id was taken: no run can be asked to go on behind it. */
   private boolean resumable = true;
 
-  StreamText() {}
+  public StreamText() {}
 
   /** What was brought up to an event; nothing if that is empty. */
-  StreamText(String lastEventId, String text) {
+  public StreamText(String lastEventId, String text) {
     this.lastEventId = lastEventId;
     this.text.append(text);
     hasData = !text.isEmpty();
   }
 
   /** Takes a whole event; one that is held already is passed over. */
-  void add(Piece event) {
+  public void add(ResponseChunk event) {
     if (event.eventId().isEmpty()) {
       resumable = false;
     } else if (!isBehind(event.eventId(), lastEventId)) {
@@ -61,11 +61,11 @@
   }
 
   /** Behind which event another run may go on; empty: only from the start, with a new text. */
-  String resumeAfter() {
+  public String resumeAfter() {
     return resumable ? lastEventId : "";
   }
 
-  String text() {
+  public String text() {
     return text.toString();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/DeflatedEvents.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/DeflatedEvents.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.log;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -16,7 +16,7 @@
  * that appends it, and not again for each replica, each disk and each election. Plain JSON, as
  * earlier versions wrote it, is still read.
  */
-final class DeflatedEvents {
+public final class DeflatedEvents {
   /** From this size on an event is deflated. */
   private static final int DEFLATED_FROM_BYTES = 4 << 10;
 
@@ -26,7 +26,7 @@
   private DeflatedEvents() {}
 
   /** The bytes as they are, or deflated where they are large. */
-  static byte[] pack(byte[] plain) {
+  public static byte[] pack(byte[] plain) {
     return plain.length < DEFLATED_FROM_BYTES ? plain : deflate(plain);
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** The plain bytes; of deflated ones only as many are inflated as are read. */
-  static InputStream open(byte[] bytes) {
+  public static InputStream open(byte[] bytes) {
     InputStream in = new ByteArrayInputStream(bytes);
     return isDeflated(bytes) ? new InflaterInputStream(in) : in;
   }
@@ -56,10 +56,10 @@
   /**
    * Whether most bytes of these entries are deflated, so that deflating them again gains nothing.
    */
-  static boolean mostlyDeflated(List<Entry> entries) {
+  public static boolean mostlyDeflated(List<LogEntry> entries) {
     long all = 0;
     long deflated = 0;
-    for (Entry entry : entries) {
+    for (LogEntry entry : entries) {
       all += entry.event().length;
       deflated += isDeflated(entry.event()) ? entry.event().length : 0;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/Epoch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/Epoch.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.log;
 
 /**
  * Orders owners of one key. Invariant: no two nodes ever use the same epoch, as the node id is part
@@ -13,7 +13,7 @@
     return byCounter != 0 ? byCounter : node.compareTo(other.node);
   }
 
-  boolean below(Epoch other) {
+  public boolean below(Epoch other) {
     return compareTo(other) < 0;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/EntryLists.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
@@ -1,5 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.log;
 
+import applespindle.corelogic.constants.ReplicationConstants;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -7,11 +8,11 @@
  * Cuts the list of entries that a log is: contiguous by sequence, oldest first. Invariant: nothing
  * here changes an entry.
  */
-final class EntryLists {
-  private EntryLists() {}
+public final class LogEntries {
+  private LogEntries() {}
 
   /** Drops what stands before the last whole entry that is committed, as that stands for it. */
-  static void trim(List<Entry> entries, long committed) {
+  public static void trim(List<LogEntry> entries, long committed) {
     for (int index = entries.size() - 1; index > 0; index--) {
       if (entries.get(index).whole() && entries.get(index).sequence() <= committed) {
         entries.subList(0, index).clear();
@@ -21,7 +22,7 @@
   }
 
   /** The last entries, as many as fit and one at least; all of them where no limit is given. */
-  static List<Entry> tail(List<Entry> entries, int bytesMost) {
+  public static List<LogEntry> tail(List<LogEntry> entries, int bytesMost) {
     if (bytesMost <= 0 || entries.isEmpty()) {
       return List.copyOf(entries);
     }
@@ -35,15 +36,15 @@
   }
 
   /** The first entries between these sequences, as many as one message takes and one at least. */
-  static List<Entry> part(List<Entry> entries, long from, long to) {
-    List<Entry> part = new ArrayList<>();
+  public static List<LogEntry> part(List<LogEntry> entries, long from, long to) {
+    List<LogEntry> part = new ArrayList<>();
     long bytes = 0;
-    for (Entry entry : entries) {
+    for (LogEntry entry : entries) {
       if (entry.sequence() < from || entry.sequence() > to) {
         continue;
       }
       bytes += entry.event().length;
-      if (!part.isEmpty() && bytes > Constants.LOG_PART_BYTES) {
+      if (!part.isEmpty() && bytes > ReplicationConstants.MAX_LOG_FETCH_BYTES) {
         break;
       }
       part.add(entry);
--- a/core-logic/src/main/java/applespindle/corelogic/DiskRecord.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogRecord.java
@@ -1,7 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.log;
 
 /** One record of a process's log on disk. */
-public record DiskRecord(
+public record LogRecord(
     Kind kind, String key, Epoch epoch, long sequence, boolean whole, byte[] payload) {
   /** What a record says of its key. */
   public enum Kind {
--- a/core-logic/src/main/java/applespindle/corelogic/CoreHeartbeat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
@@ -1,10 +1,16 @@
-package applespindle.corelogic;
+package applespindle.corelogic.membership;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.Message.CorePing;
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Roster;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
+import applespindle.corelogic.protocol.MessageSender;
+import applespindle.corelogic.replication.LogReplicas;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -16,32 +22,32 @@
  * and which membership they know. Invariant: a ping names a key as led only while its leader here
  * is in contact with a majority, since others may claim it after that.
  */
-final class CoreHeartbeat {
+public final class HeartbeatExchange {
   /** What a ping changed about the contact with its sender. */
-  record Contact(boolean heardAgain, boolean hearEachOtherAgain) {}
+  public record ContactChange(boolean heardAgain, boolean hearEachOtherAgain) {}
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final Bounds bounds;
-  private final CoreMembership membership;
-  private final CoreFounding founding;
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final NodeSettings bounds;
+  private final QuorumView membership;
+  private final QuorumBootstrap founding;
   private final boolean listedFounders;
   private final KeyLeadership keys;
-  private final KeyReplicas replicas;
-  private final KeyReplicas.Replies sender;
-  private final Consumer<Roster> learnRoster;
+  private final LogReplicas replicas;
+  private final MessageSender sender;
+  private final Consumer<QuorumMembership> learnRoster;
 
-  CoreHeartbeat(
-      Surroundings surroundings,
-      Node.Place place,
-      Bounds bounds,
-      CoreMembership membership,
-      CoreFounding founding,
+  public HeartbeatExchange(
+      Environment surroundings,
+      NodeIdentity place,
+      NodeSettings bounds,
+      QuorumView membership,
+      QuorumBootstrap founding,
       boolean listedFounders,
       KeyLeadership keys,
-      KeyReplicas replicas,
-      KeyReplicas.Replies sender,
-      Consumer<Roster> learnRoster) {
+      LogReplicas replicas,
+      MessageSender sender,
+      Consumer<QuorumMembership> learnRoster) {
     this.surroundings = surroundings;
     this.place = place;
     this.bounds = bounds;
@@ -55,29 +61,29 @@
   }
 
   /** Pings every peer. */
-  void send() {
+  public void send() {
     send(List.copyOf(membership.peers().keySet()));
   }
 
   /** Pings these addresses; the membership is sent only to those not known to have it. */
-  void send(List<String> addresses) {
-    Roster roster = membership.current();
+  public void send(List<String> addresses) {
+    QuorumMembership roster = membership.current();
     List<String> led = keys.inContact();
     ObjectNode ping = describeSelf(roster, led);
     byte[] body = Json.bytes(ping);
     byte[] withRoster =
         roster.number() == 0 ? body : Json.bytes(ping.set("roster", JSON.valueToTree(roster)));
     for (String address : addresses) {
-      CorePeer peer = membership.peers().get(address);
+      QuorumPeer peer = membership.peers().get(address);
       boolean knowsRoster =
           peer != null && membership.alive(peer) && peer.rosterNumber >= roster.number();
-      sender.reply(address, "", new CorePing(knowsRoster ? body : withRoster));
+      sender.send(address, "", new QuorumHeartbeat(knowsRoster ? body : withRoster));
     }
     // To the copies in this process its leaders say so without a message.
     led.forEach(key -> replicas.ownerLives(key, place.id(), place.peerAddress()));
   }
 
-  private ObjectNode describeSelf(Roster roster, List<String> led) {
+  private ObjectNode describeSelf(QuorumMembership roster, List<String> led) {
     ObjectNode ping = JSON.createObjectNode();
     boolean formed = roster.number() > 0;
     ping.set("member", JSON.valueToTree(membership.self()));
@@ -99,9 +105,9 @@
   }
 
   /** Notes what a peer says of itself. */
-  Contact receive(CorePing ping, String fromAddress) {
+  public ContactChange receive(QuorumHeartbeat ping, String fromAddress) {
     JsonNode body = Json.tree(ping.body());
-    CorePeer peer = membership.peer(fromAddress);
+    QuorumPeer peer = membership.peer(fromAddress);
     boolean wasAlive = membership.alive(peer);
     boolean wasInContact = membership.inContact(peer);
     read(body, peer);
@@ -111,19 +117,21 @@
     body.path("owns")
         .forEach(key -> replicas.ownerLives(key.asText(), peer.member.id(), fromAddress));
     if (body.has("roster")) {
-      learnRoster.accept(JSON.convertValue(body.get("roster"), Roster.class));
+      learnRoster.accept(JSON.convertValue(body.get("roster"), QuorumMembership.class));
     }
-    return new Contact(!wasAlive, !wasInContact && membership.inContact(peer));
+    return new ContactChange(!wasAlive, !wasInContact && membership.inContact(peer));
   }
 
-  private void read(JsonNode body, CorePeer peer) {
-    peer.member = JSON.convertValue(body.get("member"), CoreMember.class);
+  private void read(JsonNode body, QuorumPeer peer) {
+    peer.member = JSON.convertValue(body.get("member"), QuorumMember.class);
     peer.heardAt = surroundings.now();
     peer.blank = body.path("blank").asBoolean();
     peer.candidate = body.path("candidate").asBoolean();
     peer.voter = body.path("voter").asBoolean();
     peer.proposal =
-        body.has("proposal") ? JSON.convertValue(body.get("proposal"), Roster.class) : null;
+        body.has("proposal")
+            ? JSON.convertValue(body.get("proposal"), QuorumMembership.class)
+            : null;
     peer.accepted = body.path("accepted").asBoolean();
     peer.rosterNumber = body.path("number").asLong();
     peer.hearsUs = false;
--- a/core-logic/src/main/java/applespindle/corelogic/KeyLeadership.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/KeyLeadership.java
@@ -1,9 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.membership;
 
 import java.util.List;
 
 /** What heartbeats say and need to know of the keys that this node leads. */
-interface KeyLeadership {
+public interface KeyLeadership {
   /** The keys whose leader here is in contact with a majority; others may claim the rest. */
   List<String> inContact();
 
--- a/core-logic/src/main/java/applespindle/corelogic/CoreFounding.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
@@ -1,8 +1,15 @@
-package applespindle.corelogic;
+package applespindle.corelogic.membership;
 
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Roster;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -21,7 +28,7 @@
  * it. So two rosters with a member in common can't both be formed. Only voters of the fleet's first
  * start accept: a disk that was emptied later never founds anything.
  */
-final class CoreFounding {
+public final class QuorumBootstrap {
   /** The key of the record of an accepted proposal; the roster in use has its own. */
   private static final String ACCEPTED = "founding";
 
@@ -30,36 +37,36 @@
 
   private static final String PART = "core";
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final Bounds bounds;
-  private final Map<String, CorePeer> peers;
-  private final Predicate<CorePeer> alive;
-  private final CoreMember self;
-  private final Consumer<Roster> whenFormed;
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final NodeSettings bounds;
+  private final Map<String, QuorumPeer> peers;
+  private final Predicate<QuorumPeer> alive;
+  private final QuorumMember self;
+  private final Consumer<QuorumMembership> whenFormed;
 
   /** What this process proposes or passes on; only a member of it accepts it. */
-  private Roster proposal;
+  private QuorumMembership proposal;
 
   /** On its way to this disk, or synced there; never replaced by another. */
-  private Roster accepting;
+  private QuorumMembership accepting;
 
   /** Synced on this disk. */
-  private Roster accepted;
+  private QuorumMembership accepted;
 
   private boolean firstStart;
   private Set<String> heard = Set.of();
   private long heardChangedAt;
   private long startedAt;
 
-  CoreFounding(
-      Surroundings surroundings,
-      Node.Place place,
-      Bounds bounds,
-      CoreMember self,
-      Map<String, CorePeer> peers,
-      Predicate<CorePeer> alive,
-      Consumer<Roster> whenFormed) {
+  public QuorumBootstrap(
+      Environment surroundings,
+      NodeIdentity place,
+      NodeSettings bounds,
+      QuorumMember self,
+      Map<String, QuorumPeer> peers,
+      Predicate<QuorumPeer> alive,
+      Consumer<QuorumMembership> whenFormed) {
     this.surroundings = surroundings;
     this.place = place;
     this.bounds = bounds;
@@ -72,30 +79,30 @@
   }
 
   /** Whether the record is one of founding; the roster in use has its own. */
-  static boolean owns(DiskRecord record) {
+  public static boolean owns(LogRecord record) {
     return record.kind() == Kind.ROSTER
         && (record.key().equals(ACCEPTED) || record.key().equals(FIRST_START));
   }
 
-  void recover(DiskRecord record) {
+  public void recover(LogRecord record) {
     firstStart = true;
     if (record.key().equals(ACCEPTED)) {
-      accepted = Json.read(record.payload(), Roster.class);
+      accepted = Json.read(record.payload(), QuorumMembership.class);
       accepting = accepted;
       proposal = accepted;
     }
   }
 
   /** Notes on the disk that it was there at the first start. */
-  void start() {
+  public void start() {
     if (firstStart && bounds.voter()) {
       surroundings.write(List.of(firstStartRecord()), () -> {});
     }
   }
 
   /** What a checkpoint keeps while no roster is known. */
-  List<DiskRecord> records() {
-    List<DiskRecord> records = new ArrayList<>();
+  public List<LogRecord> records() {
+    List<LogRecord> records = new ArrayList<>();
     if (firstStart) {
       records.add(firstStartRecord());
     }
@@ -105,12 +112,12 @@
     return records;
   }
 
-  private static DiskRecord firstStartRecord() {
-    return new DiskRecord(Kind.ROSTER, FIRST_START, Epoch.NONE, 0, true, new byte[0]);
+  private static LogRecord firstStartRecord() {
+    return new LogRecord(Kind.ROSTER, FIRST_START, Epoch.NONE, 0, true, new byte[0]);
   }
 
-  private static DiskRecord acceptedRecord(Roster roster) {
-    return new DiskRecord(
+  private static LogRecord acceptedRecord(QuorumMembership roster) {
+    return new LogRecord(
         Kind.ROSTER, ACCEPTED, Epoch.NONE, roster.number(), true, Json.bytes(roster));
   }
 
@@ -120,13 +127,13 @@
   }
 
   /** Only this process ever proposes; it needs no disk for that. */
-  boolean coordinates() {
+  public boolean coordinates() {
     return mayFound()
         && !place.seeds().isEmpty()
         && place.seeds().get(0).equals(place.peerAddress());
   }
 
-  Roster proposal() {
+  QuorumMembership proposal() {
     return proposal;
   }
 
@@ -134,12 +141,12 @@
     return accepted != null;
   }
 
-  void tick() {
+  public void tick() {
     if (proposal == null && coordinates()) {
       propose();
     }
     if (proposal == null) {
-      for (CorePeer peer : peers.values()) {
+      for (QuorumPeer peer : peers.values()) {
         if (alive.test(peer) && peer.proposal != null && names(peer.proposal)) {
           proposal = peer.proposal;
           break;
@@ -151,7 +158,7 @@
     }
     proposal.members().stream()
         .filter(member -> !member.id().equals(place.id()))
-        .forEach(member -> peers.computeIfAbsent(member.peerAddress(), unseen -> new CorePeer()));
+        .forEach(member -> peers.computeIfAbsent(member.peerAddress(), unseen -> new QuorumPeer()));
     accept();
     if (proposal.members().stream().allMatch(this::hasAccepted)) {
       surroundings.log(PART, "Roster 1 formed of " + proposal.members().size() + ".");
@@ -159,7 +166,7 @@
     }
   }
 
-  private boolean names(Roster roster) {
+  private boolean names(QuorumMembership roster) {
     return roster.members().contains(self);
   }
 
@@ -171,11 +178,11 @@
     surroundings.write(List.of(acceptedRecord(accepting)), () -> accepted = accepting);
   }
 
-  private boolean hasAccepted(CoreMember member) {
+  private boolean hasAccepted(QuorumMember member) {
     if (member.id().equals(place.id())) {
       return proposal.equals(accepted);
     }
-    CorePeer peer = peers.get(member.peerAddress());
+    QuorumPeer peer = peers.get(member.peerAddress());
     return peer != null
         && alive.test(peer)
         && member.equals(peer.member)
@@ -184,13 +191,13 @@
   }
 
   private void propose() {
-    for (CorePeer peer : peers.values()) {
+    for (QuorumPeer peer : peers.values()) {
       if (alive.test(peer) && peer.proposal != null) {
         proposal = peer.proposal;
         return;
       }
     }
-    List<CoreMember> blanks = new ArrayList<>();
+    List<QuorumMember> blanks = new ArrayList<>();
     if (bounds.voter()) {
       blanks.add(self);
     }
@@ -198,24 +205,24 @@
         .filter(peer -> alive.test(peer) && peer.blank && peer.voter && peer.hearsUs)
         .forEach(peer -> blanks.add(peer.member));
     Set<String> ids =
-        blanks.stream().map(CoreMember::id).collect(Collectors.toCollection(TreeSet::new));
+        blanks.stream().map(QuorumMember::id).collect(Collectors.toCollection(TreeSet::new));
     long now = surroundings.now();
     if (!ids.equals(heard)) {
       heard = ids;
       heardChangedAt = now;
     }
     boolean enough = blanks.size() >= bounds.replicas();
-    boolean fewForLong = now - startedAt >= Constants.FOUNDING_FEW_MS;
+    boolean fewForLong = now - startedAt >= MembershipConstants.BOOTSTRAP_REDUCED_QUORUM_DELAY_MS;
     if (blanks.isEmpty()
-        || now - heardChangedAt < Constants.FOUNDING_SETTLE_MS
+        || now - heardChangedAt < MembershipConstants.BOOTSTRAP_SETTLE_MS
         || !enough && !fewForLong) {
       return;
     }
     int most = Math.min(blanks.size(), bounds.replicas());
-    proposal = new Roster(1, spread(blanks, most % 2 == 0 ? most - 1 : most), List.of());
+    proposal = new QuorumMembership(1, spread(blanks, most % 2 == 0 ? most - 1 : most), List.of());
     surroundings.log(
         PART,
-        "Roster 1 proposed: " + proposal.members().stream().map(CoreMember::name).toList() + ".");
+        "Roster 1 proposed: " + proposal.members().stream().map(QuorumMember::name).toList() + ".");
   }
 
   /**
@@ -223,22 +230,22 @@
    * votes: what it proposed is then on its own disk before it can be formed, and it proposes
    * nothing else after a start.
    */
-  private List<CoreMember> spread(List<CoreMember> blanks, int count) {
-    Map<String, List<CoreMember>> byZone =
+  private List<QuorumMember> spread(List<QuorumMember> blanks, int count) {
+    Map<String, List<QuorumMember>> byZone =
         new TreeMap<>(
             Comparator.comparing((String zone) -> !zone.equals(self.zone()))
                 .thenComparing(Comparator.naturalOrder()));
     blanks.stream()
         .sorted(
-            Comparator.comparing((CoreMember member) -> !member.equals(self))
-                .thenComparing(CoreMember::name)
-                .thenComparing(CoreMember::id))
+            Comparator.comparing((QuorumMember member) -> !member.equals(self))
+                .thenComparing(QuorumMember::name)
+                .thenComparing(QuorumMember::id))
         .forEach(
             member ->
                 byZone.computeIfAbsent(member.zone(), unseen -> new ArrayList<>()).add(member));
-    List<CoreMember> chosen = new ArrayList<>();
+    List<QuorumMember> chosen = new ArrayList<>();
     while (chosen.size() < count) {
-      for (List<CoreMember> ofZone : byZone.values()) {
+      for (List<QuorumMember> ofZone : byZone.values()) {
         if (!ofZone.isEmpty() && chosen.size() < count) {
           chosen.add(ofZone.remove(0));
         }
--- a/core-logic/src/main/java/applespindle/corelogic/CoreDiscovery.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
@@ -1,8 +1,13 @@
-package applespindle.corelogic;
+package applespindle.corelogic.membership;
 
-import applespindle.corelogic.Message.CoreIs;
-import applespindle.corelogic.Message.WhereIsCore;
-import applespindle.corelogic.Records.Roster;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -14,25 +19,25 @@
  * the core asks every seed and every member it knows, as seeds may be stale, down, or as new as
  * this process.
  */
-final class CoreDiscovery {
-  private final Node.Place place;
-  private final Bounds bounds;
-  private final CoreMembership membership;
+public final class QuorumDiscovery {
+  private final NodeIdentity place;
+  private final NodeSettings bounds;
+  private final QuorumView membership;
 
   /** Milliseconds since the last updates from a majority of the core. */
   private final LongSupplier viewAgeMs;
 
   private final Supplier<List<String>> seeds;
-  private final KeyReplicas.Replies sender;
+  private final MessageSender sender;
   private long searches;
 
-  CoreDiscovery(
-      Node.Place place,
-      Bounds bounds,
-      CoreMembership membership,
+  public QuorumDiscovery(
+      NodeIdentity place,
+      NodeSettings bounds,
+      QuorumView membership,
       LongSupplier viewAgeMs,
       Supplier<List<String>> seeds,
-      KeyReplicas.Replies sender) {
+      MessageSender sender) {
     this.place = place;
     this.bounds = bounds;
     this.membership = membership;
@@ -41,9 +46,9 @@
     this.sender = sender;
   }
 
-  void search() {
+  public void search() {
     searches++;
-    boolean oneInSome = searches % Constants.CORE_TELL_ONE_IN == 0;
+    boolean oneInSome = searches % MembershipConstants.SEED_NOTIFICATION_ONE_IN == 0;
     boolean isMember = membership.isMember();
     if (isMember && oneInSome) {
       tellSeeds();
@@ -58,22 +63,25 @@
       return true;
     }
     return membership.isMember()
-        ? viewAgeMs.getAsLong() > Constants.CORE_SILENT_MS
+        ? viewAgeMs.getAsLong() > MembershipConstants.QUORUM_PEER_TIMEOUT_MS
         : bounds.voter() && membership.liveMembers().isEmpty();
   }
 
   /** A seed that is no member may know nothing of the core while others know only this seed. */
   private void tellSeeds() {
-    Roster roster = membership.current();
+    QuorumMembership roster = membership.current();
     seeds.get().stream()
         .filter(seed -> !membership.includes(seed) && !seed.equals(place.peerAddress()))
-        .forEach(seed -> sender.reply(seed, "", new CoreIs(roster.number(), Json.bytes(roster))));
+        .forEach(
+            seed ->
+                sender.send(
+                    seed, "", new QuorumDiscoveryResponse(roster.number(), Json.bytes(roster))));
   }
 
   private void askAround() {
     Set<String> known = new LinkedHashSet<>(seeds.get());
     membership.current().members().forEach(member -> known.add(member.peerAddress()));
     known.remove(place.peerAddress());
-    known.forEach(address -> sender.reply(address, "", new WhereIsCore()));
+    known.forEach(address -> sender.send(address, "", new QuorumDiscoveryRequest()));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/CorePeer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
@@ -1,26 +1,26 @@
-package applespindle.corelogic;
+package applespindle.corelogic.membership;
 
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Roster;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
 
 /** Another process of the core as its pings and its change feed last showed it. */
-final class CorePeer {
+public final class QuorumPeer {
   /** When its last ping came, on this node's clock. */
   long heardAt = Long.MIN_VALUE / 2;
 
   /** Null until its first ping, as only its address is known by then. */
-  CoreMember member;
+  public QuorumMember member;
 
   /** Knows of no membership at all. */
   boolean blank;
 
   /** Knows the membership, is not in it, and could be. */
-  boolean candidate;
+  public boolean candidate;
 
   boolean voter;
 
   /** The membership it proposes or passes on while none is formed; null if there is none. */
-  Roster proposal;
+  QuorumMembership proposal;
 
   /** Whether it has accepted that proposal. */
   boolean accepted;
@@ -31,11 +31,11 @@
   boolean hearsUs;
 
   /** The feed that was followed last, and the position reached in it. */
-  String feedId = "";
+  public String feedId = "";
 
-  long feedIncarnation;
-  long feedNumber;
+  public long feedIncarnation;
+  public long feedNumber;
 
   /** When the poll was sent, on this node's clock, that its newest updates responded to. */
-  long newsAt = Long.MIN_VALUE / 2;
+  public long newsAt = Long.MIN_VALUE / 2;
 }
--- a/core-logic/src/main/java/applespindle/corelogic/CoreMembership.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
@@ -1,7 +1,13 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Roster;
+package applespindle.corelogic.membership;
+
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.MembershipConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.replication.ReplicaConfiguration;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -14,90 +20,91 @@
  * with. Invariant: a member counts as live only while each side hears the other; where messages
  * pass one way only, neither counts on the other.
  */
-final class CoreMembership {
+public final class QuorumView {
   /** The name under which all core keys change their replicas together. */
-  static final String SET_NAME = "core";
+  public static final String SET_NAME = "core";
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final Supplier<Roster> current;
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final Supplier<QuorumMembership> current;
 
   /** By peer address, as a founder's id is not known before its first ping. */
-  private final Map<String, CorePeer> peers = new TreeMap<>();
+  private final Map<String, QuorumPeer> peers = new TreeMap<>();
 
   private long startedAt;
 
-  CoreMembership(Surroundings surroundings, Node.Place place, Supplier<Roster> current) {
+  public QuorumView(
+      Environment surroundings, NodeIdentity place, Supplier<QuorumMembership> current) {
     this.surroundings = surroundings;
     this.place = place;
     this.current = current;
   }
 
-  void started() {
+  public void started() {
     startedAt = surroundings.now();
   }
 
-  Roster current() {
+  public QuorumMembership current() {
     return current.get();
   }
 
-  Map<String, CorePeer> peers() {
+  public Map<String, QuorumPeer> peers() {
     return peers;
   }
 
-  CorePeer peer(String peerAddress) {
-    return peers.computeIfAbsent(peerAddress, unseen -> new CorePeer());
+  public QuorumPeer peer(String peerAddress) {
+    return peers.computeIfAbsent(peerAddress, unseen -> new QuorumPeer());
   }
 
   /** This process as it would stand in a membership. */
-  CoreMember self() {
-    return new CoreMember(
+  public QuorumMember self() {
+    return new QuorumMember(
         place.id(), place.peerAddress(), place.httpAddress(), place.zone(), place.name());
   }
 
   // ---- the membership itself
 
-  boolean isMember() {
+  public boolean isMember() {
     return names(current().members(), place.id());
   }
 
   /** A member, or the newcomer of a change under way, which takes entries but leads nothing yet. */
-  boolean isReplica() {
+  public boolean isReplica() {
     return isMember() || names(current().next(), place.id());
   }
 
-  private static boolean names(List<CoreMember> members, String id) {
+  private static boolean names(List<QuorumMember> members, String id) {
     return members.stream().anyMatch(member -> member.id().equals(id));
   }
 
   /** Whether a member or newcomer is at this address. */
-  boolean includes(String peerAddress) {
+  public boolean includes(String peerAddress) {
     return membersAndNewcomers().stream()
         .anyMatch(member -> member.peerAddress().equals(peerAddress));
   }
 
-  Set<CoreMember> membersAndNewcomers() {
-    Set<CoreMember> all = new LinkedHashSet<>(current().members());
+  public Set<QuorumMember> membersAndNewcomers() {
+    Set<QuorumMember> all = new LinkedHashSet<>(current().members());
     all.addAll(current().next());
     return all;
   }
 
-  ReplicaSets replicaSets() {
-    return new ReplicaSets(
+  public ReplicaConfiguration replicaSets() {
+    return new ReplicaConfiguration(
         current().number(), replicas(current().members()), replicas(current().next()));
   }
 
-  static List<OwnedKey.Replica> replicas(List<CoreMember> members) {
+  static List<NodeAddress> replicas(List<QuorumMember> members) {
     return members.stream()
-        .map(member -> new OwnedKey.Replica(member.id(), member.peerAddress()))
+        .map(member -> new NodeAddress(member.id(), member.peerAddress()))
         .toList();
   }
 
   /** The peer address of a member; empty if there is none of this id. */
-  String addressOf(String id) {
+  public String addressOf(String id) {
     return current().members().stream()
         .filter(member -> member.id().equals(id))
-        .map(CoreMember::peerAddress)
+        .map(QuorumMember::peerAddress)
         .findFirst()
         .orElse("");
   }
@@ -105,31 +112,32 @@
   // ---- contact with its members
 
   /** Makes every member and newcomer a peer. */
-  void meetMembers() {
+  public void meetMembers() {
     membersAndNewcomers().forEach(member -> peer(member.peerAddress()));
     peers.remove(place.peerAddress());
   }
 
   /** Drops silent peers that the membership does not name any more. */
-  void forgetStrangers() {
+  public void forgetStrangers() {
     peers.entrySet().removeIf(each -> !includes(each.getKey()) && !alive(each.getValue()));
   }
 
   /** Whether the peer was heard lately; it may be deaf to this process. */
-  boolean alive(CorePeer peer) {
-    return peer.member != null && surroundings.now() - peer.heardAt < Constants.CORE_SILENT_MS;
+  public boolean alive(QuorumPeer peer) {
+    return peer.member != null
+        && surroundings.now() - peer.heardAt < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
   /** Whether each side hears the other. */
-  boolean inContact(CorePeer peer) {
+  boolean inContact(QuorumPeer peer) {
     return alive(peer) && peer.hearsUs;
   }
 
   /** Ids of the members in contact, this node included if it is one. */
-  List<String> liveMembers() {
+  public List<String> liveMembers() {
     Set<String> live = new LinkedHashSet<>();
-    for (CoreMember member : current().members()) {
-      CorePeer peer = peers.get(member.peerAddress());
+    for (QuorumMember member : current().members()) {
+      QuorumPeer peer = peers.get(member.peerAddress());
       if (member.id().equals(place.id())
           || peer != null && inContact(peer) && peer.member.id().equals(member.id())) {
         live.add(member.id());
@@ -139,11 +147,11 @@
   }
 
   /** Whether this node comes first for a key among the live members. */
-  boolean isFirstFor(String key) {
-    return place.id().equals(Rendezvous.first(key, liveMembers()));
+  public boolean isFirstFor(String key) {
+    return place.id().equals(RendezvousHashing.first(key, liveMembers()));
   }
 
-  boolean hearsMajority() {
+  public boolean hearsMajority() {
     return liveMembers().size() * 2 > current().members().size();
   }
 
@@ -151,9 +159,9 @@
    * A member that hears no majority can neither lead nor read: it says so at once. A process that
    * started just now waits for the first pings instead.
    */
-  boolean cutOff() {
+  public boolean cutOff() {
     return isMember()
         && !hearsMajority()
-        && surroundings.now() - startedAt >= Constants.CORE_SILENT_MS;
+        && surroundings.now() - startedAt >= MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/ListedFounders.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/StaticBootstrap.java
@@ -1,7 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.membership;
 
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Roster;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -11,49 +13,46 @@
  * the first founder forms it, and only while each other founder, hearing this very process, says
  * that it knows of no membership; so none of them is in one already.
  */
-final class ListedFounders {
+public final class StaticBootstrap {
   private static final String PART = "core";
 
-  private final Surroundings surroundings;
-  private final Node.Place place;
-  private final CoreMembership membership;
+  private final Environment surroundings;
+  private final NodeIdentity place;
+  private final QuorumView membership;
 
   /** Peer addresses; empty where the founders are found by the seeds. */
   private final List<String> addresses;
 
-  ListedFounders(
-      Surroundings surroundings,
-      Node.Place place,
-      CoreMembership membership,
-      List<String> addresses) {
+  public StaticBootstrap(
+      Environment surroundings, NodeIdentity place, QuorumView membership, List<String> addresses) {
     this.surroundings = surroundings;
     this.place = place;
     this.membership = membership;
     this.addresses = addresses;
   }
 
-  List<String> addresses() {
+  public List<String> addresses() {
     return addresses;
   }
 
-  boolean isEmpty() {
+  public boolean isEmpty() {
     return addresses.isEmpty();
   }
 
   /** The membership to start with, once this process may form it. */
-  Optional<Roster> form() {
+  public Optional<QuorumMembership> form() {
     if (isEmpty() || !addresses.get(0).equals(place.peerAddress())) {
       return Optional.empty();
     }
-    List<CoreMember> members = new ArrayList<>(List.of(membership.self()));
+    List<QuorumMember> members = new ArrayList<>(List.of(membership.self()));
     for (String address : addresses.subList(1, addresses.size())) {
-      CorePeer peer = membership.peers().get(address);
+      QuorumPeer peer = membership.peers().get(address);
       if (!membership.inContact(peer) || !peer.blank) {
         return Optional.empty();
       }
       members.add(peer.member);
     }
     surroundings.log(PART, "Roster 1 formed.");
-    return Optional.of(new Roster(1, members, List.of()));
+    return Optional.of(new QuorumMembership(1, members, List.of()));
   }
 }
