--- a/core-logic/src/main/java/applespindle/corelogic/AcceptedRevisions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/AcceptedRevisions.java
@@ -1,5 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.metadata;
 
+import applespindle.corelogic.constants.ConfigurationConstants;
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -16,37 +17,37 @@
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record AcceptedRevisions(long completeFrom, byte[] packed) {
   /** Whether a configuration was accepted at some time. */
-  enum Standing {
+  public enum RevisionStatus {
     ACCEPTED,
     NEVER_ACCEPTED,
     FORGOTTEN
   }
 
-  static final AcceptedRevisions NONE = new AcceptedRevisions(0, new byte[0]);
+  public static final AcceptedRevisions NONE = new AcceptedRevisions(0, new byte[0]);
 
   private static final int ENTRY_BYTES = 2 * Long.BYTES;
 
   /** For a value whose writer kept no memory that can be read here: nothing before it is known. */
-  static AcceptedRevisions startingWith(long number, byte[] content) {
+  public static AcceptedRevisions startingWith(long number, byte[] content) {
     return new AcceptedRevisions(number, new byte[0]).with(number, content);
   }
 
-  Standing standing(long number, byte[] content) {
+  public RevisionStatus standing(long number, byte[] content) {
     ByteBuffer entries = ByteBuffer.wrap(packed);
     long digest = digest(content);
     while (entries.hasRemaining()) {
       boolean sameNumber = entries.getLong() == number;
       boolean sameContent = entries.getLong() == digest;
       if (sameNumber && sameContent) {
-        return Standing.ACCEPTED;
+        return RevisionStatus.ACCEPTED;
       }
     }
-    return number < completeFrom ? Standing.FORGOTTEN : Standing.NEVER_ACCEPTED;
+    return number < completeFrom ? RevisionStatus.FORGOTTEN : RevisionStatus.NEVER_ACCEPTED;
   }
 
   /** Numbers rise from one accepted configuration to the next. */
-  AcceptedRevisions with(long number, byte[] content) {
-    boolean full = packed.length >= Constants.REVISIONS_REMEMBERED * ENTRY_BYTES;
+  public AcceptedRevisions with(long number, byte[] content) {
+    boolean full = packed.length >= ConfigurationConstants.MAX_REMEMBERED_REVISIONS * ENTRY_BYTES;
     int dropped = full ? ENTRY_BYTES : 0;
     ByteBuffer entries = ByteBuffer.allocate(packed.length - dropped + ENTRY_BYTES);
     entries.put(packed, dropped, packed.length - dropped);
--- a/core-logic/src/main/java/applespindle/corelogic/MetadataKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/MetadataKeys.java
@@ -1,4 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.metadata;
+
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.ShardConstants;
 
 /**
  * The names of the replicated keys. The control plane holds {@link #MEMBERSHIP} and all keys of
@@ -35,7 +38,7 @@
 
   /** The key of the shard that replicates a key of a batch or of a once-id. */
   public static String shardOf(String key) {
-    return SHARD_PREFIX + Math.floorMod(Rendezvous.hash(key), Constants.SHARDS);
+    return SHARD_PREFIX + Math.floorMod(RendezvousHashing.hash(key), ShardConstants.SHARD_COUNT);
   }
 
   /** Whether an update of this key must be in force before it is acknowledged. */
--- a/core-logic/src/main/java/applespindle/corelogic/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -1,13 +1,25 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.AskProgress;
-import applespindle.corelogic.Message.AskResponse;
-import applespindle.corelogic.Message.CoreIs;
-import applespindle.corelogic.Message.WhereIsCore;
-import applespindle.corelogic.Records.Roster;
+package applespindle.corelogic.node;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.constants.ProductVersion;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Invariant;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.PeerRequestProgress;
+import applespindle.corelogic.protocol.Message.PeerResponse;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
+import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -24,29 +36,13 @@
  * knows.
  */
 public abstract class Node {
-  /**
-   * Who and where this process is. The id is new whenever its disk is; the incarnation rises at
-   * every start.
-   */
-  public record Place(
-      String id,
-      long incarnation,
-      String name,
-      String zone,
-      String role,
-      String peerAddress,
-      String httpAddress,
-      List<String> seeds) {}
-
-  /** A node to ask; the id is empty while only its address is known. */
-  public record Target(String id, String address) {}
 
   /** Faults that say for certain that nothing was done, so that another try is safe. */
   private static final Set<String> NOTHING_DONE =
       Set.of("NotOwner", "NoMajority", "NotReady", "NodeStopping", "Overloaded", "NodeIsolated");
 
   private final class Asking {
-    final IntFunction<Target> targets;
+    final IntFunction<NodeAddress> targets;
     final String duty;
     final String key;
     final byte[] body;
@@ -61,15 +57,15 @@
     boolean over;
 
     /** Ends the latest try unless its node is heard of. */
-    private Surroundings.Schedule silence;
+    private Environment.ScheduledTask silence;
 
     /** Once a try went unanswered, no later refusal may be passed on as "nothing was done". */
     boolean unknown;
 
-    Response lastResponse = Response.of(new Fault.NotReady("nobody to ask yet"));
+    Response lastResponse = Response.of(new ApiError.NotReady("nobody to ask yet"));
 
     Asking(
-        IntFunction<Target> targets,
+        IntFunction<NodeAddress> targets,
         String duty,
         String key,
         byte[] body,
@@ -94,9 +90,9 @@
         finish(lastResponse);
         return;
       }
-      Target target = targets.apply(tries++);
+      NodeAddress target = targets.apply(tries++);
       if (target == null) {
-        surroundings.after(Math.min(left, Constants.ASK_PAUSE_MS), this::tryOnce);
+        surroundings.after(Math.min(left, PeerRequestConstants.RETRY_DELAY_MS), this::tryOnce);
         return;
       }
       long correlation = ++lastCorrelation;
@@ -105,8 +101,14 @@
       send(
           target.address(),
           target.id(),
-          new Ask(
-              correlation, duty, key, place.id(), place.peerAddress(), Constants.ASK_HOPS, body));
+          new PeerRequest(
+              correlation,
+              duty,
+              key,
+              place.id(),
+              place.peerAddress(),
+              PeerRequestConstants.MAX_FORWARDS,
+              body));
       awaitAnswer(correlation);
     }
 
@@ -141,7 +143,7 @@
       if (NOTHING_DONE.contains(response.faultType())) {
         if (isLatest(correlation)) {
           lastResponse = response;
-          surroundings.after(Constants.ASK_PAUSE_MS, this::tryOnce);
+          surroundings.after(PeerRequestConstants.RETRY_DELAY_MS, this::tryOnce);
         }
       } else {
         finish(response);
@@ -156,18 +158,18 @@
       correlations.forEach(open::remove);
       boolean refusal =
           response.status() == 429 || response.status() == 503 || response.status() == 413;
-      then.accept(unknown && refusal ? Response.of(new Fault.OutcomeUnknown(key)) : response);
+      then.accept(unknown && refusal ? Response.of(new ApiError.OutcomeUnknown(key)) : response);
     }
   }
 
-  protected final Surroundings surroundings;
-  protected final Place place;
-  protected final Journal journal;
+  protected final Environment surroundings;
+  protected final NodeIdentity place;
+  protected final TraceLog journal;
 
   /** Newest roster known; its number never falls. */
-  protected Roster roster = new Roster(0, List.of(), List.of());
+  protected QuorumMembership roster = new QuorumMembership(0, List.of(), List.of());
 
-  protected boolean stopping;
+  public boolean stopping;
 
   /** Where to look for the core; at first the place's. */
   protected List<String> seeds;
@@ -176,11 +178,11 @@
   private long lastCorrelation;
   private final Map<String, Long> counters = new LinkedHashMap<>();
 
-  protected Node(Surroundings surroundings, Place place) {
+  protected Node(Environment surroundings, NodeIdentity place) {
     this.surroundings = surroundings;
     this.place = place;
     this.seeds = place.seeds();
-    this.journal = new Journal(surroundings);
+    this.journal = new TraceLog(surroundings);
   }
 
   public abstract void start();
@@ -189,17 +191,17 @@
    * What the process was told at its start has changed; of the bounds, only what may change while
    * it runs.
    */
-  public void startupChanged(List<String> newSeeds, Bounds newBounds) {
+  public void startupChanged(List<String> newSeeds, NodeSettings newBounds) {
     seeds = List.copyOf(newSeeds);
     boundsChanged(newBounds);
   }
 
-  protected void boundsChanged(Bounds newer) {}
+  protected void boundsChanged(NodeSettings newer) {}
 
   /** Replays one record of the log; called before start, in order. */
-  public void recover(DiskRecord record) {}
+  public void recover(LogRecord record) {}
 
-  public List<DiskRecord> checkpoint() {
+  public List<LogRecord> checkpoint() {
     return List.of();
   }
 
@@ -211,15 +213,15 @@
 
   protected abstract void handle(Message message, String fromId, String fromAddress);
 
-  protected abstract void handleAsk(Ask ask);
+  protected abstract void handleAsk(PeerRequest ask);
 
   public abstract ObjectNode status();
 
-  public Place place() {
+  public NodeIdentity place() {
     return place;
   }
 
-  public Journal journal() {
+  public TraceLog journal() {
     return journal;
   }
 
@@ -243,7 +245,7 @@
       return;
     }
     Message message = envelope.message();
-    if (message instanceof AskResponse response) {
+    if (message instanceof PeerResponse response) {
       Asking asking = open.remove(response.correlation());
       if (asking != null) {
         asking.responded(
@@ -251,51 +253,51 @@
             Response.encoded(
                 response.status(), response.body(), response.comeBackSeconds() * 1_000L));
       }
-    } else if (message instanceof AskProgress progress) {
+    } else if (message instanceof PeerRequestProgress progress) {
       Asking asking = open.get(progress.correlation());
       if (asking != null) {
         asking.progressed(progress.correlation());
       }
-    } else if (message instanceof Ask ask) {
+    } else if (message instanceof PeerRequest ask) {
       handleAsk(ask);
-    } else if (message instanceof WhereIsCore) {
+    } else if (message instanceof QuorumDiscoveryRequest) {
       if (roster.number() > 0) {
         send(
             envelope.fromAddress(),
             envelope.fromId(),
-            new CoreIs(roster.number(), Json.bytes(roster)));
+            new QuorumDiscoveryResponse(roster.number(), Json.bytes(roster)));
       }
-    } else if (message instanceof CoreIs told) {
-      learnRoster(Json.read(told.body(), Roster.class));
+    } else if (message instanceof QuorumDiscoveryResponse told) {
+      learnRoster(Json.read(told.body(), QuorumMembership.class));
     } else {
       handle(message, envelope.fromId(), envelope.fromAddress());
     }
   }
 
-  protected void learnRoster(Roster told) {
+  protected void learnRoster(QuorumMembership told) {
     if (told.number() > roster.number()) {
       roster = told;
       journal.add("roster", "roster", "number " + told.number());
     }
   }
 
-  protected void send(String toAddress, String toId, Message message) {
+  public void send(String toAddress, String toId, Message message) {
     surroundings.send(toAddress, new Envelope(place.id(), place.peerAddress(), toId, message));
   }
 
-  protected void ask(
-      IntFunction<Target> targets,
+  public void ask(
+      IntFunction<NodeAddress> targets,
       String duty,
       String key,
       Object body,
       long expiryMs,
       Consumer<Response> then) {
-    ask(targets, duty, key, body, Constants.ASK_TRY_MS, expiryMs, then);
+    ask(targets, duty, key, body, PeerRequestConstants.ATTEMPT_TIMEOUT_MS, expiryMs, then);
   }
 
   /** tryMs: how long one node may take to respond before the next is tried. */
-  protected void ask(
-      IntFunction<Target> targets,
+  public void ask(
+      IntFunction<NodeAddress> targets,
       String duty,
       String key,
       Object body,
@@ -306,11 +308,11 @@
     new Asking(targets, duty, key, bytes, tryMs, surroundings.now() + expiryMs, then).tryOnce();
   }
 
-  protected void respond(Ask ask, Response response) {
+  public void respond(PeerRequest ask, Response response) {
     send(
         ask.originAddress(),
         ask.originId(),
-        new AskResponse(
+        new PeerResponse(
             ask.correlation(),
             response.status(),
             response.comeBackSeconds(),
@@ -318,15 +320,15 @@
   }
 
   /** Hands an ask on to whom it belongs; the other responds to the origin directly. */
-  protected void handOver(Ask ask, String toId, String toAddress) {
+  protected void handOver(PeerRequest ask, String toId, String toAddress) {
     if (ask.hops() <= 0 || toAddress.isEmpty() || toId.equals(place.id())) {
-      respond(ask, Response.of(new Fault.NotOwner(ask.key())));
+      respond(ask, Response.of(new ApiError.NotLeader(ask.key())));
       return;
     }
     send(
         toAddress,
         toId,
-        new Ask(
+        new PeerRequest(
             ask.correlation(),
             ask.duty(),
             ask.key(),
@@ -349,7 +351,7 @@
 
   private boolean ended;
 
-  protected boolean stopped() {
+  public boolean stopped() {
     return ended;
   }
 
@@ -360,7 +362,7 @@
   protected ObjectNode commonStatus() {
     ObjectNode status = JSON.createObjectNode();
     status
-        .put("version", Constants.VERSION)
+        .put("version", ProductVersion.VERSION)
         .put("name", place.name())
         .put("id", place.id())
         .put("incarnation", place.incarnation())
--- a/core-logic/src/main/java/applespindle/corelogic/Journal.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
@@ -1,25 +1,27 @@
-package applespindle.corelogic;
+package applespindle.corelogic.node;
 
+import applespindle.corelogic.constants.LifecycleConstants;
+import applespindle.corelogic.environment.Environment;
 import java.util.ArrayDeque;
 import java.util.List;
 
 /** What happened in this process, in order, bounded. The tracer and the status page read it. */
-public final class Journal {
+public final class TraceLog {
   /** One thing that happened; atMs is the node's own clock. */
   public record Event(long number, long atMs, String kind, String key, String detail) {}
 
   /** Invariant: numbers rise by one; at most JOURNAL_KEPT events are held. */
   private final ArrayDeque<Event> events = new ArrayDeque<>();
 
-  private final Surroundings surroundings;
+  private final Environment surroundings;
   private long lastNumber;
 
-  Journal(Surroundings surroundings) {
+  TraceLog(Environment surroundings) {
     this.surroundings = surroundings;
   }
 
-  void add(String kind, String key, String detail) {
-    if (events.size() == Constants.JOURNAL_KEPT) {
+  public void add(String kind, String key, String detail) {
+    if (events.size() == LifecycleConstants.MAX_TRACE_EVENTS) {
       events.removeFirst();
     }
     events.add(new Event(++lastNumber, surroundings.now(), kind, key, detail));
--- a/core-logic/src/main/java/applespindle/corelogic/Envelope.java
+++ b/core-logic/src/main/java/applespindle/corelogic/protocol/Envelope.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.protocol;
 
 /**
  * A message with who sent it and whom it is for. An empty toId means whoever lives at the address.
--- a/core-logic/src/main/java/applespindle/corelogic/Message.java
+++ b/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
@@ -1,5 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.protocol;
 
+import applespindle.corelogic.log.DeflatedEvents;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.MetadataKeys;
 import java.util.List;
 
 /** What the processes say to each other. The adapters carry each as one SBE message. */
@@ -27,7 +31,7 @@
   }
 
   /** One node asks another to carry out a duty for a key; hops bounds how often it is forwarded. */
-  record Ask(
+  record PeerRequest(
       long correlation,
       String duty,
       String key,
@@ -37,7 +41,7 @@
       byte[] body)
       implements Message {
     /** Of the ask that hands in a batch. */
-    static final String SUBMIT = "submit";
+    public static final String SUBMIT = "submit";
 
     @Override
     public boolean worthDeflating() {
@@ -48,19 +52,19 @@
   /**
    * The answer to the ask with this correlation; comeBackSeconds is 0 unless a retry should wait.
    */
-  record AskResponse(long correlation, int status, int comeBackSeconds, byte[] body)
+  record PeerResponse(long correlation, int status, int comeBackSeconds, byte[] body)
       implements Message {}
 
   /** The node that was asked lives and still works on the ask with this correlation. */
-  record AskProgress(long correlation) implements Message {}
+  record PeerRequestProgress(long correlation) implements Message {}
 
   /**
    * Asks a replica for its promise of an epoch. tailBytesMost: of a log longer than this only the
-   * last entries come with the promise, and the claimant asks for the rest by KeyLogAsk; 0 or less,
-   * as from older versions: all of it. A trial only asks whether the replica would give the
+   * last entries come with the promise, and the claimant asks for the rest by LogFetchRequest; 0 or
+   * less, as from older versions: all of it. A trial only asks whether the replica would give the
    * promise, and changes nothing there.
    */
-  record KeyPromise(
+  record VoteRequest(
       String key, Epoch epoch, long setNumber, boolean handedOver, int tailBytesMost, boolean trial)
       implements Message {}
 
@@ -68,7 +72,7 @@
    * logStart: the sequence at which the replica's log begins. The entries are the whole log if they
    * begin there too, else its tail; 0 or less, as from older versions: they are the whole log.
    */
-  record KeyPromised(
+  record VoteResponse(
       String key,
       Epoch asked,
       Verdict verdict,
@@ -77,9 +81,9 @@
       String ownerAddress,
       long committed,
       long logStart,
-      List<Entry> entries)
+      List<LogEntry> entries)
       implements Message {
-    boolean wholeLog() {
+    public boolean wholeLog() {
       return entries.isEmpty() || entries.get(0).sequence() <= logStart || logStart <= 0;
     }
 
@@ -93,11 +97,11 @@
    * A claimant asks a replica that promised it this epoch for entries of its log. nextEpoch: of the
    * entry behind the last one asked for; a log that holds another one there is another log.
    */
-  record KeyLogAsk(String key, Epoch epoch, long from, long to, Epoch nextEpoch)
+  record LogFetchRequest(String key, Epoch epoch, long from, long to, Epoch nextEpoch)
       implements Message {}
 
   /** The first of the entries asked for, as many as fit; refused under a higher promise. */
-  record KeyLogPart(String key, Epoch epoch, Verdict verdict, List<Entry> entries)
+  record LogFetchResponse(String key, Epoch epoch, Verdict verdict, List<LogEntry> entries)
       implements Message {
     @Override
     public boolean worthDeflating() {
@@ -109,7 +113,7 @@
    * The leader of a key sends log entries, or a heartbeat without any, to a replica. hearsMajority:
    * the leader was answered by a majority of the replicas of late.
    */
-  record KeyAppend(
+  record AppendRequest(
       String key,
       Epoch epoch,
       long setNumber,
@@ -118,7 +122,7 @@
       Epoch previousEpoch,
       long committed,
       boolean hearsMajority,
-      List<Entry> entries)
+      List<LogEntry> entries)
       implements Message {
     @Override
     public boolean worthDeflating() {
@@ -126,29 +130,34 @@
     }
   }
 
-  /** A replica's answer to {@link KeyAppend}: up to which sequence its log matches the leader's. */
-  record KeyAppended(
+  /**
+   * A replica's answer to {@link AppendRequest}: up to which sequence its log matches the leader's.
+   */
+  record AppendResponse(
       String key, Epoch epoch, long round, Verdict verdict, Epoch promised, long matched)
       implements Message {}
 
   /** The present owner asks its successor to take the key over at once. */
-  record KeyHandOver(String key, Epoch epoch, long lastSequence) implements Message {}
+  record LeadershipTransfer(String key, Epoch epoch, long lastSequence) implements Message {}
 
   /** A core member's regular sign of life, with the metadata it shares, as JSON. */
-  record CorePing(byte[] body) implements Message {}
+  record QuorumHeartbeat(byte[] body) implements Message {}
 
   /** Asks any node for the core members it knows. */
-  record WhereIsCore() implements Message {}
+  record QuorumDiscoveryRequest() implements Message {}
 
-  /** The answer to {@link WhereIsCore}: the members, as JSON, and the number of that membership. */
-  record CoreIs(long rosterNumber, byte[] body) implements Message {}
+  /**
+   * The answer to {@link QuorumDiscoveryRequest}: the members, as JSON, and the number of that
+   * membership.
+   */
+  record QuorumDiscoveryResponse(long rosterNumber, byte[] body) implements Message {}
 
   /**
    * sentAt is the follower's own clock; it comes back with the news, so that old news is never
    * taken for fresh. sharedDigest is that of the follower's table, bundleSequence that of its
    * bundle; both 0 where it has none.
    */
-  record FeedFollow(
+  record ChangeFeedPoll(
       String coreId,
       long incarnation,
       long number,
@@ -159,16 +168,16 @@
     /**
      * Whether the follower is known to hold this value or a newer one: told of the largest only.
      */
-    boolean holds(FeedItem item) {
+    public boolean holds(MetadataRecord item) {
       return item.key().equals(MetadataKeys.CONFIGURATION) && item.sequence() <= bundleSequence;
     }
   }
 
   /** One changed key of the feed, with its new value. */
-  record FeedItem(String key, long sequence, byte[] value) {}
+  record MetadataRecord(String key, long sequence, byte[] value) {}
 
   /** echoedAt is the sentAt of the poll this responds to; 0 when the news was pushed. */
-  record FeedNews(
+  record ChangeFeedUpdate(
       String coreId,
       long incarnation,
       long fromNumber,
@@ -177,42 +186,42 @@
       boolean relayed,
       long ageMs,
       long echoedAt,
-      List<FeedItem> items)
+      List<MetadataRecord> items)
       implements Message {}
 
   /** How far a key is known. */
-  record KeyPlace(String key, long sequence) {}
+  record KeyPosition(String key, long sequence) {}
 
   /**
    * The edge at this address works by these keys up to these places. A fellow that gets it hands it
    * on to the core, for an edge that the core can not hear.
    */
-  record KeysKnown(String edgeAddress, List<KeyPlace> places) implements Message {}
+  record AppliedPositions(String edgeAddress, List<KeyPosition> places) implements Message {}
 
   /**
    * The core asks an edge how far it knows the keys whose news has to be in force before somebody
    * is told yes.
    */
-  record KeysAsked(long sentAt) implements Message {}
+  record AppliedPositionsRequest(long sentAt) implements Message {}
 
   /**
    * The sender leads the batch; with unassigned above 0 there are ranges to pull. host and path say
    * where the items of an opaque batch go; both are empty for a batch of prompts.
    */
-  record WorkOffer(String batch, long dueInMs, int unassigned, String host, String path)
+  record BatchOffer(String batch, long dueInMs, int unassigned, String host, String path)
       implements Message {}
 
   /**
    * sentAt is the feeder's own clock; it comes back with the handout, which is worth nothing once
    * it is too old.
    */
-  record RangePull(String batch, String worker, long sentAt) implements Message {}
+  record RangeRequest(String batch, String worker, long sentAt) implements Message {}
 
   /** One item of an assigned range, with its body as JSON. */
-  record HandoutItem(int index, byte[] body) {}
+  record AssignedItem(int index, byte[] body) {}
 
-  /** The answer to {@link RangePull}: the assignment of one range, or that none is left. */
-  record RangeHandout(
+  /** The answer to {@link RangeRequest}: the assignment of one range, or that none is left. */
+  record RangeAssignment(
       String batch,
       String worker,
       int range,
@@ -220,11 +229,11 @@
       boolean none,
       long dueInMs,
       long pulledAt,
-      List<HandoutItem> items)
+      List<AssignedItem> items)
       implements Message {}
 
   /** The outcome of one run of an item; faultType is empty if the run finished. */
-  record ReportedItem(
+  record ItemOutcome(
       int index, String run, String worker, String finishReason, String faultType, byte[] output) {}
 
   /**
@@ -239,13 +248,13 @@
       long reportNumber,
       int offset,
       boolean giveBack,
-      List<ReportedItem> results)
+      List<ItemOutcome> results)
       implements Message {}
 
   /**
    * The answer to {@link RangeReport}; keep says whether the range stays assigned to the reporter.
    */
-  record RangeReported(
+  record RangeReportResponse(
       String batch, int range, long rangeEpoch, String worker, long reportNumber, boolean keep)
       implements Message {}
 
@@ -253,7 +262,7 @@
    * What the sending edge has at workers now: its runs, and tokens of their prompts that the worker
    * still has to read.
    */
-  record WorkerLoads(List<OwnLoad> loads) implements Message {
+  record PeerLoadReport(List<OwnLoad> loads) implements Message {
     /** The sender's share of one worker's load. */
     public record OwnLoad(String worker, int running, int unread) {}
   }
@@ -262,5 +271,5 @@
   record BatchEnded(String batch) implements Message {}
 
   /** The unfinished keys that the sender holds a replica of. */
-  record Unfinished(List<String> keys) implements Message {}
+  record LeaderlessBatches(List<String> keys) implements Message {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/LossMargin.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
@@ -1,5 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
+import applespindle.corelogic.metadata.NodeAddress;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Predicate;
@@ -8,7 +9,7 @@
  * How many more losses can be borne at this moment, and for how long it has been fewer than asked
  * for: of the core, and of the shard that is worst off.
  */
-final class LossMargin {
+public final class FaultToleranceMonitor {
   /** One kind of replica set: what it bears, and since when that is too little. */
   private static final class Reading {
     private int bearable;
@@ -34,7 +35,7 @@
   private final Reading core = new Reading();
   private final Reading shards = new Reading();
 
-  LossMargin(int asked) {
+  public FaultToleranceMonitor(int asked) {
     this.asked = asked;
   }
 
@@ -42,24 +43,23 @@
    * How many of the sets' present replicas may go while a majority of each set is left. While a
    * change is under way both sets count, and a newcomer counts as absent: it may not hold all yet.
    */
-  static int bearable(ReplicaSets sets, Predicate<String> present) {
-    List<String> holders =
-        sets.present().stream().map(OwnedKey.Replica::id).filter(present).toList();
+  public static int bearable(ReplicaConfiguration sets, Predicate<String> present) {
+    List<String> holders = sets.present().stream().map(NodeAddress::id).filter(present).toList();
     int ofPresent = bearable(sets.present(), holders);
     return sets.pending() ? Math.min(ofPresent, bearable(sets.next(), holders)) : ofPresent;
   }
 
-  private static int bearable(List<OwnedKey.Replica> set, List<String> holders) {
+  private static int bearable(List<NodeAddress> set, List<String> holders) {
     long left = set.stream().filter(replica -> holders.contains(replica.id())).count();
     return (int) Math.max(0, left - (set.size() / 2 + 1));
   }
 
-  void look(int bearableByCore, int bearableByWorstShard, long now) {
+  public void look(int bearableByCore, int bearableByWorstShard, long now) {
     core.take(bearableByCore, asked, now);
     shards.take(bearableByWorstShard, asked, now);
   }
 
-  void show(ObjectNode status, long now) {
+  public void show(ObjectNode status, long now) {
     status
         .put("lossesAsked", asked)
         .put("coreLossesBearable", core.bearable)
--- a/core-logic/src/main/java/applespindle/corelogic/AppendsInFlight.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/InFlightAppends.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,7 +8,7 @@
  * what these find missing at the replica must not be sent again: on a slow link the copies would
  * delay each other and everything else.
  */
-final class AppendsInFlight {
+final class InFlightAppends {
   private record Sent(long from, long to, long until) {}
 
   private final List<Sent> sent = new ArrayList<>();
--- a/core-logic/src/main/java/applespindle/corelogic/KeyReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -1,20 +1,28 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Message.Verdict.BEHIND;
-import static applespindle.corelogic.Message.Verdict.BUSY;
-import static applespindle.corelogic.Message.Verdict.OK;
-import static applespindle.corelogic.Message.Verdict.OLD_SET;
-import static applespindle.corelogic.Message.Verdict.REFUSED;
-import static applespindle.corelogic.Message.Verdict.WOULD_PROMISE;
-
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.Verdict;
+package applespindle.corelogic.replication;
+
+import static applespindle.corelogic.protocol.Message.Verdict.BEHIND;
+import static applespindle.corelogic.protocol.Message.Verdict.BUSY;
+import static applespindle.corelogic.protocol.Message.Verdict.OK;
+import static applespindle.corelogic.protocol.Message.Verdict.OLD_SET;
+import static applespindle.corelogic.protocol.Message.Verdict.REFUSED;
+import static applespindle.corelogic.protocol.Message.Verdict.WOULD_PROMISE;
+
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntries;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.Verdict;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -27,111 +35,40 @@
  * One node's copies of owned keys: it promises epochs, takes entries in order, and refuses older
  * epochs.
  */
-public final class KeyReplicas {
-  static final class Copy {
-    /** Never falls. Every message with a lower epoch is refused. */
-    Epoch promised = Epoch.NONE;
+public final class LogReplicas {
 
-    /**
-     * Contiguous by sequence. Entries up to committed never change; only a whole entry may begin
-     * the list above 1.
-     */
-    final List<Entry> entries = new ArrayList<>();
+  private final Environment surroundings;
+  private final BiConsumer<String, LogEntry> whenCommitted;
+  private final TreeMap<String, LogReplica> copies = new TreeMap<>();
 
-    /** At most the last entry's sequence; never falls. */
-    long committed;
-
-    /** The listener has heard of every committed entry up to here. */
-    long announced;
-
-    String owner = "";
-    String ownerAddress = "";
-    long heardOwnerAt = Long.MIN_VALUE / 2;
-
-    /** Who claims the key or has just claimed it, and when it was heard last. */
-    String claimant = "";
-
-    String claimantAddress = "";
-    long heardClaimantAt = Long.MIN_VALUE / 2;
-    long unsynced;
-
-    long lastSequence() {
-      return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
-    }
-
-    Entry at(long sequence) {
-      if (entries.isEmpty() || sequence < entries.get(0).sequence() || sequence > lastSequence()) {
-        return null;
-      }
-      return entries.get((int) (sequence - entries.get(0).sequence()));
-    }
-
-    /**
-     * Whether this log has the entry, or is committed beyond it. What is committed here is never
-     * replaced: an append that was overtaken on its way may begin with entries that a whole one
-     * stands for by now, and taking them would drop what follows.
-     */
-    private boolean holdsAlready(Entry entry) {
-      if (entry.sequence() <= committed) {
-        return true;
-      }
-      Entry present = at(entry.sequence());
-      return present != null && present.epoch().equals(entry.epoch());
-    }
-
-    /** Adds an entry; it replaces what stands at its place and after, or all if it is apart. */
-    private void place(Entry entry) {
-      if (at(entry.sequence()) != null) {
-        int index = (int) (entry.sequence() - entries.get(0).sequence());
-        entries.subList(index, entries.size()).clear();
-      } else if (entry.sequence() != lastSequence() + 1) {
-        entries.clear();
-      }
-      entries.add(entry);
-    }
-
-    private void trim() {
-      EntryLists.trim(entries, committed);
-    }
-  }
-
-  private final Surroundings surroundings;
-  private final BiConsumer<String, Entry> whenCommitted;
-  private final TreeMap<String, Copy> copies = new TreeMap<>();
-
-  private final ReplicaSetNumbers setNumbers;
+  private final ReplicaConfigurationVersions setNumbers;
   private final UnaryOperator<String> setNameOf;
-  private final Replies replies;
+  private final MessageSender replies;
   private String lastTouched = "";
 
-  private final UndecidedEntries undecided = new UndecidedEntries();
-  private final ReplicaPages pages;
-
-  /** Sends a message to a node; the id may be empty while only the address is known. */
-  interface Replies {
-    void reply(String toAddress, String toId, Message message);
-  }
+  private final UncommittedEntries undecided = new UncommittedEntries();
+  private final SnapshotPages pages;
 
   /** setNameOf tells which set a key belongs to: keys of one set change their replicas together. */
-  KeyReplicas(
-      Surroundings surroundings,
-      Replies replies,
-      BiConsumer<String, Entry> whenCommitted,
+  public LogReplicas(
+      Environment surroundings,
+      MessageSender replies,
+      BiConsumer<String, LogEntry> whenCommitted,
       UnaryOperator<String> setNameOf) {
     this.setNameOf = setNameOf;
     this.surroundings = surroundings;
     this.replies = replies;
     this.whenCommitted = whenCommitted;
-    this.setNumbers = new ReplicaSetNumbers(surroundings);
-    this.pages = new ReplicaPages(copies, setNameOf);
+    this.setNumbers = new ReplicaConfigurationVersions(surroundings);
+    this.pages = new SnapshotPages(copies, setNameOf);
   }
 
-  Map<String, Copy> copies() {
+  public Map<String, LogReplica> copies() {
     return copies;
   }
 
   /** What a checker of invariants may see of one key. */
-  public record View(Epoch promised, List<Entry> committedEntries) {}
+  public record View(Epoch promised, List<LogEntry> committedEntries) {}
 
   /** The key of the last message taken, for a checker; empty before the first. */
   public String lastTouched() {
@@ -139,34 +76,34 @@
   }
 
   public View view(String key) {
-    Copy copy = copies.get(key);
+    LogReplica copy = copies.get(key);
     return new View(
         copy.promised,
         copy.entries.stream().filter(entry -> entry.sequence() <= copy.committed).toList());
   }
 
   /** Whether the entry stands here, or a whole entry after it does. */
-  public boolean holds(String key, long sequence, Predicate<Entry> same) {
-    Copy copy = copies.get(key);
+  public boolean holds(String key, long sequence, Predicate<LogEntry> same) {
+    LogReplica copy = copies.get(key);
     if (copy == null || copy.entries.isEmpty()) {
       return false;
     }
-    Entry entry = copy.at(sequence);
+    LogEntry entry = copy.at(sequence);
     return entry != null ? same.test(entry) : copy.entries.get(0).sequence() > sequence;
   }
 
-  Copy copy(String key) {
+  public LogReplica copy(String key) {
     lastTouched = key;
-    return copies.computeIfAbsent(key, missing -> new Copy());
+    return copies.computeIfAbsent(key, missing -> new LogReplica());
   }
 
   /** Replays one record of this node's log at start. */
-  void recover(DiskRecord record) {
+  public void recover(LogRecord record) {
     if (record.kind() == Kind.SET) {
       setNumbers.recover(record);
       return;
     }
-    Copy copy = copy(record.key());
+    LogReplica copy = copy(record.key());
     switch (record.kind()) {
       case PROMISE -> {
         if (copy.promised.below(record.epoch())) {
@@ -175,7 +112,7 @@
       }
       case ENTRY ->
           copy.place(
-              new Entry(record.sequence(), record.epoch(), record.whole(), record.payload()));
+              new LogEntry(record.sequence(), record.epoch(), record.whole(), record.payload()));
       case COMMITTED -> {
         copy.committed = Math.max(copy.committed, Math.min(record.sequence(), copy.lastSequence()));
         copy.trim();
@@ -184,33 +121,33 @@
     }
   }
 
-  void recovered() {
+  public void recovered() {
     copies.forEach(this::announce);
     undecided.recovered(copies);
   }
 
   /** Another replica knows a committed event at this place: what stands up to there is decided. */
-  void committedElsewhere(String key, long sequence) {
+  public void committedElsewhere(String key, long sequence) {
     undecided.committedElsewhere(key, sequence);
   }
 
   /** Whether the key may hold an event whose commit is not known; its leader decides that. */
-  boolean undecided(String key) {
+  public boolean undecided(String key) {
     return undecided.contains(key, copies);
   }
 
-  boolean anyUndecided(Predicate<String> keys) {
+  public boolean anyUndecided(Predicate<String> keys) {
     return undecided.containsAny(keys, copies);
   }
 
   /** Everything a new log needs in order to stand without the older segments. */
-  List<DiskRecord> checkpoint() {
-    List<DiskRecord> records = new ArrayList<>(setNumbers.records());
+  public List<LogRecord> checkpoint() {
+    List<LogRecord> records = new ArrayList<>(setNumbers.records());
     copies.forEach(
         (key, copy) -> {
-          records.add(ReplicaRecords.promise(key, copy.promised));
-          copy.entries.forEach(entry -> records.add(ReplicaRecords.entry(key, entry)));
-          records.add(ReplicaRecords.committed(key, copy.committed));
+          records.add(LogRecords.promise(key, copy.promised));
+          copy.entries.forEach(entry -> records.add(LogRecords.entry(key, entry)));
+          records.add(LogRecords.committed(key, copy.committed));
         });
     return records;
   }
@@ -219,11 +156,11 @@
    * Records that the set has this number, and with that refuses lower ones; the callback runs once
    * it is synced.
    */
-  void learnSet(String name, long number, Runnable whenSynced) {
+  public void learnSet(String name, long number, Runnable whenSynced) {
     setNumbers.learn(name, number, whenSynced);
   }
 
-  long setNumber(String name) {
+  public long setNumber(String name) {
     return setNumbers.get(name);
   }
 
@@ -235,43 +172,43 @@
     return setNumbers.isOld(setNameOf.apply(key), setNumber);
   }
 
-  void promise(KeyPromise message, String fromId, String fromAddress) {
+  public void promise(VoteRequest message, String fromId, String fromAddress) {
     if (!surroundings.takesWrites()) {
       return;
     }
     if (message.trial()) {
-      replies.reply(fromAddress, fromId, triedPromise(message));
+      replies.send(fromAddress, fromId, triedPromise(message));
       return;
     }
-    Copy copy = copy(message.key());
+    LogReplica copy = copy(message.key());
     if (oldSet(message.key(), message.setNumber())) {
-      replies.reply(fromAddress, fromId, promised(message, copy, OLD_SET));
+      replies.send(fromAddress, fromId, promised(message, copy, OLD_SET));
       return;
     }
     if (message.epoch().compareTo(copy.promised) <= 0) {
       afterSync(
           copy,
           List.of(),
-          () -> replies.reply(fromAddress, fromId, promised(message, copy, REFUSED)));
+          () -> replies.send(fromAddress, fromId, promised(message, copy, REFUSED)));
       return;
     }
     if (keptForOwner(copy, message)) {
-      replies.reply(fromAddress, fromId, promised(message, copy, BUSY));
+      replies.send(fromAddress, fromId, promised(message, copy, BUSY));
       return;
     }
     copy.promised = message.epoch();
     heardClaimant(copy, message.epoch(), fromAddress);
     afterSync(
         copy,
-        List.of(ReplicaRecords.promise(message.key(), copy.promised)),
+        List.of(LogRecords.promise(message.key(), copy.promised)),
         () -> {
           boolean overtaken = message.epoch().below(copy.promised);
-          replies.reply(fromAddress, fromId, promised(message, copy, overtaken ? REFUSED : OK));
+          replies.send(fromAddress, fromId, promised(message, copy, overtaken ? REFUSED : OK));
         });
   }
 
   /** Another owner was heard within the takeover interval, and has not handed the key over. */
-  private boolean keptForOwner(Copy copy, KeyPromise message) {
+  private boolean keptForOwner(LogReplica copy, VoteRequest message) {
     return !ownerSilent(copy)
         && !message.handedOver()
         && !copy.owner.equals(message.epoch().node());
@@ -281,9 +218,9 @@
    * What a promise would meet here now; nothing is changed or written. The promised epoch is told,
    * so that the claimant's next is above it.
    */
-  private KeyPromised triedPromise(KeyPromise message) {
-    Copy known = copies.get(message.key());
-    Copy copy = known == null ? new Copy() : known;
+  private VoteResponse triedPromise(VoteRequest message) {
+    LogReplica known = copies.get(message.key());
+    LogReplica copy = known == null ? new LogReplica() : known;
     boolean old = message.setNumber() < setNumber(setNameOf.apply(message.key()));
     if (old) {
       return promised(message, copy, OLD_SET);
@@ -291,8 +228,8 @@
     return promised(message, copy, keptForOwner(copy, message) ? BUSY : WOULD_PROMISE);
   }
 
-  private KeyPromised promised(KeyPromise message, Copy copy, Verdict verdict) {
-    return new KeyPromised(
+  private VoteResponse promised(VoteRequest message, LogReplica copy, Verdict verdict) {
+    return new VoteResponse(
         message.key(),
         message.epoch(),
         verdict,
@@ -301,10 +238,10 @@
         copy.ownerAddress,
         copy.committed,
         copy.entries.isEmpty() ? 0 : copy.entries.get(0).sequence(),
-        verdict == OK ? EntryLists.tail(copy.entries, message.tailBytesMost()) : List.of());
+        verdict == OK ? LogEntries.tail(copy.entries, message.tailBytesMost()) : List.of());
   }
 
-  private void heardClaimant(Copy copy, Epoch epoch, String address) {
+  private void heardClaimant(LogReplica copy, Epoch epoch, String address) {
     copy.claimant = epoch.node();
     copy.claimantAddress = address;
     copy.heardClaimantAt = surroundings.now();
@@ -315,56 +252,51 @@
    * that holds another entry behind the part, as after a copy was taken in, is refused, so that no
    * log is put together of two.
    */
-  void tellLog(KeyLogAsk message, String fromId, String fromAddress) {
-    Copy copy = copies.get(message.key());
+  public void tellLog(LogFetchRequest message, String fromId, String fromAddress) {
+    LogReplica copy = copies.get(message.key());
     if (copy == null || copy.promised.below(message.epoch())) {
       return;
     }
-    Entry next = copy.at(message.to() + 1);
+    LogEntry next = copy.at(message.to() + 1);
     boolean sameLog = next != null && next.epoch().equals(message.nextEpoch());
     boolean overtaken = message.epoch().below(copy.promised) || !sameLog;
     if (!overtaken) {
       heardClaimant(copy, message.epoch(), fromAddress);
     }
-    replies.reply(
+    replies.send(
         fromAddress,
         fromId,
-        new KeyLogPart(
+        new LogFetchResponse(
             message.key(),
             message.epoch(),
             overtaken ? REFUSED : OK,
-            overtaken ? List.of() : EntryLists.part(copy.entries, message.from(), message.to())));
-  }
-
-  /** Whom a replica knows to own or to claim a key just now. */
-  record Holder(String id, String address) {
-    static final Holder NONE = new Holder("", "");
+            overtaken ? List.of() : LogEntries.part(copy.entries, message.from(), message.to())));
   }
 
   /** A claimant counts for as long as it would wait for promises, an owner until its takeover. */
-  Holder holder(Copy copy) {
+  public NodeAddress holder(LogReplica copy) {
     long now = surroundings.now();
-    boolean claimed = now - copy.heardClaimantAt < Constants.LOG_PART_TRY_MS;
+    boolean claimed = now - copy.heardClaimantAt < ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
     if (claimed && copy.heardClaimantAt > copy.heardOwnerAt) {
-      return new Holder(copy.claimant, copy.claimantAddress);
+      return new NodeAddress(copy.claimant, copy.claimantAddress);
     }
-    return ownerSilent(copy) ? Holder.NONE : new Holder(copy.owner, copy.ownerAddress);
+    return ownerSilent(copy) ? NodeAddress.NONE : new NodeAddress(copy.owner, copy.ownerAddress);
   }
 
-  void append(KeyAppend message, String fromId, String fromAddress) {
+  public void append(AppendRequest message, String fromId, String fromAddress) {
     if (!surroundings.takesWrites()) {
       return;
     }
-    Copy copy = copy(message.key());
+    LogReplica copy = copy(message.key());
     if (oldSet(message.key(), message.setNumber())) {
-      replies.reply(fromAddress, fromId, appended(message, OLD_SET, copy.promised, 0));
+      replies.send(fromAddress, fromId, appended(message, OLD_SET, copy.promised, 0));
       return;
     }
     if (message.epoch().below(copy.promised)) {
-      replies.reply(fromAddress, fromId, appended(message, REFUSED, copy.promised, 0));
+      replies.send(fromAddress, fromId, appended(message, REFUSED, copy.promised, 0));
       return;
     }
-    List<DiskRecord> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     raisePromise(message.key(), copy, message.epoch(), records);
     heardOwner(copy, message, fromAddress);
     if (!follows(copy, message)) {
@@ -373,7 +305,7 @@
       afterSync(
           copy,
           records,
-          () -> replies.reply(fromAddress, fromId, appended(message, BEHIND, copy.promised, hint)));
+          () -> replies.send(fromAddress, fromId, appended(message, BEHIND, copy.promised, hint)));
       return;
     }
     placeNew(message.key(), copy, message.entries(), records);
@@ -384,20 +316,21 @@
         () -> {
           boolean overtaken = message.epoch().below(copy.promised);
           Verdict verdict = overtaken ? REFUSED : OK;
-          replies.reply(fromAddress, fromId, appended(message, verdict, copy.promised, matched));
+          replies.send(fromAddress, fromId, appended(message, verdict, copy.promised, matched));
         });
     commit(message.key(), copy, Math.min(message.committed(), matched));
   }
 
   /** Promises this epoch if it is higher than the one promised, and adds the record of that. */
-  private static void raisePromise(String key, Copy copy, Epoch epoch, List<DiskRecord> records) {
+  private static void raisePromise(
+      String key, LogReplica copy, Epoch epoch, List<LogRecord> records) {
     if (copy.promised.below(epoch)) {
       copy.promised = epoch;
-      records.add(ReplicaRecords.promise(key, epoch));
+      records.add(LogRecords.promise(key, epoch));
     }
   }
 
-  private void heardOwner(Copy copy, KeyAppend message, String fromAddress) {
+  private void heardOwner(LogReplica copy, AppendRequest message, String fromAddress) {
     copy.owner = message.epoch().node();
     copy.ownerAddress = fromAddress;
     // An owner that waits for this very disk is not cut off.
@@ -407,27 +340,27 @@
   }
 
   /** Whether the entries of the message follow on what is held here. */
-  private static boolean follows(Copy copy, KeyAppend message) {
+  private static boolean follows(LogReplica copy, AppendRequest message) {
     if (message.previousSequence() == 0) {
       return !message.entries().isEmpty() || copy.entries.isEmpty();
     }
-    Entry predecessor = copy.at(message.previousSequence());
+    LogEntry predecessor = copy.at(message.previousSequence());
     return predecessor != null && predecessor.epoch().equals(message.previousEpoch());
   }
 
   /** Places the entries that are not held yet, and adds their records. */
   private static void placeNew(
-      String key, Copy copy, List<Entry> entries, List<DiskRecord> records) {
-    for (Entry entry : entries) {
+      String key, LogReplica copy, List<LogEntry> entries, List<LogRecord> records) {
+    for (LogEntry entry : entries) {
       if (!copy.holdsAlready(entry)) {
         copy.place(entry);
-        records.add(ReplicaRecords.entry(key, entry));
+        records.add(LogRecords.entry(key, entry));
       }
     }
   }
 
-  private static long lastSequence(KeyAppend message) {
-    List<Entry> entries = message.entries();
+  private static long lastSequence(AppendRequest message) {
+    List<LogEntry> entries = message.entries();
     return entries.isEmpty()
         ? message.previousSequence()
         : entries.get(entries.size() - 1).sequence();
@@ -438,18 +371,19 @@
    * between the two must not leave a mark that covers a tail which those entries replace. No reply
    * speaks of the mark, so none waits for it.
    */
-  private void commit(String key, Copy copy, long committed) {
+  private void commit(String key, LogReplica copy, long committed) {
     if (committed <= copy.committed) {
       return;
     }
     copy.committed = committed;
-    surroundings.write(List.of(ReplicaRecords.committed(key, committed)), () -> {});
+    surroundings.write(List.of(LogRecords.committed(key, committed)), () -> {});
     announce(key, copy);
     copy.trim();
   }
 
-  private KeyAppended appended(KeyAppend message, Verdict verdict, Epoch promised, long matched) {
-    return new KeyAppended(
+  private AppendResponse appended(
+      AppendRequest message, Verdict verdict, Epoch promised, long matched) {
+    return new AppendResponse(
         message.key(), message.epoch(), message.round(), verdict, promised, matched);
   }
 
@@ -457,7 +391,7 @@
    * No reply leaves before what it speaks of is synced, be it written by this message or an earlier
    * one.
    */
-  private void afterSync(Copy copy, List<DiskRecord> records, Runnable reply) {
+  private void afterSync(LogReplica copy, List<LogRecord> records, Runnable reply) {
     if (records.isEmpty() && copy.unsynced == 0 && setNumbers.synced()) {
       reply.run();
       return;
@@ -471,17 +405,8 @@
         });
   }
 
-  /**
-   * One key as it is sent to a newcomer. partial: the first entry is one that whoever asked said it
-   * holds, and nothing before it is here.
-   */
-  record Copied(String key, Epoch promised, long committed, boolean partial, List<Entry> entries) {}
-
-  /** The last entry that a copy holds. Logs that hold the same one are the same up to it. */
-  record Held(long sequence, Epoch epoch) {}
-
   /** Of the keys of a set after the given one, how far each is held here. */
-  Map<String, Held> heldOf(String setName, String afterKey) {
+  Map<String, LogEndPosition> heldOf(String setName, String afterKey) {
     return pages.heldOf(setName, afterKey);
   }
 
@@ -489,7 +414,8 @@
    * The next keys of a set after the given one, up to a size; what a newcomer starts from. Of a log
    * that it holds a part of, the last entry of that part and what follows.
    */
-  List<Copied> copiesOf(String setName, String afterKey, Map<String, Held> held, int bytesMost) {
+  List<ReplicaSnapshot> copiesOf(
+      String setName, String afterKey, Map<String, LogEndPosition> held, int bytesMost) {
     return pages.copiesOf(setName, afterKey, held, bytesMost);
   }
 
@@ -499,23 +425,23 @@
    * False, and nothing is taken, if it is a part that does not follow on what is held here any
    * more.
    */
-  boolean absorb(Copied other, Runnable whenSynced) {
-    Copy copy = copy(other.key());
+  boolean absorb(ReplicaSnapshot other, Runnable whenSynced) {
+    LogReplica copy = copy(other.key());
     if (other.partial()) {
-      Entry shared = copy.at(other.entries().get(0).sequence());
+      LogEntry shared = copy.at(other.entries().get(0).sequence());
       if (shared == null || !shared.epoch().equals(other.entries().get(0).epoch())) {
         return false;
       }
     }
-    List<DiskRecord> records = new ArrayList<>();
+    List<LogRecord> records = new ArrayList<>();
     raisePromise(other.key(), copy, other.promised(), records);
-    if (OwnedKey.newer(other.entries(), copy.entries)) {
+    if (ReplicatedLogLeader.newer(other.entries(), copy.entries)) {
       placeNew(other.key(), copy, other.entries(), records);
     }
     long committed = Math.min(other.committed(), copy.lastSequence());
     if (committed > copy.committed) {
       copy.committed = committed;
-      records.add(ReplicaRecords.committed(other.key(), committed));
+      records.add(LogRecords.committed(other.key(), committed));
       announce(other.key(), copy);
       copy.trim();
     }
@@ -523,8 +449,8 @@
     return true;
   }
 
-  private void announce(String key, Copy copy) {
-    for (Entry entry : List.copyOf(copy.entries)) {
+  private void announce(String key, LogReplica copy) {
+    for (LogEntry entry : List.copyOf(copy.entries)) {
       if (entry.sequence() > copy.announced && entry.sequence() <= copy.committed) {
         copy.announced = entry.sequence();
         whenCommitted.accept(key, entry);
@@ -532,16 +458,16 @@
     }
   }
 
-  static void trim(List<Entry> entries, long committed) {
-    EntryLists.trim(entries, committed);
+  static void trim(List<LogEntry> entries, long committed) {
+    LogEntries.trim(entries, committed);
   }
 
   /**
    * The owner's process said that it still owns the key; as good as a beat, unless another owner
    * was heard since.
    */
-  void ownerLives(String key, String ownerId, String ownerAddress) {
-    Copy copy = copies.get(key);
+  public void ownerLives(String key, String ownerId, String ownerAddress) {
+    LogReplica copy = copies.get(key);
     if (copy != null && (copy.owner.isEmpty() || copy.owner.equals(ownerId))) {
       copy.owner = ownerId;
       copy.ownerAddress = ownerAddress;
@@ -549,7 +475,7 @@
     }
   }
 
-  boolean ownerSilent(Copy copy) {
-    return surroundings.now() - copy.heardOwnerAt >= Constants.TAKEOVER_MS;
+  public boolean ownerSilent(LogReplica copy) {
+    return surroundings.now() - copy.heardOwnerAt >= ReplicationConstants.LEADER_TIMEOUT_MS;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/LogTransfer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
@@ -1,9 +1,15 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.Message.Verdict.OK;
+import static applespindle.corelogic.protocol.Message.Verdict.OK;
 
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyLogPart;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -14,31 +20,31 @@
  * kept: a slow link delays the claim and doesn't begin it anew.
  */
 final class LogTransfer {
-  private final Surroundings surroundings;
-  private final KeyReplicas.Replies sender;
+  private final Environment surroundings;
+  private final MessageSender sender;
   private final String key;
   private final Epoch epoch;
-  private final List<OwnedKey.Replica> sources;
-  private final List<Entry> tail;
-  private final Consumer<List<Entry>> whenWhole;
+  private final List<NodeAddress> sources;
+  private final List<LogEntry> tail;
+  private final Consumer<List<LogEntry>> whenWhole;
   private final Runnable whenFailed;
-  private final List<Entry> received = new ArrayList<>();
+  private final List<LogEntry> received = new ArrayList<>();
   private long nextSequence;
   private int tries;
   private long progressAt;
-  private long waitMs = Constants.LOG_PART_TRY_MS;
-  private Surroundings.Schedule retry = () -> {};
+  private long waitMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
+  private Environment.ScheduledTask retry = () -> {};
 
   /** tail: the last entries of the log, as the sources told them with their promises. */
   LogTransfer(
-      Surroundings surroundings,
-      KeyReplicas.Replies sender,
+      Environment surroundings,
+      MessageSender sender,
       String key,
       Epoch epoch,
-      List<OwnedKey.Replica> sources,
+      List<NodeAddress> sources,
       long logStart,
-      List<Entry> tail,
-      Consumer<List<Entry>> whenWhole,
+      List<LogEntry> tail,
+      Consumer<List<LogEntry>> whenWhole,
       Runnable whenFailed) {
     this.surroundings = surroundings;
     this.sender = sender;
@@ -58,16 +64,16 @@
   }
 
   private void askOn() {
-    OwnedKey.Replica source = sources.get(tries % sources.size());
-    sender.reply(
+    NodeAddress source = sources.get(tries % sources.size());
+    sender.send(
         source.address(),
         source.id(),
-        new KeyLogAsk(key, epoch, nextSequence, tailStart() - 1, tail.get(0).epoch()));
+        new LogFetchRequest(key, epoch, nextSequence, tailStart() - 1, tail.get(0).epoch()));
     retry = surroundings.after(waitMs, this::askAnother);
   }
 
   private void askAnother() {
-    if (surroundings.now() - progressAt >= Constants.LOG_TRANSFER_EXPIRY_MS) {
+    if (surroundings.now() - progressAt >= ReplicationConstants.LOG_TRANSFER_TIMEOUT_MS) {
       whenFailed.run();
       return;
     }
@@ -76,7 +82,7 @@
     askOn();
   }
 
-  void take(KeyLogPart part) {
+  void take(LogFetchResponse part) {
     if (part.verdict() != OK) {
       cancel();
       whenFailed.run();
@@ -87,7 +93,7 @@
     }
     retry.cancel();
     progressAt = surroundings.now();
-    waitMs = Constants.LOG_PART_TRY_MS;
+    waitMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
     if (nextSequence < tailStart()) {
       askOn();
       return;
@@ -97,11 +103,11 @@
   }
 
   /** False if there is nothing new in it: an answer to an ask that was repeated. */
-  private boolean accept(List<Entry> entries) {
+  private boolean accept(List<LogEntry> entries) {
     if (entries.isEmpty() || entries.get(entries.size() - 1).sequence() < nextSequence) {
       return false;
     }
-    Entry first = entries.get(0);
+    LogEntry first = entries.get(0);
     if (first.sequence() > nextSequence) {
       if (!first.whole()) {
         return false;
@@ -110,7 +116,7 @@
       received.clear();
       nextSequence = first.sequence();
     }
-    for (Entry entry : entries) {
+    for (LogEntry entry : entries) {
       if (entry.sequence() == nextSequence) {
         received.add(entry);
         nextSequence++;
--- a/core-logic/src/main/java/applespindle/corelogic/ReplicaCopier.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -1,8 +1,17 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.Message.Ask;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.protocol.Message.PeerRequest;
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.LinkedHashMap;
@@ -16,23 +25,23 @@
  * source of which has refused older set numbers before its first page, so nothing can be committed
  * behind the newcomer's back.
  */
-final class ReplicaCopier {
+public final class ReplicaCatchUp {
   /** A page of a set; last is empty on the last one. Claims come with the first. */
-  record Page(List<KeyReplicas.Copied> keys, Map<String, String> claims, String last) {}
+  public record Page(List<ReplicaSnapshot> keys, Map<String, String> claims, String last) {}
 
-  private final Surroundings surroundings;
+  private final Environment surroundings;
   private final Node node;
-  private final KeyReplicas replicas;
+  private final LogReplicas replicas;
 
   /** Once-claims by id, the holder's token; empty for the core. */
   private final Map<String, String> claims;
 
   private final Function<String, String> setNameOfClaim;
 
-  ReplicaCopier(
-      Surroundings surroundings,
+  public ReplicaCatchUp(
+      Environment surroundings,
       Node node,
-      KeyReplicas replicas,
+      LogReplicas replicas,
       Map<String, String> claims,
       Function<String, String> setNameOfClaim) {
     this.surroundings = surroundings;
@@ -42,10 +51,10 @@
     this.setNameOfClaim = setNameOfClaim;
   }
 
-  void copyIn(
+  public void copyIn(
       String name,
       long number,
-      List<OwnedKey.Replica> sources,
+      List<NodeAddress> sources,
       BooleanSupplier stillPending,
       Runnable whenDone) {
     new CopyIn(name, number, sources, stillPending, whenDone).next();
@@ -59,7 +68,7 @@
   private final class CopyIn {
     private final String name;
     private final long number;
-    private final List<OwnedKey.Replica> sources;
+    private final List<NodeAddress> sources;
     private final BooleanSupplier stillPending;
     private final Runnable whenDone;
     private int begun;
@@ -68,7 +77,7 @@
     CopyIn(
         String name,
         long number,
-        List<OwnedKey.Replica> sources,
+        List<NodeAddress> sources,
         BooleanSupplier stillPending,
         Runnable whenDone) {
       this.name = name;
@@ -103,7 +112,7 @@
             }
           });
       surroundings.after(
-          Constants.COPY_NEXT_SOURCE_MS,
+          ReplicationConstants.CATCH_UP_NEXT_SOURCE_DELAY_MS,
           () -> {
             if (begun == source + 1) {
               next();
@@ -115,7 +124,7 @@
   private void copyPage(
       String name,
       long number,
-      OwnedKey.Replica source,
+      NodeAddress source,
       String after,
       BooleanSupplier stillPending,
       Runnable whenDone) {
@@ -123,18 +132,18 @@
       return;
     }
     node.ask(
-        attempt -> new Node.Target(source.id(), source.address()),
+        attempt -> new NodeAddress(source.id(), source.address()),
         "copy",
         name,
         JSON.createObjectNode()
             .put("setNumber", number)
             .put("after", after)
             .set("held", JSON.valueToTree(replicas.heldOf(name, after))),
-        Constants.ASK_EXPIRY_MS,
+        PeerRequestConstants.REQUEST_TIMEOUT_MS,
         response -> {
           if (!response.good()) {
             surroundings.after(
-                Constants.COPIED_REPEAT_MS,
+                ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS,
                 () -> copyPage(name, number, source, after, stillPending, whenDone));
             return;
           }
@@ -147,35 +156,38 @@
                     }
                   });
           boolean fits = true;
-          for (KeyReplicas.Copied copied : page.keys()) {
+          for (ReplicaSnapshot copied : page.keys()) {
             fits &= replicas.absorb(copied, () -> {});
           }
           if (!fits) {
             surroundings.after(
-                Constants.COPY_PAUSE_MS,
+                ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
                 () -> copyPage(name, number, source, after, stillPending, whenDone));
           } else if (page.last().isEmpty()) {
             surroundings.write(List.of(), whenDone);
           } else {
             surroundings.after(
-                Constants.COPY_PAUSE_MS,
+                ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
                 () -> copyPage(name, number, source, page.last(), stillPending, whenDone));
           }
         });
   }
 
-  void copyOut(Ask ask) {
+  public void copyOut(PeerRequest ask) {
     JsonNode body = Json.tree(ask.body());
     String after = body.path("after").asText();
     replicas.learnSet(
         ask.key(),
         body.path("setNumber").asLong(),
         () -> {
-          Map<String, KeyReplicas.Held> held =
+          Map<String, LogEndPosition> held =
               JSON.convertValue(body.path("held"), new TypeReference<>() {});
-          List<KeyReplicas.Copied> keys =
+          List<ReplicaSnapshot> keys =
               replicas.copiesOf(
-                  ask.key(), after, held == null ? Map.of() : held, Constants.COPY_PAGE_BYTES);
+                  ask.key(),
+                  after,
+                  held == null ? Map.of() : held,
+                  ReplicationConstants.MAX_CATCH_UP_PAGE_BYTES);
           Map<String, String> ofSet = new LinkedHashMap<>();
           if (after.isEmpty()) {
             claims.forEach(
@@ -190,7 +202,7 @@
         });
   }
 
-  static DiskRecord onceRecord(String id, String token) {
-    return new DiskRecord(DiskRecord.Kind.ONCE, id, new Epoch(0, token), 0, false, new byte[0]);
+  public static LogRecord onceRecord(String id, String token) {
+    return new LogRecord(LogRecord.Kind.ONCE, id, new Epoch(0, token), 0, false, new byte[0]);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/ReplicaSets.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
@@ -1,7 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import applespindle.corelogic.Records.Shard;
-import applespindle.corelogic.Records.StorageReplica;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.ShardAssignment;
+import applespindle.corelogic.metadata.ShardReplica;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -14,19 +15,20 @@
  * needs a majority of the present set and one of the next; so neither an owner that has not heard
  * of the change nor one that is ahead of it can act on replicas that the other does not meet.
  */
-record ReplicaSets(long number, List<OwnedKey.Replica> present, List<OwnedKey.Replica> next) {
-  static final ReplicaSets NONE = new ReplicaSets(0, List.of(), List.of());
+public record ReplicaConfiguration(long number, List<NodeAddress> present, List<NodeAddress> next) {
+  public static final ReplicaConfiguration NONE = new ReplicaConfiguration(0, List.of(), List.of());
 
   /** The replicas of a shard. */
-  static ReplicaSets of(Shard shard) {
-    return new ReplicaSets(shard.number(), replicas(shard.replicas()), replicas(shard.next()));
+  public static ReplicaConfiguration of(ShardAssignment shard) {
+    return new ReplicaConfiguration(
+        shard.number(), replicas(shard.replicas()), replicas(shard.next()));
   }
 
-  static List<OwnedKey.Replica> replicas(List<StorageReplica> replicas) {
-    return replicas.stream().map(each -> new OwnedKey.Replica(each.id(), each.address())).toList();
+  public static List<NodeAddress> replicas(List<ShardReplica> replicas) {
+    return replicas.stream().map(each -> new NodeAddress(each.id(), each.address())).toList();
   }
 
-  boolean isEmpty() {
+  public boolean isEmpty() {
     return present.isEmpty();
   }
 
@@ -35,18 +37,18 @@
   }
 
   /** Each replica of either set, once. */
-  Collection<OwnedKey.Replica> all() {
-    Map<String, OwnedKey.Replica> byId = new LinkedHashMap<>();
+  public Collection<NodeAddress> all() {
+    Map<String, NodeAddress> byId = new LinkedHashMap<>();
     present.forEach(replica -> byId.put(replica.id(), replica));
     next.forEach(replica -> byId.putIfAbsent(replica.id(), replica));
     return new ArrayList<>(byId.values());
   }
 
-  boolean quorum(Collection<String> ids) {
+  public boolean quorum(Collection<String> ids) {
     return majority(present, ids) && (next.isEmpty() || majority(next, ids));
   }
 
-  private static boolean majority(List<OwnedKey.Replica> set, Collection<String> ids) {
+  private static boolean majority(List<NodeAddress> set, Collection<String> ids) {
     return set.stream().filter(replica -> ids.contains(replica.id())).count() >= set.size() / 2 + 1;
   }
 
@@ -56,7 +58,7 @@
     return next.isEmpty() ? ofPresent : Math.min(ofPresent, reached(next, valueOf));
   }
 
-  private static long reached(List<OwnedKey.Replica> set, ToLongFunction<String> valueOf) {
+  private static long reached(List<NodeAddress> set, ToLongFunction<String> valueOf) {
     long[] values =
         set.stream().mapToLong(replica -> valueOf.applyAsLong(replica.id())).sorted().toArray();
     return values[values.length - (set.size() / 2 + 1)];
--- a/core-logic/src/main/java/applespindle/corelogic/ReplicaSetNumbers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
@@ -1,5 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.log.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -9,8 +11,8 @@
  * The highest number known of each replica set. Invariants: a number never falls; every message
  * with a lower one is refused; no reply leaves before each number known is synced.
  */
-final class ReplicaSetNumbers {
-  private final Surroundings surroundings;
+final class ReplicaConfigurationVersions {
+  private final Environment surroundings;
 
   /** By set name. */
   private final Map<String, Long> numbers = new TreeMap<>();
@@ -18,19 +20,19 @@
   /** How many numbers are recorded in memory and not yet synced. */
   private long unsynced;
 
-  ReplicaSetNumbers(Surroundings surroundings) {
+  ReplicaConfigurationVersions(Environment surroundings) {
     this.surroundings = surroundings;
   }
 
   /** Replays a record of this node's log. */
-  void recover(DiskRecord record) {
+  void recover(LogRecord record) {
     numbers.merge(record.key(), record.sequence(), Math::max);
   }
 
   /** Every number, for a snapshot. */
-  List<DiskRecord> records() {
-    List<DiskRecord> records = new ArrayList<>();
-    numbers.forEach((name, number) -> records.add(ReplicaRecords.setNumber(name, number)));
+  List<LogRecord> records() {
+    List<LogRecord> records = new ArrayList<>();
+    numbers.forEach((name, number) -> records.add(LogRecords.setNumber(name, number)));
     return records;
   }
 
@@ -48,7 +50,7 @@
     numbers.put(name, number);
     unsynced++;
     surroundings.write(
-        List.of(ReplicaRecords.setNumber(name, number)),
+        List.of(LogRecords.setNumber(name, number)),
         () -> {
           unsynced--;
           whenSynced.run();
--- a/core-logic/src/main/java/applespindle/corelogic/OwnedKey.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -1,17 +1,25 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Message.Verdict.BUSY;
-import static applespindle.corelogic.Message.Verdict.OK;
-import static applespindle.corelogic.Message.Verdict.OLD_SET;
-import static applespindle.corelogic.Message.Verdict.REFUSED;
-import static applespindle.corelogic.Message.Verdict.WOULD_PROMISE;
-
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Surroundings.Schedule;
+package applespindle.corelogic.replication;
+
+import static applespindle.corelogic.protocol.Message.Verdict.BUSY;
+import static applespindle.corelogic.protocol.Message.Verdict.OK;
+import static applespindle.corelogic.protocol.Message.Verdict.OLD_SET;
+import static applespindle.corelogic.protocol.Message.Verdict.REFUSED;
+import static applespindle.corelogic.protocol.Message.Verdict.WOULD_PROMISE;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.StageTimer;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,26 +34,17 @@
  * majority of synced disks has the entry. It stops for good when it meets a higher epoch; a new
  * claim needs a new object.
  */
-final class OwnedKey {
-  enum Claim {
-    OWNED,
-    BUSY,
-    NO_MAJORITY
-  }
+public final class ReplicatedLogLeader {
 
-  enum State {
+  enum LeadershipState {
     CLAIMING,
     SETTLING,
     OWNED,
     LOST
   }
 
-  record Replica(String id, String address) {}
-
-  record ClaimOutcome(Claim claim, String ownerId, String ownerAddress) {}
-
-  private static final class Progress {
-    final Replica replica;
+  private static final class FollowerProgress {
+    final NodeAddress replica;
 
     /** The replica has synced our log up to here. Never falls. */
     long matched;
@@ -66,30 +65,30 @@
 
     int beatsSince;
 
-    final AppendsInFlight inFlight = new AppendsInFlight();
+    final InFlightAppends inFlight = new InFlightAppends();
 
-    Progress(Replica replica) {
+    FollowerProgress(NodeAddress replica) {
       this.replica = replica;
     }
   }
 
-  private record Waiting(long mark, long expiresAt, Consumer<Fault> then) {}
+  private record PendingCommit(long mark, long expiresAt, Consumer<ApiError> then) {}
 
   /** A committed entry's effect on the state machine of this leader. */
-  private record Applying(long sequence, Runnable whenCommitted) {}
+  private record PendingApply(long sequence, Runnable whenCommitted) {}
 
   private static final Runnable NO_EFFECT = () -> {};
   private static final String PART = "owned-key";
 
-  private final Surroundings surroundings;
+  private final Environment surroundings;
   private final String nodeId;
-  private final KeyReplicas.Replies sender;
-  final String key;
+  private final MessageSender sender;
+  public final String key;
 
   /** Replaced only by one of a higher number. */
-  private ReplicaSets sets;
+  private ReplicaConfiguration sets;
 
-  private final Map<String, Progress> progress = new LinkedHashMap<>();
+  private final Map<String, FollowerProgress> progress = new LinkedHashMap<>();
   private final boolean handedOver;
 
   /**
@@ -101,17 +100,17 @@
   private long claimExpiresAt;
 
   /** Of the claim; its rounds are marked when they end. */
-  private final StageTrace claimTrace;
+  private final StageTimer claimTrace;
 
   private int claimRounds;
 
   /** Of a claim that has its promises and reads a long log; else null. */
   private LogTransfer transfer;
 
-  private Consumer<ClaimOutcome> whenClaimed;
+  private Consumer<ElectionOutcome> whenClaimed;
   private Runnable whenLost = () -> {};
 
-  private State state = State.CLAIMING;
+  private LeadershipState state = LeadershipState.CLAIMING;
 
   /** Rises with each claim round; never used again once refused. */
   private Epoch epoch;
@@ -121,10 +120,10 @@
   /** Whether the present claim round only asks if a majority would promise. */
   private boolean trial;
 
-  private final Map<String, KeyPromised> promises = new LinkedHashMap<>();
+  private final Map<String, VoteResponse> promises = new LinkedHashMap<>();
 
   /** Our log: contiguous; nothing before the takeover entry changes after the claim. */
-  private final List<Entry> entries = new ArrayList<>();
+  private final List<LogEntry> entries = new ArrayList<>();
 
   private long takeoverSequence;
 
@@ -138,23 +137,23 @@
    * this node leads, every committed entry is applied exactly once and in log order, however long
    * its commit takes; only a caller's wait for it has a time limit.
    */
-  private final ArrayDeque<Applying> waitingToApply = new ArrayDeque<>();
+  private final ArrayDeque<PendingApply> waitingToApply = new ArrayDeque<>();
 
-  private final ArrayDeque<Waiting> waitingForCommit = new ArrayDeque<>();
-  private final ArrayDeque<Waiting> waitingForRound = new ArrayDeque<>();
+  private final ArrayDeque<PendingCommit> waitingForCommit = new ArrayDeque<>();
+  private final ArrayDeque<PendingCommit> waitingForRound = new ArrayDeque<>();
   private boolean flushPlanned;
-  private Schedule beat = () -> {};
-  private Schedule claimRound = () -> {};
+  private ScheduledTask beat = () -> {};
+  private ScheduledTask claimRound = () -> {};
 
-  OwnedKey(
-      Surroundings surroundings,
+  ReplicatedLogLeader(
+      Environment surroundings,
       String nodeId,
-      KeyReplicas.Replies sender,
+      MessageSender sender,
       String key,
-      ReplicaSets sets,
+      ReplicaConfiguration sets,
       boolean handedOver,
       boolean quietWhenIdle,
-      Consumer<ClaimOutcome> whenClaimed) {
+      Consumer<ElectionOutcome> whenClaimed) {
     this.surroundings = surroundings;
     this.nodeId = nodeId;
     this.sender = sender;
@@ -162,44 +161,44 @@
     this.handedOver = handedOver;
     this.quietWhenIdle = quietWhenIdle;
     this.whenClaimed = whenClaimed;
-    this.claimExpiresAt = surroundings.now() + Constants.CLAIM_EXPIRY_MS;
+    this.claimExpiresAt = surroundings.now() + ReplicationConstants.ELECTION_TIMEOUT_MS;
     this.sets = sets;
-    claimTrace = new StageTrace(surroundings);
-    sets.all().forEach(replica -> progress.put(replica.id(), new Progress(replica)));
+    claimTrace = new StageTimer(surroundings);
+    sets.all().forEach(replica -> progress.put(replica.id(), new FollowerProgress(replica)));
     trialRound();
   }
 
-  State state() {
+  LeadershipState state() {
     return state;
   }
 
-  boolean owned() {
-    return state == State.OWNED;
+  public boolean owned() {
+    return state == LeadershipState.OWNED;
   }
 
-  Epoch epoch() {
+  public Epoch epoch() {
     return epoch;
   }
 
-  List<Entry> entries() {
+  public List<LogEntry> entries() {
     return entries;
   }
 
-  long lastSequence() {
+  public long lastSequence() {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
   /** A replica's process showed, other than by an answer to an append, that it hears this one. */
-  void heardBy(String replicaId) {
-    Progress each = progress.get(replicaId);
+  public void heardBy(String replicaId) {
+    FollowerProgress each = progress.get(replicaId);
     if (each != null) {
       each.silentBeats = 0;
     }
   }
 
   /** Whether a majority of the replicas has heard this owner of late. */
-  boolean hearsMajority() {
-    return majorityHeardWithin(Constants.OWNER_UNHEARD_MS);
+  public boolean hearsMajority() {
+    return majorityHeardWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
   }
 
   /**
@@ -207,7 +206,7 @@
    * stepped, is not cut off.
    */
   private boolean majorityHeardWithin(long millis) {
-    long beatsMost = millis / Constants.OWNER_BEAT_MS;
+    long beatsMost = millis / ReplicationConstants.HEARTBEAT_INTERVAL_MS;
     List<String> heard =
         progress.values().stream()
             .filter(each -> each.silentBeats < beatsMost || each.replica.id().equals(nodeId))
@@ -216,7 +215,7 @@
     return sets.quorum(heard);
   }
 
-  void whenLost(Runnable whenLost) {
+  public void whenLost(Runnable whenLost) {
     this.whenLost = whenLost;
   }
 
@@ -224,18 +223,18 @@
    * Goes on under newer sets: newcomers get the log from its start, those that left are no longer
    * counted.
    */
-  void changeSets(ReplicaSets newer) {
-    if (newer.number() <= sets.number() || state == State.LOST) {
+  public void changeSets(ReplicaConfiguration newer) {
+    if (newer.number() <= sets.number() || state == LeadershipState.LOST) {
       return;
     }
     sets = newer;
-    Map<String, Progress> before = new LinkedHashMap<>(progress);
+    Map<String, FollowerProgress> before = new LinkedHashMap<>(progress);
     progress.clear();
-    for (Replica replica : newer.all()) {
-      Progress known = before.get(replica.id());
-      progress.put(replica.id(), known != null ? known : new Progress(replica));
+    for (NodeAddress replica : newer.all()) {
+      FollowerProgress known = before.get(replica.id());
+      progress.put(replica.id(), known != null ? known : new FollowerProgress(replica));
     }
-    if (state == State.CLAIMING) {
+    if (state == LeadershipState.CLAIMING) {
       claimRound.cancel();
       trialRound();
     } else {
@@ -253,11 +252,11 @@
   }
 
   private void claimRound(boolean onlyTrial) {
-    if (state != State.CLAIMING) {
+    if (state != LeadershipState.CLAIMING) {
       return;
     }
     if (surroundings.now() >= claimExpiresAt || sets.isEmpty()) {
-      finishClaim(new ClaimOutcome(Claim.NO_MAJORITY, "", ""));
+      finishClaim(new ElectionOutcome(ElectionResult.NO_MAJORITY, "", ""));
       return;
     }
     claimRounds++;
@@ -266,18 +265,25 @@
     trial = onlyTrial;
     epoch = new Epoch(seenCounter + 1, nodeId);
     seenCounter = epoch.counter();
-    for (Progress each : progress.values()) {
-      sender.reply(
+    for (FollowerProgress each : progress.values()) {
+      sender.send(
           each.replica.address(),
           each.replica.id(),
-          new KeyPromise(key, epoch, sets.number(), handedOver, Constants.CLAIM_TAIL_BYTES, trial));
+          new VoteRequest(
+              key,
+              epoch,
+              sets.number(),
+              handedOver,
+              ReplicationConstants.MAX_VOTE_TAIL_BYTES,
+              trial));
     }
-    claimRound = surroundings.after(Constants.CLAIM_ROUND_MS, this::trialRound);
+    claimRound =
+        surroundings.after(ReplicationConstants.ELECTION_ROUND_TIMEOUT_MS, this::trialRound);
   }
 
-  void promised(KeyPromised message, String fromId) {
+  void promised(VoteResponse message, String fromId) {
     seenCounter = Math.max(seenCounter, message.promised().counter());
-    if (state != State.CLAIMING
+    if (state != LeadershipState.CLAIMING
         || !message.asked().equals(epoch)
         || !progress.containsKey(fromId)
         || message.verdict() == WOULD_PROMISE && !trial) {
@@ -302,12 +308,15 @@
     if (!sets.quorum(stillPossible)) {
       var busy = promises.values().stream().filter(each -> each.verdict() == BUSY).findFirst();
       if (busy.isPresent()) {
-        finishClaim(new ClaimOutcome(Claim.BUSY, busy.get().owner(), busy.get().ownerAddress()));
+        finishClaim(
+            new ElectionOutcome(
+                ElectionResult.BUSY, busy.get().owner(), busy.get().ownerAddress()));
       } else {
         claimRound.cancel();
         claimRound =
             surroundings.after(
-                1 + surroundings.random().nextLong(Constants.CLAIM_BACKOFF_MS), this::trialRound);
+                1 + surroundings.random().nextLong(ReplicationConstants.MAX_ELECTION_BACKOFF_MS),
+                this::trialRound);
       }
     }
   }
@@ -326,8 +335,8 @@
   }
 
   private void readBestLog() {
-    KeyPromised best = null;
-    for (KeyPromised each : promises.values()) {
+    VoteResponse best = null;
+    for (VoteResponse each : promises.values()) {
       if (each.verdict() == OK && (best == null || newer(each.entries(), best.entries()))) {
         best = each;
       }
@@ -346,20 +355,20 @@
             best.logStart(),
             best.entries(),
             log -> {
-              claimExpiresAt = surroundings.now() + Constants.CLAIM_EXPIRY_MS;
+              claimExpiresAt = surroundings.now() + ReplicationConstants.ELECTION_TIMEOUT_MS;
               transfer = null;
               takeOver(log);
             },
-            () -> finishClaim(new ClaimOutcome(Claim.NO_MAJORITY, "", "")));
+            () -> finishClaim(new ElectionOutcome(ElectionResult.NO_MAJORITY, "", "")));
   }
 
   /** Those of the promising replicas whose log ends with the same entry. */
-  private List<Replica> withTheLogOf(KeyPromised best) {
+  private List<NodeAddress> withTheLogOf(VoteResponse best) {
     return progress.values().stream()
         .map(each -> each.replica)
         .filter(
             replica -> {
-              KeyPromised promise = promises.get(replica.id());
+              VoteResponse promise = promises.get(replica.id());
               return promise != null
                   && promise.verdict() == OK
                   && !newer(best.entries(), promise.entries());
@@ -367,7 +376,7 @@
         .toList();
   }
 
-  void logPart(KeyLogPart part) {
+  void logPart(LogFetchResponse part) {
     if (transfer != null && part.epoch().equals(epoch)) {
       transfer.take(part);
     }
@@ -380,53 +389,53 @@
     }
   }
 
-  private void takeOver(List<Entry> log) {
+  private void takeOver(List<LogEntry> log) {
     entries.addAll(log);
     takeoverSequence = lastSequence() + 1;
-    entries.add(new Entry(takeoverSequence, epoch, false, new byte[0]));
-    for (Progress each : progress.values()) {
-      KeyPromised promise = promises.get(each.replica.id());
+    entries.add(new LogEntry(takeoverSequence, epoch, false, new byte[0]));
+    for (FollowerProgress each : progress.values()) {
+      VoteResponse promise = promises.get(each.replica.id());
       boolean known = promise != null && promise.verdict() == OK;
       each.next =
           known ? Math.min(lastOf(promise.entries()), takeoverSequence - 1) + 1 : takeoverSequence;
     }
-    state = State.SETTLING;
+    state = LeadershipState.SETTLING;
     waitingForCommit.add(
-        new Waiting(
+        new PendingCommit(
             takeoverSequence,
             claimExpiresAt,
             fault -> {
               if (fault == null) {
-                state = State.OWNED;
-                finishClaim(new ClaimOutcome(Claim.OWNED, nodeId, ""));
+                state = LeadershipState.OWNED;
+                finishClaim(new ElectionOutcome(ElectionResult.OWNED, nodeId, ""));
               } else {
                 stop();
-                finishClaim(new ClaimOutcome(Claim.NO_MAJORITY, "", ""));
+                finishClaim(new ElectionOutcome(ElectionResult.NO_MAJORITY, "", ""));
               }
             }));
     broadcast();
-    beat = surroundings.after(Constants.OWNER_BEAT_MS, this::beat);
+    beat = surroundings.after(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::beat);
   }
 
   /**
    * Whose log is to be believed: the one whose last entry has the higher epoch, then the higher
    * sequence.
    */
-  static boolean newer(List<Entry> one, List<Entry> other) {
+  static boolean newer(List<LogEntry> one, List<LogEntry> other) {
     if (one.isEmpty() || other.isEmpty()) {
       return !one.isEmpty();
     }
-    Entry lastOne = one.get(one.size() - 1);
-    Entry lastOther = other.get(other.size() - 1);
+    LogEntry lastOne = one.get(one.size() - 1);
+    LogEntry lastOther = other.get(other.size() - 1);
     int byEpoch = lastOne.epoch().compareTo(lastOther.epoch());
     return byEpoch != 0 ? byEpoch > 0 : lastOne.sequence() > lastOther.sequence();
   }
 
-  private static long lastOf(List<Entry> entries) {
+  private static long lastOf(List<LogEntry> entries) {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
-  private void finishClaim(ClaimOutcome outcome) {
+  private void finishClaim(ElectionOutcome outcome) {
     claimTrace.mark("settle");
     surroundings.log(
         PART,
@@ -438,10 +447,10 @@
             + claimRounds
             + claimTrace
             + ".");
-    if (outcome.claim() != Claim.OWNED) {
+    if (outcome.claim() != ElectionResult.OWNED) {
       stop();
     }
-    Consumer<ClaimOutcome> listener = whenClaimed;
+    Consumer<ElectionOutcome> listener = whenClaimed;
     whenClaimed = ignored -> {};
     listener.accept(outcome);
   }
@@ -450,7 +459,7 @@
    * Appends an event whose state is kept by the caller already; see {@link #append(boolean, byte[],
    * Runnable, Consumer)}.
    */
-  long append(boolean whole, byte[] event, Consumer<Fault> then) {
+  public long append(boolean whole, byte[] event, Consumer<ApiError> then) {
     return append(whole, event, NO_EFFECT, then);
   }
 
@@ -460,21 +469,21 @@
    * @param whenCommitted applies the event: runs once a majority has synced the entry, after those
    *     of all earlier entries; without a time limit, but never after the leadership was lost
    * @param then answers the caller: gets null right after that, or a fault when the wait was too
-   *     long or the leadership was lost. {@link Fault.OutcomeUnknown} does not mean that the entry
-   *     is not committed later
+   *     long or the leadership was lost. {@link ApiError.OutcomeUnknown} does not mean that the
+   *     entry is not committed later
    * @return the entry's sequence, or 0 if this node does not lead
    */
-  long append(boolean whole, byte[] event, Runnable whenCommitted, Consumer<Fault> then) {
-    if (state != State.OWNED) {
-      then.accept(new Fault.NotOwner(key));
+  public long append(boolean whole, byte[] event, Runnable whenCommitted, Consumer<ApiError> then) {
+    if (state != LeadershipState.OWNED) {
+      then.accept(new ApiError.NotLeader(key));
       return 0;
     }
     long sequence = lastSequence() + 1;
-    entries.add(new Entry(sequence, epoch, whole, event));
-    waitingToApply.add(new Applying(sequence, whenCommitted));
+    entries.add(new LogEntry(sequence, epoch, whole, event));
+    waitingToApply.add(new PendingApply(sequence, whenCommitted));
     long expiresAt =
-        surroundings.now() + Constants.COMMAND_EXPIRY_MS + toAllReplicasMs(event.length);
-    waitingForCommit.add(new Waiting(sequence, expiresAt, then));
+        surroundings.now() + ReplicationConstants.COMMIT_TIMEOUT_MS + toAllReplicasMs(event.length);
+    waitingForCommit.add(new PendingCommit(sequence, expiresAt, then));
     planFlush();
     return sequence;
   }
@@ -483,7 +492,7 @@
    * Runs the callback with null once all that was appended before is committed and a majority has
    * confirmed, after this call, that our epoch still stands.
    */
-  void confirm(Consumer<Fault> then) {
+  public void confirm(Consumer<ApiError> then) {
     confirm(true, then);
   }
 
@@ -491,20 +500,20 @@
    * The same, but no sooner than the next beat asks the replicas anyway: costs no message of its
    * own.
    */
-  void confirmAtBeat(Consumer<Fault> then) {
+  public void confirmAtBeat(Consumer<ApiError> then) {
     confirm(false, then);
   }
 
-  private void confirm(boolean atOnce, Consumer<Fault> then) {
-    if (state != State.OWNED) {
-      then.accept(new Fault.NotOwner(key));
+  private void confirm(boolean atOnce, Consumer<ApiError> then) {
+    if (state != LeadershipState.OWNED) {
+      then.accept(new ApiError.NotLeader(key));
       return;
     }
     if (lastSequence() > committed) {
       waitingForCommit.add(
-          new Waiting(
+          new PendingCommit(
               lastSequence(),
-              surroundings.now() + Constants.COMMAND_EXPIRY_MS,
+              surroundings.now() + ReplicationConstants.COMMIT_TIMEOUT_MS,
               fault -> {
                 if (fault == null) {
                   confirm(atOnce, then);
@@ -515,7 +524,8 @@
       return;
     }
     waitingForRound.add(
-        new Waiting(round + 1, surroundings.now() + Constants.COMMAND_EXPIRY_MS, then));
+        new PendingCommit(
+            round + 1, surroundings.now() + ReplicationConstants.COMMIT_TIMEOUT_MS, then));
     if (atOnce) {
       planFlush();
     }
@@ -534,17 +544,17 @@
   }
 
   private void broadcast() {
-    if (state != State.OWNED && state != State.SETTLING) {
+    if (state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
       return;
     }
     round++;
     progress.values().forEach(this::sendTo);
   }
 
-  private void sendTo(Progress each) {
+  private void sendTo(FollowerProgress each) {
     long first = entries.get(0).sequence();
     long from = each.next < first || each.next == 1 ? first : each.next;
-    List<Entry> lacking =
+    List<LogEntry> lacking =
         from > lastSequence()
             ? List.of()
             : List.copyOf(entries.subList((int) (from - first), entries.size()));
@@ -555,14 +565,15 @@
     each.toldCommitted = committed;
     each.beatsSince = 0;
     long bytes = lacking.stream().mapToLong(entry -> entry.event().length).sum();
-    if (bytes >= Constants.APPEND_LARGE_BYTES) {
-      long until = surroundings.now() + Constants.APPEND_LARGE_MS + toAllReplicasMs(bytes);
+    if (bytes >= ReplicationConstants.LARGE_APPEND_BYTES) {
+      long until =
+          surroundings.now() + ReplicationConstants.LARGE_APPEND_MIN_MS + toAllReplicasMs(bytes);
       each.inFlight.add(from, lastSequence(), until);
     }
-    sender.reply(
+    sender.send(
         each.replica.address(),
         each.replica.id(),
-        new KeyAppend(
+        new AppendRequest(
             key,
             epoch,
             sets.number(),
@@ -574,9 +585,9 @@
             lacking));
   }
 
-  void appended(KeyAppended message, String fromId) {
-    Progress from = progress.get(fromId);
-    if (from == null || state != State.OWNED && state != State.SETTLING) {
+  public void appended(AppendResponse message, String fromId) {
+    FollowerProgress from = progress.get(fromId);
+    if (from == null || state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
       return;
     }
     if (message.verdict() == REFUSED && epoch.below(message.promised())) {
@@ -600,30 +611,30 @@
     advance();
   }
 
-  private boolean onItsWay(Progress each, long sequence) {
+  private boolean onItsWay(FollowerProgress each, long sequence) {
     return each.inFlight.holds(sequence, surroundings.now());
   }
 
   /** How long it takes at the most, on a slow link that they share, to send so much to each. */
   private long toAllReplicasMs(long bytes) {
-    return bytes * progress.size() / Constants.SLOW_LINK_BYTES_PER_MS;
+    return bytes * progress.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
   }
 
   private void advance() {
     long majorityMatched = sets.reached(id -> progress.get(id).matched);
     if (majorityMatched >= takeoverSequence && majorityMatched > committed) {
       committed = majorityMatched;
-      KeyReplicas.trim(entries, committed);
+      LogReplicas.trim(entries, committed);
       planFlush();
     }
     answerCommitted();
-    if (state == State.LOST) {
+    if (state == LeadershipState.LOST) {
       return;
     }
     long majorityRound = sets.reached(id -> progress.get(id).heardRound);
     while (!waitingForRound.isEmpty() && waitingForRound.peek().mark() <= majorityRound) {
       waitingForRound.poll().then().accept(null);
-      if (state == State.LOST) {
+      if (state == LeadershipState.LOST) {
         return;
       }
     }
@@ -633,7 +644,7 @@
    * Applies what is committed in log order; each caller is answered once its own entry is applied.
    */
   private void answerCommitted() {
-    while (state != State.LOST) {
+    while (state != LeadershipState.LOST) {
       if (!waitingToApply.isEmpty()
           && waitingToApply.peek().sequence() <= committed
           && (waitingForCommit.isEmpty()
@@ -648,48 +659,49 @@
   }
 
   private void beat() {
-    if (state != State.OWNED && state != State.SETTLING) {
+    if (state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
       return;
     }
-    expire(waitingForCommit, new Fault.OutcomeUnknown(key));
-    expire(waitingForRound, new Fault.NoMajority(key));
-    if (state != State.OWNED && state != State.SETTLING) {
+    expire(waitingForCommit, new ApiError.OutcomeUnknown(key));
+    expire(waitingForRound, new ApiError.NoQuorum(key));
+    if (state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
       return;
     }
-    for (Progress each : progress.values()) {
+    for (FollowerProgress each : progress.values()) {
       if (!each.heardSinceBeat && !onItsWay(each, each.matched + 1)) {
         each.next = each.matched + 1;
       }
       each.heardSinceBeat = false;
       each.silentBeats++;
     }
-    if (state == State.OWNED && !majorityHeardWithin(Constants.OWNER_STEP_DOWN_MS)) {
+    if (state == LeadershipState.OWNED
+        && !majorityHeardWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
       surroundings.log(PART, "Steps down, no majority heard: " + key + ".");
       lose();
       return;
     }
-    if (!quietWhenIdle || state == State.SETTLING || !waitingForRound.isEmpty()) {
+    if (!quietWhenIdle || state == LeadershipState.SETTLING || !waitingForRound.isEmpty()) {
       broadcast();
     } else {
       beatWhereNeeded();
     }
-    beat = surroundings.after(Constants.OWNER_BEAT_MS, this::beat);
+    beat = surroundings.after(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::beat);
   }
 
   private void beatWhereNeeded() {
     round++;
-    for (Progress each : progress.values()) {
+    for (FollowerProgress each : progress.values()) {
       boolean lacksNothing =
           each.matched == lastSequence()
               && each.toldCommitted == committed
               && committed == lastSequence();
-      if (!lacksNothing || ++each.beatsSince >= Constants.IDLE_BEATS) {
+      if (!lacksNothing || ++each.beatsSince >= ReplicationConstants.IDLE_HEARTBEAT_ONE_IN) {
         sendTo(each);
       }
     }
   }
 
-  private void expire(ArrayDeque<Waiting> waiting, Fault fault) {
+  private void expire(ArrayDeque<PendingCommit> waiting, ApiError fault) {
     while (!waiting.isEmpty() && waiting.peek().expiresAt() <= surroundings.now()) {
       waiting.poll().then().accept(fault);
     }
@@ -701,20 +713,20 @@
   }
 
   /** Gives the key up without a word: whoever claims it next reads the log from the replicas. */
-  void stop() {
-    if (state == State.LOST) {
+  public void stop() {
+    if (state == LeadershipState.LOST) {
       return;
     }
-    state = State.LOST;
+    state = LeadershipState.LOST;
     beat.cancel();
     claimRound.cancel();
     cancelTransfer();
-    List<Waiting> unanswered = new ArrayList<>(waitingForCommit);
-    List<Waiting> unconfirmed = new ArrayList<>(waitingForRound);
+    List<PendingCommit> unanswered = new ArrayList<>(waitingForCommit);
+    List<PendingCommit> unconfirmed = new ArrayList<>(waitingForRound);
     waitingToApply.clear();
     waitingForCommit.clear();
     waitingForRound.clear();
-    unanswered.forEach(each -> each.then().accept(new Fault.OutcomeUnknown(key)));
-    unconfirmed.forEach(each -> each.then().accept(new Fault.NotOwner(key)));
+    unanswered.forEach(each -> each.then().accept(new ApiError.OutcomeUnknown(key)));
+    unconfirmed.forEach(each -> each.then().accept(new ApiError.NotLeader(key)));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/ReplicaPages.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/SnapshotPages.java
@@ -1,8 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import applespindle.corelogic.KeyReplicas.Copied;
-import applespindle.corelogic.KeyReplicas.Copy;
-import applespindle.corelogic.KeyReplicas.Held;
+import applespindle.corelogic.log.LogEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,27 +12,29 @@
  * What a replica sends to a newcomer of its set, page by page in the order of the keys. Invariant:
  * a log is sent from its beginning, or from the last entry that the newcomer shares with it.
  */
-final class ReplicaPages {
+final class SnapshotPages {
   /** What a key adds to a page besides its entries. */
   private static final int KEY_BYTES = 64;
 
-  private final NavigableMap<String, Copy> copies;
+  private final NavigableMap<String, LogReplica> copies;
   private final UnaryOperator<String> setNameOf;
 
-  ReplicaPages(NavigableMap<String, Copy> copies, UnaryOperator<String> setNameOf) {
+  SnapshotPages(NavigableMap<String, LogReplica> copies, UnaryOperator<String> setNameOf) {
     this.copies = copies;
     this.setNameOf = setNameOf;
   }
 
   /** Of the keys of a set after the given one, how far each is held here. */
-  Map<String, Held> heldOf(String setName, String afterKey) {
-    Map<String, Held> held = new TreeMap<>();
+  Map<String, LogEndPosition> heldOf(String setName, String afterKey) {
+    Map<String, LogEndPosition> held = new TreeMap<>();
     copies
         .tailMap(afterKey, false)
         .forEach(
             (key, copy) -> {
               if (!copy.entries.isEmpty() && setNameOf.apply(key).equals(setName)) {
-                held.put(key, new Held(copy.lastSequence(), copy.at(copy.lastSequence()).epoch()));
+                held.put(
+                    key,
+                    new LogEndPosition(copy.lastSequence(), copy.at(copy.lastSequence()).epoch()));
               }
             });
     return held;
@@ -44,14 +44,15 @@
    * The next keys of a set after the given one, up to a size; what a newcomer starts from. Of a log
    * that it holds a part of, the last entry of that part and what follows.
    */
-  List<Copied> copiesOf(String setName, String afterKey, Map<String, Held> held, int bytesMost) {
-    List<Copied> page = new ArrayList<>();
+  List<ReplicaSnapshot> copiesOf(
+      String setName, String afterKey, Map<String, LogEndPosition> held, int bytesMost) {
+    List<ReplicaSnapshot> page = new ArrayList<>();
     int bytes = 0;
-    for (Map.Entry<String, Copy> each : copies.tailMap(afterKey, false).entrySet()) {
+    for (Map.Entry<String, LogReplica> each : copies.tailMap(afterKey, false).entrySet()) {
       if (!setNameOf.apply(each.getKey()).equals(setName)) {
         continue;
       }
-      Copied copied = copied(each.getKey(), each.getValue(), held.get(each.getKey()));
+      ReplicaSnapshot copied = copied(each.getKey(), each.getValue(), held.get(each.getKey()));
       bytes += KEY_BYTES + copied.entries().stream().mapToInt(entry -> entry.event().length).sum();
       page.add(copied);
       if (bytes >= bytesMost) {
@@ -61,13 +62,13 @@
     return page;
   }
 
-  private static Copied copied(String key, Copy copy, Held known) {
-    Entry shared = known == null ? null : copy.at(known.sequence());
+  private static ReplicaSnapshot copied(String key, LogReplica copy, LogEndPosition known) {
+    LogEntry shared = known == null ? null : copy.at(known.sequence());
     boolean partial = shared != null && shared.epoch().equals(known.epoch());
-    List<Entry> lacking =
+    List<LogEntry> lacking =
         partial
             ? copy.entries.stream().filter(entry -> entry.sequence() >= known.sequence()).toList()
             : List.copyOf(copy.entries);
-    return new Copied(key, copy.promised, copy.committed, partial, lacking);
+    return new ReplicaSnapshot(key, copy.promised, copy.committed, partial, lacking);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/UndecidedEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
@@ -1,5 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
+import applespindle.corelogic.log.LogEntry;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -10,11 +11,11 @@
  * committed. It may have been committed, and answered, before the former process ended. Invariant:
  * a key is listed until that entry is known to be committed or replaced.
  */
-final class UndecidedEntries {
-  private final Map<String, Entry> lastByKey = new TreeMap<>();
+final class UncommittedEntries {
+  private final Map<String, LogEntry> lastByKey = new TreeMap<>();
 
   /** To be called once all records of the log are replayed. */
-  void recovered(Map<String, KeyReplicas.Copy> copies) {
+  void recovered(Map<String, LogReplica> copies) {
     copies.forEach(
         (key, copy) ->
             copy.entries.stream()
@@ -24,20 +25,20 @@
 
   /** Another replica knows a committed event at this place: what stands up to there is decided. */
   void committedElsewhere(String key, long sequence) {
-    Entry last = lastByKey.get(key);
+    LogEntry last = lastByKey.get(key);
     if (last != null && last.sequence() <= sequence) {
       lastByKey.remove(key);
     }
   }
 
   /** Whether the key's leader has yet to decide. */
-  boolean contains(String key, Map<String, KeyReplicas.Copy> copies) {
-    Entry last = lastByKey.get(key);
+  boolean contains(String key, Map<String, LogReplica> copies) {
+    LogEntry last = lastByKey.get(key);
     if (last == null) {
       return false;
     }
-    KeyReplicas.Copy copy = copies.get(key);
-    Entry present = copy.at(last.sequence());
+    LogReplica copy = copies.get(key);
+    LogEntry present = copy.at(last.sequence());
     boolean open =
         copy.committed < last.sequence() && present != null && present.epoch().equals(last.epoch());
     if (!open) {
@@ -46,7 +47,7 @@
     return open;
   }
 
-  boolean containsAny(Predicate<String> keys, Map<String, KeyReplicas.Copy> copies) {
+  boolean containsAny(Predicate<String> keys, Map<String, LogReplica> copies) {
     return !lastByKey.isEmpty()
         && List.copyOf(lastByKey.keySet()).stream()
             .filter(keys)
--- a/core-logic/src/main/java/applespindle/corelogic/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -1,15 +1,37 @@
-package applespindle.corelogic;
-
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.Unfinished;
-import applespindle.corelogic.Records.Shard;
-import applespindle.corelogic.Records.StorageReplica;
+package applespindle.corelogic.storage;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchEvent;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.dataplane.DataPlaneNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.metadata.ShardAssignment;
+import applespindle.corelogic.metadata.ShardReplica;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.LeaderlessBatches;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.replication.LogReplica;
+import applespindle.corelogic.replication.LogReplicas;
+import applespindle.corelogic.replication.ReplicaCatchUp;
+import applespindle.corelogic.replication.ReplicaConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -22,9 +44,9 @@
 import java.util.TreeSet;
 
 /** The data plane's storage role: replicas of batch records, and once-claims. */
-public final class StorageNode extends DataNode {
-  private final KeyReplicas replicas;
-  private final ReplicaCopier copier;
+public final class StorageNode extends DataPlaneNode {
+  private final LogReplicas replicas;
+  private final ReplicaCatchUp copier;
 
   /** Batches accepted by a committed entry and not yet committed as finished, ended or refused. */
   private final Set<String> unfinished = new TreeSet<>();
@@ -40,22 +62,22 @@
    */
   private final Map<String, String> claims = new LinkedHashMap<>();
 
-  public StorageNode(Surroundings surroundings, Place place) {
-    this(surroundings, place, Bounds.DEFAULT);
+  public StorageNode(Environment surroundings, NodeIdentity place) {
+    this(surroundings, place, NodeSettings.DEFAULT);
   }
 
-  public StorageNode(Surroundings surroundings, Place place, Bounds bounds) {
+  public StorageNode(Environment surroundings, NodeIdentity place, NodeSettings bounds) {
     super(surroundings, place, bounds);
-    replicas = new KeyReplicas(surroundings, this::send, this::committed, MetadataKeys::shardOf);
-    copier = new ReplicaCopier(surroundings, this, replicas, claims, MetadataKeys::shardOf);
+    replicas = new LogReplicas(surroundings, this::send, this::committed, MetadataKeys::shardOf);
+    copier = new ReplicaCatchUp(surroundings, this, replicas, claims, MetadataKeys::shardOf);
   }
 
-  public KeyReplicas replicas() {
+  public LogReplicas replicas() {
     return replicas;
   }
 
   @Override
-  public void recover(DiskRecord record) {
+  public void recover(LogRecord record) {
     if (record.kind() == Kind.ONCE) {
       remember(record);
     } else {
@@ -63,7 +85,7 @@
     }
   }
 
-  private void remember(DiskRecord record) {
+  private void remember(LogRecord record) {
     if (record.epoch().node().isEmpty()) {
       claims.remove(record.key());
     } else {
@@ -72,9 +94,9 @@
   }
 
   @Override
-  public List<DiskRecord> checkpoint() {
-    List<DiskRecord> records = new ArrayList<>(replicas.checkpoint());
-    claims.forEach((id, token) -> records.add(ReplicaCopier.onceRecord(id, token)));
+  public List<LogRecord> checkpoint() {
+    List<LogRecord> records = new ArrayList<>(replicas.checkpoint());
+    claims.forEach((id, token) -> records.add(ReplicaCatchUp.onceRecord(id, token)));
     return records;
   }
 
@@ -82,8 +104,8 @@
   public void start() {
     super.start();
     replicas.recovered();
-    every(Constants.ORPHAN_SCAN_MS, this::reportOrphans);
-    every(Constants.RETENTION_SCAN_MS, this::removeOld);
+    every(BatchConstants.LEADERLESS_SCAN_INTERVAL_MS, this::reportOrphans);
+    every(BatchConstants.RETENTION_SCAN_INTERVAL_MS, this::removeOld);
   }
 
   /**
@@ -107,10 +129,9 @@
                 place
                     .id()
                     .equals(
-                        Rendezvous.first(
-                            key,
-                            setsOf(key).present().stream().map(OwnedKey.Replica::id).toList())))
-        .limit(Constants.RETENTION_SCAN_MOST)
+                        RendezvousHashing.first(
+                            key, setsOf(key).present().stream().map(NodeAddress::id).toList())))
+        .limit(BatchConstants.MAX_REMOVALS_PER_SCAN)
         .toList()
         .forEach(
             key ->
@@ -119,11 +140,11 @@
                     "remove",
                     key,
                     JSON.createObjectNode(),
-                    Constants.RETENTION_SCAN_MS,
+                    BatchConstants.RETENTION_SCAN_INTERVAL_MS,
                     response -> {}));
   }
 
-  private void committed(String key, Entry entry) {
+  private void committed(String key, LogEntry entry) {
     if (entry.isTakeover()) {
       return;
     }
@@ -148,10 +169,10 @@
    * now.
    */
   private void reportOrphans() {
-    Map<Target, List<String>> orphans = new HashMap<>();
+    Map<NodeAddress, List<String>> orphans = new HashMap<>();
     for (String key : unfinished) {
       if (replicas.ownerSilent(replicas.copy(key))) {
-        Target chosenEdge = leaderPlacement().edge(key, 0);
+        NodeAddress chosenEdge = leaderPlacement().edge(key, 0);
         if (chosenEdge != null && chosenEdge.id().equals(replicas.copy(key).owner)) {
           chosenEdge = leaderPlacement().edge(key, 1);
         }
@@ -160,16 +181,16 @@
         }
       }
     }
-    orphans.forEach((edge, keys) -> send(edge.address(), edge.id(), new Unfinished(keys)));
+    orphans.forEach((edge, keys) -> send(edge.address(), edge.id(), new LeaderlessBatches(keys)));
   }
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof KeyAppend append) {
+    if (message instanceof AppendRequest append) {
       replicas.append(append, fromId, fromAddress);
-    } else if (message instanceof KeyPromise promise) {
+    } else if (message instanceof VoteRequest promise) {
       replicas.promise(promise, fromId, fromAddress);
-    } else if (message instanceof KeyLogAsk logAsk) {
+    } else if (message instanceof LogFetchRequest logAsk) {
       replicas.tellLog(logAsk, fromId, fromAddress);
     } else {
       super.handle(message, fromId, fromAddress);
@@ -177,33 +198,33 @@
   }
 
   @Override
-  protected void handleAsk(Ask ask) {
+  protected void handleAsk(PeerRequest ask) {
     switch (ask.duty()) {
       case "copy" -> copier.copyOut(ask);
       case "peek" -> peek(ask);
       case "claim" -> claim(ask);
       case "unclaim" -> unclaim(ask);
-      default -> respond(ask, Response.of(new Fault.UnknownDuty(ask.duty())));
+      default -> respond(ask, Response.of(new ApiError.UnknownRequest(ask.duty())));
     }
   }
 
   /** True, and told so, if the asker speaks of an older replica set than the one known here. */
-  private boolean refusesOldSet(Ask ask) {
+  private boolean refusesOldSet(PeerRequest ask) {
     long known = replicas.setNumber(MetadataKeys.shardOf(ask.key()));
     boolean old = Json.tree(ask.body()).path("setNumber").asLong() < known;
     if (old) {
-      respond(ask, Response.of(new Fault.OldReplicaSet(known)));
+      respond(ask, Response.of(new ApiError.StaleReplicaConfiguration(known)));
     }
     return old;
   }
 
-  private void peek(Ask ask) {
+  private void peek(PeerRequest ask) {
     if (refusesOldSet(ask)) {
       return;
     }
-    KeyReplicas.Copy copy = replicas.copies().get(ask.key());
+    LogReplica copy = replicas.copies().get(ask.key());
     boolean present = copy != null && copy.entries.stream().anyMatch(entry -> !entry.isTakeover());
-    KeyReplicas.Holder holder = present ? replicas.holder(copy) : KeyReplicas.Holder.NONE;
+    NodeAddress holder = present ? replicas.holder(copy) : NodeAddress.NONE;
     respond(
         ask,
         Response.of(
@@ -214,18 +235,18 @@
                 .put("holderAddress", holder.address())));
   }
 
-  private void claim(Ask ask) {
+  private void claim(PeerRequest ask) {
     if (!surroundings.takesWrites() || refusesOldSet(ask)) {
       return;
     }
     String token = Json.tree(ask.body()).path("token").asText();
     String holder = claims.putIfAbsent(ask.key(), token);
     if (holder != null && !holder.equals(token)) {
-      respond(ask, Response.of(new Fault.AlreadyClaimed(ask.key())));
+      respond(ask, Response.of(new ApiError.AlreadyClaimed(ask.key())));
       return;
     }
-    List<DiskRecord> records =
-        holder == null ? List.of(ReplicaCopier.onceRecord(ask.key(), token)) : List.of();
+    List<LogRecord> records =
+        holder == null ? List.of(ReplicaCatchUp.onceRecord(ask.key(), token)) : List.of();
     surroundings.write(
         records,
         () -> respond(ask, Response.of(200, JSON.createObjectNode().put("claimed", true))));
@@ -235,10 +256,10 @@
    * Only the token that claimed may take the claim back, and only before anything of it was handed
    * over.
    */
-  private void unclaim(Ask ask) {
+  private void unclaim(PeerRequest ask) {
     JsonNode body = Json.tree(ask.body());
     boolean holds = claims.remove(ask.key(), body.path("token").asText());
-    List<DiskRecord> records = holds ? List.of(ReplicaCopier.onceRecord(ask.key(), "")) : List.of();
+    List<LogRecord> records = holds ? List.of(ReplicaCatchUp.onceRecord(ask.key(), "")) : List.of();
     surroundings.write(
         records,
         () -> respond(ask, Response.of(200, JSON.createObjectNode().put("claimed", false))));
@@ -257,7 +278,7 @@
    * Fences older sets first; then a newcomer copies, and whoever stays only says that it is fenced.
    */
   private void follow(String name) {
-    Shard shard = shards().get(name);
+    ShardAssignment shard = shards().get(name);
     replicas.learnSet(
         name,
         shard.number(),
@@ -275,12 +296,12 @@
         });
   }
 
-  private boolean holds(List<StorageReplica> set) {
+  private boolean holds(List<ShardReplica> set) {
     return set.stream().anyMatch(replica -> replica.id().equals(place.id()));
   }
 
   private boolean stillPending(String name, long number) {
-    Shard shard = shards().get(name);
+    ShardAssignment shard = shards().get(name);
     return shard.number() == number && !shard.next().isEmpty() && !stopped();
   }
 
@@ -293,17 +314,18 @@
         "copied",
         name,
         JSON.createObjectNode().put("id", place.id()).put("number", number),
-        Constants.ASK_TRY_MS,
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
         response -> {});
-    surroundings.after(Constants.COPIED_REPEAT_MS, () -> sayCopied(name, number));
+    surroundings.after(
+        ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> sayCopied(name, number));
   }
 
-  private void copyIn(String name, Shard shard) {
+  private void copyIn(String name, ShardAssignment shard) {
     journal.add("copying", name, "set " + shard.number());
     copier.copyIn(
         name,
         shard.number(),
-        ReplicaSets.replicas(shard.replicas()),
+        ReplicaConfiguration.replicas(shard.replicas()),
         () -> stillPending(name, shard.number()),
         () -> {
           journal.add("copied", name, "set " + shard.number());
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoad.java
@@ -0,0 +1,3 @@
+package applespindle.corelogic.worker;
+
+record PeerLoad(int running, double unread, long at) {}
--- a/core-logic/src/main/java/applespindle/corelogic/PeerLoads.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
@@ -1,8 +1,11 @@
-package applespindle.corelogic;
+package applespindle.corelogic.worker;
 
-import applespindle.corelogic.Message.WorkerLoads;
-import applespindle.corelogic.Message.WorkerLoads.OwnLoad;
-import applespindle.corelogic.Records.Member;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.PeerLoadReport;
+import applespindle.corelogic.protocol.Message.PeerLoadReport.OwnLoad;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -14,21 +17,24 @@
  * the same time do not meet at one worker. Only a hint: what is lost or late fades by itself. What
  * is told is the whole of this edge's load at a worker, so that a repeat does no harm.
  */
-final class PeerLoads {
+public final class PeerLoadReporter {
   /** How a message gets to another edge. */
-  interface PeerSender {
+  public interface PeerSender {
     void send(String toAddress, String toId, Message message);
   }
 
-  private final Surroundings surroundings;
-  private final WorkerBook book;
-  private final Supplier<List<Member>> peers;
+  private final Environment surroundings;
+  private final WorkerRegistry book;
+  private final Supplier<List<NodeRegistration>> peers;
   private final PeerSender sender;
-  private final Set<WorkerBook.Known> changed = new LinkedHashSet<>();
+  private final Set<WorkerState> changed = new LinkedHashSet<>();
   private boolean due;
 
-  PeerLoads(
-      Surroundings surroundings, WorkerBook book, Supplier<List<Member>> peers, PeerSender sender) {
+  public PeerLoadReporter(
+      Environment surroundings,
+      WorkerRegistry book,
+      Supplier<List<NodeRegistration>> peers,
+      PeerSender sender) {
     this.surroundings = surroundings;
     this.book = book;
     this.peers = peers;
@@ -39,7 +45,7 @@
    * A run began there. Grouped the longer the more peers there are: the messages in a second stay
    * as many. A worker that is asked for its load tells it to all.
    */
-  void began(WorkerBook.Known worker) {
+  public void began(WorkerState worker) {
     if (!worker.passive()) {
       return;
     }
@@ -47,14 +53,14 @@
     int many = due ? 0 : peers.get().size();
     if (!due && many > 0) {
       due = true;
-      surroundings.after(Constants.PEER_LOADS_MS * many, this::tell);
+      surroundings.after(WorkerConstants.PEER_LOAD_REPORT_DELAY_MS * many, this::tell);
     }
   }
 
   private void tell() {
     due = false;
     List<OwnLoad> loads = new ArrayList<>();
-    for (WorkerBook.Known each : changed) {
+    for (WorkerState each : changed) {
       if (book.listed(each)) {
         loads.add(
             new OwnLoad(each.worker.id(), each.live + each.batch, (int) Math.round(each.reading)));
@@ -62,7 +68,7 @@
     }
     changed.clear();
     if (!loads.isEmpty()) {
-      WorkerLoads message = new WorkerLoads(loads);
+      PeerLoadReport message = new PeerLoadReport(loads);
       peers.get().forEach(peer -> sender.send(peer.peerAddress(), peer.id(), message));
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/KeptPrompts.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PrefixCache.java
@@ -1,6 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.worker;
 
-import applespindle.corelogic.OpaqueRequest.PromptPart;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,16 +12,16 @@
  * same parts before it, so it is remembered by the hash of all parts up to it. Those unused longest
  * are forgotten first.
  */
-final class KeptPrompts {
+public final class PrefixCache {
   private final LinkedHashMap<Long, Integer> tokensByChain = new LinkedHashMap<>(16, 0.75f, true);
   private long tokens;
 
   /** Hash of the first parts of a prompt, each behind those before it. */
-  static long[] chain(List<PromptPart> prompt, String model) {
+  public static long[] chain(List<PromptPart> prompt, String model) {
     long[] chain = new long[prompt.size()];
-    long hash = Rendezvous.hash(model);
+    long hash = RendezvousHashing.hash(model);
     for (int index = 0; index < chain.length; index++) {
-      hash = Rendezvous.mix(hash ^ Rendezvous.hash(prompt.get(index).id()) + index);
+      hash = RendezvousHashing.mix(hash ^ RendezvousHashing.hash(prompt.get(index).id()) + index);
       chain[index] = hash;
     }
     return chain;
@@ -34,14 +36,14 @@
     return kept;
   }
 
-  void read(List<PromptPart> prompt, long[] chain, long tokensMost) {
+  public void read(List<PromptPart> prompt, long[] chain, long tokensMost) {
     for (int index = 0; index < chain.length; index++) {
       Integer before = tokensByChain.put(chain[index], prompt.get(index).tokens());
       tokens += prompt.get(index).tokens() - (before == null ? 0 : before);
     }
     var oldest = tokensByChain.entrySet().iterator();
     while (oldest.hasNext()
-        && (tokensByChain.size() > Constants.KEPT_PARTS_MOST
+        && (tokensByChain.size() > WorkerConstants.MAX_PREFIX_CACHE_PARTS
             || tokensMost > 0 && tokens > tokensMost)) {
       Map.Entry<Long, Integer> part = oldest.next();
       tokens -= part.getValue();
--- a/core-logic/src/main/java/applespindle/corelogic/WorkerLoadPolling.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
@@ -1,41 +1,43 @@
-package applespindle.corelogic;
+package applespindle.corelogic.worker;
 
-import applespindle.corelogic.WorkerBook.Known;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
 import java.util.function.Predicate;
 
 /**
  * Asks workers for their load again and again, until they are not listed any more or have their
  * slots listed. Invariant: at most one poll is under way for each worker.
  */
-final class WorkerLoadPolling {
+final class WorkerLoadPoller {
   /** Polls are spread by a random part of the interval, as many edges ask the same workers. */
-  private static final long JITTER_MS = Constants.LOAD_POLL_MS / 5;
+  private static final long JITTER_MS = WorkerConstants.LOAD_POLL_INTERVAL_MS / 5;
 
-  private final Surroundings surroundings;
-  private final Predicate<Known> listed;
+  private final Environment surroundings;
+  private final Predicate<WorkerState> listed;
   private final Runnable whenChanged;
 
-  WorkerLoadPolling(Surroundings surroundings, Predicate<Known> listed, Runnable whenChanged) {
+  WorkerLoadPoller(Environment surroundings, Predicate<WorkerState> listed, Runnable whenChanged) {
     this.surroundings = surroundings;
     this.listed = listed;
     this.whenChanged = whenChanged;
   }
 
   /** Begins to poll a worker unless it is polled already. */
-  void begin(Known worker) {
+  void begin(WorkerState worker) {
     if (!worker.polling) {
       worker.polling = true;
       poll(worker);
     }
   }
 
-  private void poll(Known worker) {
+  private void poll(WorkerState worker) {
     if (!listed.test(worker) || worker.passive()) {
       worker.polling = false;
       return;
     }
-    long jitterMs = surroundings.random().nextLong(JITTER_MS) - Constants.LOAD_POLL_MS / 10;
-    long pauseMs = Constants.LOAD_POLL_MS + jitterMs;
+    long jitterMs =
+        surroundings.random().nextLong(JITTER_MS) - WorkerConstants.LOAD_POLL_INTERVAL_MS / 10;
+    long pauseMs = WorkerConstants.LOAD_POLL_INTERVAL_MS + jitterMs;
     surroundings.readLoad(
         worker.worker.address(),
         load -> {
@@ -49,9 +51,9 @@
         fault -> surroundings.after(pauseMs, () -> poll(worker)));
   }
 
-  private void notePeak(Known worker) {
+  private void notePeak(WorkerState worker) {
     long now = surroundings.now();
-    double halvings = (now - worker.livePeakAt) / (double) Constants.LIVE_PEAK_HALVES_MS;
+    double halvings = (now - worker.livePeakAt) / (double) WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
     double fallen = worker.livePeak * Math.pow(0.5, halvings);
     worker.livePeak = Math.max(worker.liveRunning(), fallen);
     worker.livePeakAt = now;
--- a/core-logic/src/main/java/applespindle/corelogic/WorkerSelection.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerSelection.java
@@ -1,6 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.worker;
 
-import applespindle.corelogic.OpaqueRequest.PromptPart;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
@@ -9,7 +12,7 @@
  * Chooses the worker for a live request: the one at which it waits least, as far as this edge
  * knows. What speaks for and against a worker is added up in milliseconds.
  */
-final class WorkerSelection {
+public final class WorkerSelection {
   /**
    * What a request asks of a worker.
    *
@@ -20,7 +23,7 @@
    * @param tokens of its prompt and the most it may put out
    * @param keptTokensMost memory of a worker of the pool, in tokens; 0 if unknown
    */
-  record Demand(
+  public record Demand(
       String pool,
       double targetMs,
       boolean sticky,
@@ -30,7 +33,7 @@
       long tokens,
       long keptTokensMost) {
     /** Adds the parts up once: each worker that is weighed needs the sum. */
-    Demand(
+    public Demand(
         String pool,
         double targetMs,
         boolean sticky,
@@ -55,12 +58,13 @@
     }
   }
 
-  private final Surroundings surroundings;
+  private final Environment surroundings;
   private final String zone;
-  private final LiveDesk.Edge edge;
-  private final WorkerBook book;
+  private final EdgeContext edge;
+  private final WorkerRegistry book;
 
-  WorkerSelection(Surroundings surroundings, String zone, LiveDesk.Edge edge, WorkerBook book) {
+  public WorkerSelection(
+      Environment surroundings, String zone, EdgeContext edge, WorkerRegistry book) {
     this.surroundings = surroundings;
     this.zone = zone;
     this.edge = edge;
@@ -73,18 +77,18 @@
    * @param allowed whether the request may go to a worker
    * @param repeatable whether it may run again elsewhere if the worker fails it
    */
-  WorkerBook.Known select(Demand demand, Predicate<WorkerBook.Known> allowed, boolean repeatable) {
-    List<WorkerBook.Known> candidates = new ArrayList<>();
-    for (WorkerBook.Known each : book.all()) {
+  public WorkerState select(Demand demand, Predicate<WorkerState> allowed, boolean repeatable) {
+    List<WorkerState> candidates = new ArrayList<>();
+    for (WorkerState each : book.all()) {
       if (each.worker.pool().equals(demand.pool()) && !each.leaving() && allowed.test(each)) {
         candidates.add(each);
       }
     }
-    WorkerBook.Known keeper = keeper(demand, candidates);
+    WorkerState keeper = keeper(demand, candidates);
     double usualBusyPart = usualBusyPart(candidates);
-    WorkerBook.Known least = null;
+    WorkerState least = null;
     double leastCost = 0;
-    for (WorkerBook.Known each : candidates) {
+    for (WorkerState each : candidates) {
       double cost = costMs(demand, each, running(each, usualBusyPart), each == keeper, repeatable);
       if (least == null || cost < leastCost) {
         least = each;
@@ -99,19 +103,19 @@
    * the rendezvous order of these parts, in this edge's own zone where it has workers. Null if
    * nothing is shared.
    */
-  private WorkerBook.Known keeper(Demand demand, List<WorkerBook.Known> candidates) {
+  private WorkerState keeper(Demand demand, List<WorkerState> candidates) {
     int parts = demand.chain().length;
     int shared = demand.sticky() && parts == 1 ? parts : parts - 1;
     if (shared <= 0) {
       return null;
     }
     long key = demand.chain()[shared - 1];
-    WorkerBook.Known first = null;
+    WorkerState first = null;
     boolean firstNear = false;
     long firstWeight = 0;
-    for (WorkerBook.Known each : candidates) {
+    for (WorkerState each : candidates) {
       boolean near = near(each);
-      long weight = Rendezvous.mix(key ^ each.idHash);
+      long weight = RendezvousHashing.mix(key ^ each.idHash);
       if (first == null || near && !firstNear || near == firstNear && weight > firstWeight) {
         first = each;
         firstNear = near;
@@ -125,11 +129,11 @@
    * The part of a worker's slots that requests of other edges and batch items usually take, over
    * the candidates of this edge's own zone; 0 if there are none.
    */
-  private double usualBusyPart(List<WorkerBook.Known> candidates) {
+  private double usualBusyPart(List<WorkerState> candidates) {
     long now = surroundings.now();
     double running = 0;
     double slots = 0;
-    for (WorkerBook.Known each : candidates) {
+    for (WorkerState each : candidates) {
       if (near(each)) {
         running += each.runningNow(now) - each.live;
         slots += each.capacity();
@@ -143,7 +147,7 @@
    * unless a worker of another zone has told its load itself of late, other edges are taken to use
    * it as much as those of this zone use theirs.
    */
-  private double running(WorkerBook.Known worker, double usualBusyPart) {
+  private double running(WorkerState worker, double usualBusyPart) {
     long now = surroundings.now();
     if (near(worker) || !worker.passive()) {
       return worker.runningNow(now);
@@ -152,65 +156,66 @@
     return worker.live + Math.max(worker.runningNow(now) - worker.live, guessed);
   }
 
-  private boolean near(WorkerBook.Known worker) {
+  private boolean near(WorkerState worker) {
     return worker.worker.zone().equals(zone);
   }
 
   private double costMs(
-      Demand demand, WorkerBook.Known worker, double running, boolean keeper, boolean repeatable) {
+      Demand demand, WorkerState worker, double running, boolean keeper, boolean repeatable) {
     long now = surroundings.now();
     double unread = keeper ? unreadAtKeeper(demand, worker) : unreadTokens(demand, worker);
-    double readingMs = (worker.unreadNow(now) + unread) / Constants.READ_TOKENS_PER_MS;
+    double readingMs = (worker.unreadNow(now) + unread) / WorkerConstants.PREFILL_TOKENS_PER_MS;
     return crowdMs(demand, worker, running)
         + waitMs(demand, worker, running)
         + readingMs
         + pauseMs(demand, worker, unread)
         + demand.targetMs()
-            * ((near(worker) ? 0 : Constants.OTHER_ZONE_WEIGHT)
-                + doubt(worker, repeatable) * Constants.DOUBT_WEIGHT
-                + surroundings.random().nextDouble() * Constants.SPREAD_WEIGHT);
+            * ((near(worker) ? 0 : WorkerConstants.REMOTE_ZONE_WEIGHT)
+                + doubt(worker, repeatable) * WorkerConstants.OUTLIER_WEIGHT
+                + surroundings.random().nextDouble() * WorkerConstants.JITTER_WEIGHT);
   }
 
   /** The more run at a worker, the slower is each. */
-  private double crowdMs(Demand demand, WorkerBook.Known worker, double running) {
+  private double crowdMs(Demand demand, WorkerState worker, double running) {
     double slots = Math.max(1, worker.capacity()) * book.ramp(worker);
     return demand.targetMs() * (running + 1) / slots;
   }
 
   /** What a pause in the worker's streams weighs that is too long or nearly so. */
-  private double pauseMs(Demand demand, WorkerBook.Known worker, double unread) {
+  private double pauseMs(Demand demand, WorkerState worker, double unread) {
     long gapMs = edge.routes().gapTargetMs(demand.pool());
     if (gapMs <= 0) {
       return 0;
     }
     double pauseMs = worker.pauseMs(surroundings.now(), unread);
-    return Constants.PAUSE_WEIGHT * Math.max(0, pauseMs - Constants.PAUSE_PART * gapMs);
+    return WorkerConstants.STREAM_PAUSE_WEIGHT
+        * Math.max(0, pauseMs - WorkerConstants.MAX_STREAM_PAUSE_SHARE * gapMs);
   }
 
   /** The part of its runs that failed, and more while it rests or is not proved well again. */
-  private double doubt(WorkerBook.Known worker, boolean repeatable) {
+  private double doubt(WorkerState worker, boolean repeatable) {
     boolean rests = surroundings.now() < worker.restsUntil;
     boolean unproved = worker.faultsInRow > 0 && (worker.live > 0 || !repeatable);
     return book.faultShare(worker) + (rests || unproved ? 1 : 0);
   }
 
   /** Prompt tokens that a worker has to read: what this edge has sent there is kept there. */
-  static double unreadTokens(Demand demand, WorkerBook.Known worker) {
+  public static double unreadTokens(Demand demand, WorkerState worker) {
     return demand.promptTokens() - worker.kept.kept(demand.prompt(), demand.chain());
   }
 
   /** Of what other edges sent, the keeper is trusted to have half of the shared parts. */
-  private static double unreadAtKeeper(Demand demand, WorkerBook.Known worker) {
+  private static double unreadAtKeeper(Demand demand, WorkerState worker) {
     return Math.min(
         unreadTokens(demand, worker), demand.promptTokens() - demand.sharedTokens() / 2.0);
   }
 
   /** How long a request waits for a slot, and for memory where its size is known. */
-  double waitMs(Demand demand, WorkerBook.Known worker) {
+  public double waitMs(Demand demand, WorkerState worker) {
     return waitMs(demand, worker, worker.runningNow(surroundings.now()));
   }
 
-  private double waitMs(Demand demand, WorkerBook.Known worker, double running) {
+  private double waitMs(Demand demand, WorkerState worker, double running) {
     double waitMs = book.waitMs(worker, running);
     long most = demand.keptTokensMost();
     int own = worker.live + worker.batch;
--- a/core-logic/src/test/java/applespindle/corelogic/ConstraintCheckTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
@@ -1,9 +1,14 @@
-package applespindle.corelogic;
+package applespindle.corelogic.api;
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.controlplane.ConfigurationManager;
+import applespindle.corelogic.metadata.AcceptedRevisions;
+import applespindle.corelogic.metadata.SignedConfiguration;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
@@ -11,28 +16,28 @@
 import org.junit.jupiter.api.Test;
 
 /** The quick way to a checked bundle says yes only where the validator does. */
-class ConstraintCheckTest {
+class ConstraintCheckerTest {
   private static final int ROUTES = 513;
 
-  static Bundle bundle(int routes, String origin) {
-    return new Bundle(
+  static RoutingConfiguration bundle(int routes, String origin) {
+    return new RoutingConfiguration(
         3,
-        Map.of("main", new Bundle.Pool(64, 4, 1.5, 8, 590, 357_257L)),
+        Map.of("main", new RoutingConfiguration.Pool(64, 4, 1.5, 8, 590, 357_257L)),
         List.of(),
-        new Bundle.Limits(
-            Map.of("live", new Bundle.ClassLimit(0, 0)),
-            new Bundle.BatchLimits("main", 0, 0, 0, true, 30_000, null)),
-        IntStream.range(0, routes).mapToObj(ConstraintCheckTest::route).toList(),
-        new Bundle.ClientLimits(16_384, 4_194_304, 3_000, 15_000),
+        new RoutingConfiguration.Limits(
+            Map.of("live", new RoutingConfiguration.ClassLimit(0, 0)),
+            new RoutingConfiguration.BatchLimits("main", 0, 0, 0, true, 30_000, null)),
+        IntStream.range(0, routes).mapToObj(ConstraintCheckerTest::route).toList(),
+        new RoutingConfiguration.ClientLimits(16_384, 4_194_304, 3_000, 15_000),
         origin);
   }
 
-  private static Bundle.Route route(int index) {
-    return new Bundle.Route(
+  private static RoutingConfiguration.Route route(int index) {
+    return new RoutingConfiguration.Route(
         "route-" + index,
         "host-" + index + ".example",
         "/path/",
-        Bundle.RouteType.STREAM,
+        RoutingConfiguration.RouteType.STREAM,
         2_000,
         317,
         150,
@@ -40,7 +45,7 @@
         0,
         true,
         false,
-        List.of(new Bundle.Share("main", 1)),
+        List.of(new RoutingConfiguration.PoolWeight("main", 1)),
         0,
         0,
         0);
@@ -48,8 +53,8 @@
 
   @Test
   void passesWhatTheValidatorPasses() {
-    assertThat(ConstraintCheck.passes(bundle(ROUTES, "text"))).isTrue();
-    assertThat(Bundle.check(Json.bytes(bundle(ROUTES, "text"))).bundle())
+    assertThat(ConstraintChecker.passes(bundle(ROUTES, "text"))).isTrue();
+    assertThat(RoutingConfiguration.check(Json.bytes(bundle(ROUTES, "text"))).bundle())
         .isEqualTo(bundle(ROUTES, "text"));
   }
 
@@ -79,11 +84,11 @@
           int at = path.lastIndexOf('/');
           var parent = tree.at(path.substring(0, at));
           ((ObjectNode) parent).set(path.substring(at + 1), Json.JSON.valueToTree(value));
-          Bundle read = Json.read(Json.bytes(tree), Bundle.class);
-          assertWithMessage(path).that(ConstraintCheck.passes(read)).isFalse();
+          RoutingConfiguration read = Json.read(Json.bytes(tree), RoutingConfiguration.class);
+          assertWithMessage(path).that(ConstraintChecker.passes(read)).isFalse();
           assertWithMessage(path)
-              .that(Bundle.check(Json.bytes(read)).fault())
-              .isInstanceOf(Fault.InvalidBundle.class);
+              .that(RoutingConfiguration.check(Json.bytes(read)).fault())
+              .isInstanceOf(ApiError.InvalidConfiguration.class);
         });
   }
 
@@ -91,7 +96,8 @@
   void aNullInAListIsNoGoodElement() {
     ObjectNode tree = (ObjectNode) Json.tree(Json.bytes(bundle(2, null)));
     tree.withArray("routes").setNull(1);
-    assertThat(ConstraintCheck.passes(Json.read(Json.bytes(tree), Bundle.class))).isFalse();
+    assertThat(ConstraintChecker.passes(Json.read(Json.bytes(tree), RoutingConfiguration.class)))
+        .isFalse();
   }
 
   @Test
@@ -104,8 +110,8 @@
             text.replaceFirst("\"sticky\":true", "\"sticky\":null"),
             text.replaceFirst("\\{", "{\"more\":1,"))) {
       assertWithMessage(faulty)
-          .that(Bundle.check(faulty.getBytes(UTF_8)).fault())
-          .isInstanceOf(Fault.InvalidBundle.class);
+          .that(RoutingConfiguration.check(faulty.getBytes(UTF_8)).fault())
+          .isInstanceOf(ApiError.InvalidConfiguration.class);
     }
   }
 
@@ -115,26 +121,26 @@
     String origin = "x".repeat(150_000);
     byte[] event =
         Json.bytes(
-            new Records.SignedBundle(
+            new SignedConfiguration(
                 3,
                 Json.bytes(bundle(ROUTES, origin)),
                 "",
                 new byte[0],
                 2L,
                 AcceptedRevisions.NONE.with(2, new byte[] {1})));
-    byte[] told = BundleDuty.forFeed(event);
+    byte[] told = ConfigurationManager.forFeed(event);
     assertThat(told.length).isLessThan(event.length / 2 + 8_000);
-    Records.SignedBundle read = Json.read(told, Records.SignedBundle.class);
+    SignedConfiguration read = Json.read(told, SignedConfiguration.class);
     assertThat(read.number()).isEqualTo(3);
     assertThat(read.accepted()).isNull();
-    assertThat(Bundle.kept(read.bytes()).bundle()).isEqualTo(bundle(ROUTES, null));
+    assertThat(RoutingConfiguration.kept(read.bytes()).bundle()).isEqualTo(bundle(ROUTES, null));
   }
 
   @Test
   void aSignedBundleStaysAsItWasSigned() {
     byte[] bytes = Json.bytes(bundle(2, "text"));
-    byte[] event = Json.bytes(new Records.SignedBundle(3, bytes, "operator", new byte[64]));
-    assertThat(Json.read(BundleDuty.forFeed(event), Records.SignedBundle.class).bytes())
+    byte[] event = Json.bytes(new SignedConfiguration(3, bytes, "operator", new byte[64]));
+    assertThat(Json.read(ConfigurationManager.forFeed(event), SignedConfiguration.class).bytes())
         .isEqualTo(bytes);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/ResponseTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ResponseTest.java
@@ -1,9 +1,10 @@
-package applespindle.corelogic;
+package applespindle.corelogic.api;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
@@ -35,7 +36,7 @@
 
   @Test
   void theTypeOfAnEncodedFaultIsKnown() {
-    Response refusal = Response.of(new Fault.NoBundle());
+    Response refusal = Response.of(new ApiError.NoConfiguration());
     Response passedOn = Response.encoded(refusal.status(), refusal.encodedBody(), 0);
     assertThat(passedOn.faultType()).isEqualTo("NoBundle");
   }
--- /dev/null
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
@@ -0,0 +1,215 @@
+package applespindle.corelogic.batch;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.RoutingConfiguration.PoolWeight;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.FakeEnvironment;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AssignedItem;
+import applespindle.corelogic.protocol.Message.BatchOffer;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
+import applespindle.corelogic.protocol.Message.RangeAssignment;
+import applespindle.corelogic.protocol.Message.RangeReport;
+import applespindle.corelogic.protocol.Message.RangeReportResponse;
+import applespindle.corelogic.worker.WorkerRegistry;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** One feeder on simulated time; the test acts as the leader of a batch and as the workers. */
+final class BatchDispatcherFixture extends FakeEnvironment implements BatchDispatcher.Context {
+  static final String HOST = "letters.example";
+
+  final List<Message> toLeader = new ArrayList<>();
+  final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
+  BatchDispatcher feeder;
+  final WorkerRegistry book = new WorkerRegistry(this, () -> feeder.pump());
+
+  /** Whether the leader answers reports. */
+  boolean answers = true;
+
+  RoutingConfiguration bundle;
+  ApiError mayBegin;
+
+  BatchDispatcherFixture() {
+    super(10_000);
+    feeder = new BatchDispatcher(this, "near", this, book);
+    routes(route("p", 1));
+    tick();
+  }
+
+  private void tick() {
+    after(
+        WorkerConstants.LOAD_POLL_INTERVAL_MS,
+        () -> {
+          feeder.tick();
+          tick();
+        });
+  }
+
+  static Route route(String pool, int attempts) {
+    return new Route(
+        "letters",
+        HOST,
+        "/l/",
+        RouteType.BATCH,
+        1_000,
+        500,
+        150,
+        attempts,
+        3,
+        true,
+        true,
+        List.of(new PoolWeight("none", 0), new PoolWeight(pool, 1)),
+        10_000,
+        60_000,
+        0);
+  }
+
+  BatchDispatcherFixture routes(Route... routes) {
+    var pool = new RoutingConfiguration.Pool(64, 4, 1.5);
+    var limits =
+        new RoutingConfiguration.Limits(
+            Map.of("c", new RoutingConfiguration.ClassLimit(0, 0)),
+            new RoutingConfiguration.BatchLimits("q", 0, 0, 0, false, 1_000, null));
+    bundle =
+        new RoutingConfiguration(
+            1,
+            Map.of("p", pool, "q", pool, "none", pool),
+            List.of(),
+            limits,
+            Arrays.asList(routes),
+            null,
+            null);
+    return this;
+  }
+
+  BatchDispatcherFixture worker(String id, String pool, int slots) {
+    workers.put(
+        id,
+        new WorkerRegistration(
+            id, "10.0.0.1:" + (1000 + workers.size()), pool, WorkerRegistration.READY, "z", slots));
+    book.follow(workers);
+    return this;
+  }
+
+  void mark(String id, String state) {
+    WorkerRegistration old = workers.get(id);
+    workers.put(
+        id, new WorkerRegistration(id, old.address(), old.pool(), state, old.zone(), old.slots()));
+    book.follow(workers);
+  }
+
+  BatchDispatcherFixture offer(String batch) {
+    feeder.offered(new BatchOffer(batch, 10_000, 5, HOST, "/l/b"), "leader", "10.0.0.9:1");
+    return this;
+  }
+
+  void handOut(String worker, int range, int... items) {
+    List<AssignedItem> handed =
+        Arrays.stream(items).mapToObj(index -> item(index, "", "")).toList();
+    handOut(worker, range, handed);
+  }
+
+  void handOut(String worker, int range, List<AssignedItem> items) {
+    handOut(worker, range, 10_000, items);
+  }
+
+  void handOut(String worker, int range, long dueInMs, List<AssignedItem> items) {
+    feeder.handedOut(
+        new RangeAssignment("o-1", worker, range, 1, false, dueInMs, now(), items),
+        "leader",
+        "10.0.0.9:1");
+  }
+
+  static AssignedItem item(int index, String resumeAfter, String text) {
+    var item =
+        new ProxiedBatch.Item(
+            "i" + index,
+            "/l/item" + index + "?x=1",
+            List.of(new Header("A", "b")),
+            ("body" + index).getBytes(UTF_8),
+            70);
+    return new AssignedItem(
+        index,
+        Json.bytes(new ProxiedItemAssignment(HOST, "/l/b", 60_000, item, resumeAfter, text)));
+  }
+
+  /** The newest outcomes that were reported for an item, in order. */
+  List<ItemOutcome> outcomes(int index) {
+    List<ItemOutcome> found = new ArrayList<>();
+    toLeader.stream()
+        .filter(RangeReport.class::isInstance)
+        .map(RangeReport.class::cast)
+        .flatMap(report -> report.results().stream())
+        .filter(item -> item.index() == index)
+        .filter(
+            item ->
+                found.stream()
+                    .noneMatch(
+                        each ->
+                            each.run().equals(item.run())
+                                && each.faultType().equals(item.faultType())))
+        .forEach(found::add);
+    return found;
+  }
+
+  boolean gaveBack() {
+    return toLeader.stream()
+        .anyMatch(message -> message instanceof RangeReport report && report.giveBack());
+  }
+
+  @Override
+  public void send(String toAddress, String toId, Message message) {
+    toLeader.add(message);
+    if (message instanceof RangeReport report && answers) {
+      after(
+          1,
+          () ->
+              feeder.answered(
+                  new RangeReportResponse(
+                      report.batch(),
+                      report.range(),
+                      report.rangeEpoch(),
+                      report.worker(),
+                      report.reportNumber(),
+                      !report.giveBack())));
+    }
+  }
+
+  @Override
+  public boolean feeds(String worker) {
+    return true;
+  }
+
+  @Override
+  public ApiError mayBegin() {
+    return mayBegin;
+  }
+
+  @Override
+  public RoutingConfiguration bundle() {
+    return bundle;
+  }
+
+  @Override
+  public RouteTable routes() {
+    return bundle == null ? RouteTable.EMPTY : RouteTable.compile(bundle);
+  }
+
+  @Override
+  public boolean stopping() {
+    return false;
+  }
+}
--- a/core-logic/src/test/java/applespindle/corelogic/BatchFeederTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
@@ -1,30 +1,34 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Bundle.RouteType;
-import applespindle.corelogic.Message.RangePull;
-import applespindle.corelogic.Message.RangeReport;
-import applespindle.corelogic.Message.ReportedItem;
-import applespindle.corelogic.Message.WorkerLoads;
-import applespindle.corelogic.Message.WorkerLoads.OwnLoad;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.PlayedWorld.Sent;
-import applespindle.corelogic.Records.Worker;
-import applespindle.corelogic.Surroundings.WorkerExchange;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.FakeEnvironment.Sent;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Message.ItemOutcome;
+import applespindle.corelogic.protocol.Message.PeerLoadReport;
+import applespindle.corelogic.protocol.Message.PeerLoadReport.OwnLoad;
+import applespindle.corelogic.protocol.Message.RangeReport;
+import applespindle.corelogic.protocol.Message.RangeRequest;
+import applespindle.corelogic.worker.WorkerState;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Opaque items at one feeder: the test acts as the leader and as the workers. */
-final class BatchFeederTest {
-  private static final Head STREAM =
-      new Head(200, List.of(new Header("Content-Type", "text/event-stream")));
+final class BatchDispatcherTest {
+  private static final ResponseHead STREAM =
+      new ResponseHead(200, List.of(new Header("Content-Type", "text/event-stream")));
 
-  private final BatchFeederFixture fixture = new BatchFeederFixture();
+  private final BatchDispatcherFixture fixture = new BatchDispatcherFixture();
 
   private Sent handOne() {
     fixture.worker("w", "p", 8).handOut("w", 0, 0);
@@ -41,7 +45,7 @@
         .run(300);
     List<String> pulledFor =
         fixture.toLeader.stream()
-            .map(message -> ((RangePull) message).worker())
+            .map(message -> ((RangeRequest) message).worker())
             .distinct()
             .toList();
     assertThat(pulledFor).containsExactly("w");
@@ -55,7 +59,7 @@
     assertThat(call.request().id()).isEqualTo("i0");
     assertThat(call.request().method()).isEqualTo("POST");
     assertThat(call.request().target()).isEqualTo("/l/item0?x=1");
-    assertThat(call.request().host()).isEqualTo(BatchFeederFixture.HOST);
+    assertThat(call.request().host()).isEqualTo(BatchDispatcherFixture.HOST);
     assertThat(call.request().headers()).containsExactly(new Header("A", "b"));
     assertThat(new String(call.request().body(), UTF_8)).isEqualTo("body0");
     assertThat(call.expiryMs()).isEqualTo(60_000);
@@ -72,11 +76,11 @@
 
   @Test
   void neverAtTheRankOfTheMostUrgentLiveRequests() {
-    Route route = BatchFeederFixture.route("p", 1);
+    Route route = BatchDispatcherFixture.route("p", 1);
     fixture.routes(
         new Route(
             "letters",
-            BatchFeederFixture.HOST,
+            BatchDispatcherFixture.HOST,
             "/l/",
             RouteType.BATCH,
             1_000,
@@ -101,7 +105,7 @@
     run.event(2, "b");
     assertThat(fixture.outcomes(0)).isEmpty();
     run.worker.end();
-    ReportedItem outcome = fixture.outcomes(0).get(0);
+    ItemOutcome outcome = fixture.outcomes(0).get(0);
     assertThat(outcome.faultType()).isEmpty();
     assertThat(new String(outcome.output(), UTF_8)).isEqualTo("a\nb");
   }
@@ -128,10 +132,11 @@
     fixture.worker("w", "p", 8).handOut("w", 0, 0, 1);
     serve(fixture.sent.get(0));
     serve(fixture.sent.get(1));
-    fixture.run(Constants.RESULT_AGAIN_MS - Constants.RANGE_REPORT_MS);
+    fixture.run(BatchConstants.RESULT_RESEND_MS - BatchConstants.RANGE_REPORT_INTERVAL_MS);
     assertThat(carried(0)).isEqualTo(1);
     assertThat(carried(1)).isEqualTo(1);
-    fixture.run(2 * Constants.RANGE_REPORT_MS + Constants.LOAD_POLL_MS);
+    fixture.run(
+        2 * BatchConstants.RANGE_REPORT_INTERVAL_MS + WorkerConstants.LOAD_POLL_INTERVAL_MS);
     assertThat(carried(0)).isEqualTo(2);
   }
 
@@ -142,7 +147,7 @@
     serve(fixture.sent.get(0));
     serve(fixture.sent.get(1));
     RangeReport second = (RangeReport) fixture.toLeader.get(fixture.toLeader.size() - 1);
-    assertThat(second.results().stream().map(ReportedItem::index).toList()).containsExactly(1);
+    assertThat(second.results().stream().map(ItemOutcome::index).toList()).containsExactly(1);
     assertThat(second.offset()).isEqualTo(0);
   }
 
@@ -156,7 +161,7 @@
     serve(fixture.sent.get(0));
     fixture.answers = true;
     serve(fixture.sent.get(1));
-    fixture.run(2 * Constants.RESULT_AGAIN_MS);
+    fixture.run(2 * BatchConstants.RESULT_RESEND_MS);
     assertThat(carried(0)).isEqualTo(2);
     assertThat(carried(1)).isEqualTo(1);
     assertThat(fixture.feeder.heldRanges()).isEqualTo(0);
@@ -168,7 +173,7 @@
     Sent run = handOne();
     serve(run);
     fixture.feeder.leaderMoved("o-1", "next", "10.0.0.8:1");
-    fixture.run(Constants.RANGE_REPORT_MS + Constants.LOAD_POLL_MS);
+    fixture.run(BatchConstants.RANGE_REPORT_INTERVAL_MS + WorkerConstants.LOAD_POLL_INTERVAL_MS);
     assertThat(carried(0)).isEqualTo(2);
   }
 
@@ -178,10 +183,10 @@
     run.worker.head(STREAM);
     run.event(1, "a");
     run.event(2, "b");
-    run.worker.fault(new Fault.WorkerCut("w"), true);
+    run.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
     run.event(3, "late");
     fixture.run(500);
-    ReportedItem part = fixture.outcomes(0).get(0);
+    ItemOutcome part = fixture.outcomes(0).get(0);
     assertThat(part.faultType()).isEqualTo("WorkerCut");
     assertThat(part.finishReason()).isEqualTo("2");
     assertThat(new String(part.output(), UTF_8)).isEqualTo("a\nb");
@@ -191,8 +196,10 @@
 
   @Test
   void anAnswerThatSaysNothingKeepsTheTextOfEarlierRuns() {
-    fixture.worker("w", "p", 8).handOut("w", 0, List.of(BatchFeederFixture.item(0, "2", "a\nb")));
-    fixture.sent.get(0).worker.head(new Head(504, List.of()));
+    fixture
+        .worker("w", "p", 8)
+        .handOut("w", 0, List.of(BatchDispatcherFixture.item(0, "2", "a\nb")));
+    fixture.sent.get(0).worker.head(new ResponseHead(504, List.of()));
     fixture.sent.get(0).worker.end();
     fixture.run(500);
     Sent next = fixture.sent.get(1);
@@ -209,12 +216,12 @@
     Sent run = handOne();
     run.worker.head(STREAM);
     run.event(1, "a");
-    fixture.mark("w", Worker.LEAVING);
+    fixture.mark("w", WorkerRegistration.LEAVING);
     fixture.run(300);
     assertThat(run.cancelled).isFalse();
-    run.worker.fault(new Fault.WorkerCut("w"), true);
+    run.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(500);
-    ReportedItem part = fixture.outcomes(0).get(0);
+    ItemOutcome part = fixture.outcomes(0).get(0);
     assertThat(part.faultType()).isEqualTo("WorkerCut");
     assertThat(part.finishReason()).isEqualTo("1");
     assertThat(new String(part.output(), UTF_8)).isEqualTo("a");
@@ -224,7 +231,9 @@
 
   @Test
   void aPartThatWasHandedOutIsGoneOnWith() {
-    fixture.worker("w", "p", 8).handOut("w", 0, List.of(BatchFeederFixture.item(0, "2", "a\nb")));
+    fixture
+        .worker("w", "p", 8)
+        .handOut("w", 0, List.of(BatchDispatcherFixture.item(0, "2", "a\nb")));
     Sent run = fixture.sent.get(0);
     assertThat(run.call.resumeAfter()).isEqualTo("2");
     run.worker.head(STREAM);
@@ -236,13 +245,13 @@
   @Test
   void onlyAWhole500IsAFailedAttempt() {
     Sent run = handOne();
-    run.worker.head(new Head(500, List.of()));
-    run.worker.fault(new Fault.WorkerCut("w"), true);
+    run.worker.head(new ResponseHead(500, List.of()));
+    run.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(2_000);
     assertThat(fixture.outcomes(0)).isEmpty();
     fixture.handOut("w", 1, 0);
     Sent next = fixture.sent.get(1);
-    next.worker.head(new Head(500, List.of()));
+    next.worker.head(new ResponseHead(500, List.of()));
     next.worker.end();
     assertThat(fixture.outcomes(0).get(0).faultType()).isEqualTo("ItemFailed");
   }
@@ -250,7 +259,7 @@
   @Test
   void a422EndsTheItem() {
     Sent run = handOne();
-    run.worker.head(new Head(422, List.of()));
+    run.worker.head(new ResponseHead(422, List.of()));
     run.worker.end();
     assertThat(fixture.outcomes(0).get(0).faultType()).isEqualTo("ItemImpossible");
   }
@@ -258,17 +267,17 @@
   @Test
   void noOtherAnswerCountsAgainstTheItem() {
     Sent run = handOne();
-    run.worker.head(new Head(504, List.of()));
+    run.worker.head(new ResponseHead(504, List.of()));
     run.worker.end();
     fixture.run(500);
-    fixture.sent.get(1).worker.fault(new Fault.WorkerRefused(503), false);
+    fixture.sent.get(1).worker.fault(new ApiError.WorkerRejected(503), false);
     fixture.run(500);
     Sent page = fixture.sent.get(2);
-    page.worker.head(new Head(200, List.of(new Header("Content-Type", "text/plain"))));
-    page.worker.piece(new Piece("", "data: x".getBytes(UTF_8)));
+    page.worker.head(new ResponseHead(200, List.of(new Header("Content-Type", "text/plain"))));
+    page.worker.piece(new ResponseChunk("", "data: x".getBytes(UTF_8)));
     page.worker.end();
     fixture.run(500);
-    fixture.sent.get(3).worker.fault(new Fault.WorkerGarbage("w"), true);
+    fixture.sent.get(3).worker.fault(new ApiError.MalformedWorkerResponse("w"), true);
     fixture.run(1_000);
     assertThat(fixture.outcomes(0)).isEmpty();
     assertThat(fixture.gaveBack()).isTrue();
@@ -279,7 +288,7 @@
     Sent run = handOne();
     run.worker.head(STREAM);
     run.event(1, "a");
-    fixture.run(Constants.SILENT_LEAST_MS + 5_000);
+    fixture.run(BatchConstants.MIN_SILENCE_TIMEOUT_MS + 5_000);
     assertThat(run.cancelled).isTrue();
     assertThat(fixture.outcomes(0).get(0).finishReason()).isEqualTo("1");
     assertThat(fixture.gaveBack()).isTrue();
@@ -308,7 +317,7 @@
   @Test
   void leavesTheReserveFreeBesideLiveRequests() {
     fed("w", 8);
-    fixture.book.peerTold("other", new WorkerLoads(List.of(new OwnLoad("w", 2, 0))));
+    fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad("w", 2, 0))));
     fixture.handOut("w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
     begun();
     assertThat(fixture.sent).hasSize(5);
@@ -321,16 +330,18 @@
     fixture.handOut("w", 0, 0);
     Sent first = fixture.sent.get(0);
     first.worker.head(STREAM);
-    fixture.handOut("w", 1, -500, List.of(BatchFeederFixture.item(1, "", "")));
-    fixture.handOut("w", 2, 2_400, List.of(BatchFeederFixture.item(2, "", "")));
+    fixture.handOut("w", 1, -500, List.of(BatchDispatcherFixture.item(1, "", "")));
+    fixture.handOut("w", 2, 2_400, List.of(BatchDispatcherFixture.item(2, "", "")));
     serve(first);
     assertThat(fixture.sent).hasSize(2);
     assertThat(fixture.sent.get(1).call.request().id()).isEqualTo("i2");
   }
 
   /** A worker that was fed from here long enough for all of its slots less the reserve. */
-  private BatchFeederFixture fed(String worker, int slots) {
-    fixture.worker(worker, "p", slots).run(Constants.FEEDER_RAMP_MS + Constants.LOAD_POLL_MS);
+  private BatchDispatcherFixture fed(String worker, int slots) {
+    fixture
+        .worker(worker, "p", slots)
+        .run(BatchConstants.DISPATCH_SLOW_START_MS + WorkerConstants.LOAD_POLL_INTERVAL_MS);
     return fixture;
   }
 
@@ -343,12 +354,12 @@
             22, 23);
     int begunAtOnce = begun();
     assertThat(begunAtOnce).isEqualTo(5);
-    fixture.run(Constants.FEEDER_RAMP_MS / 2);
+    fixture.run(BatchConstants.DISPATCH_SLOW_START_MS / 2);
     int begunHalfway = begun();
     assertThat(begunHalfway).isGreaterThan(begunAtOnce);
     assertThat(begunHalfway).isAtMost(11);
     for (int step = 0; step < 10; step++) {
-      fixture.run(Constants.FEEDER_RAMP_MS / 10);
+      fixture.run(BatchConstants.DISPATCH_SLOW_START_MS / 10);
       begun();
     }
     assertThat(fixture.sent).hasSize(21);
@@ -365,36 +376,40 @@
   @Test
   void anItemWaitsUntilTheWorkerHasReadWhatFellowsSentThere() {
     fed("w", 8);
-    int pauseTokens = (int) (150 * Constants.ITEM_PAUSE_PART * Constants.PACE_GUESS_TOKENS_PER_MS);
+    int pauseTokens =
+        (int)
+            (150
+                * BatchConstants.MAX_STREAM_PAUSE_SHARE
+                * WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS);
     fixture.book.peerTold(
-        "other", new WorkerLoads(List.of(new OwnLoad("w", 1, pauseTokens + 2_000))));
+        "other", new PeerLoadReport(List.of(new OwnLoad("w", 1, pauseTokens + 2_000))));
     fixture.handOut("w", 0, 0);
     assertThat(fixture.sent).isEmpty();
-    fixture.run(40 - 2 * Constants.ITEM_LOOK_MS + 20);
+    fixture.run(40 - 2 * BatchConstants.ITEM_CHECK_INTERVAL_MS + 20);
     assertThat(fixture.sent).isEmpty();
-    fixture.run(2 * Constants.ITEM_LOOK_MS);
+    fixture.run(2 * BatchConstants.ITEM_CHECK_INTERVAL_MS);
     assertThat(fixture.sent).hasSize(1);
   }
 
   @Test
   void itsOwnItemsCountAsToBeReadUntilSomethingComes() {
     fed("w", 8).handOut("w", 0, 0);
-    WorkerBook.Known worker = fixture.book.get("w");
+    WorkerState worker = fixture.book.get("w");
     assertThat(worker.reading).isEqualTo(35.0);
     fixture.sent.get(0).worker.head(STREAM);
     assertThat(worker.reading).isEqualTo(0.0);
-    fixture.sent.get(0).worker.fault(new Fault.WorkerSilent("w"), true);
+    fixture.sent.get(0).worker.fault(new ApiError.WorkerTimeout("w"), true);
     assertThat(worker.reading).isEqualTo(0.0);
   }
 
   @Test
   void nothingIsSentToALeavingWorkerOrWithoutNews() {
-    fixture.worker("w", "p", 8).mark("w", Worker.LEAVING);
+    fixture.worker("w", "p", 8).mark("w", WorkerRegistration.LEAVING);
     fixture.handOut("w", 0, 0);
     fixture.run(500);
     assertThat(fixture.sent).isEmpty();
     fixture.worker("x", "p", 8);
-    fixture.mayBegin = new Fault.NodeIsolated(9);
+    fixture.mayBegin = new ApiError.NodeIsolated(9);
     fixture.handOut("x", 1, 1);
     fixture.run(500);
     assertThat(fixture.sent).isEmpty();
@@ -402,7 +417,7 @@
 
   @Test
   void theRouteInForceAtTheMomentOfSendingCounts() {
-    fixture.worker("w", "p", 8).routes(BatchFeederFixture.route("q", 1));
+    fixture.worker("w", "p", 8).routes(BatchDispatcherFixture.route("q", 1));
     fixture.handOut("w", 0, 0);
     assertThat(fixture.sent).isEmpty();
     fixture.run(500);
@@ -416,7 +431,7 @@
     Sent run = fixture.sent.get(0);
     assertThat(fixture.sent).hasSize(1);
     run.worker.head(STREAM);
-    fixture.run(Constants.RANGE_GRANT_MS + 1);
+    fixture.run(BatchConstants.RANGE_LEASE_MS + 1);
     run.worker.end();
     fixture.run(500);
     assertThat(fixture.sent).hasSize(1);
@@ -437,7 +452,7 @@
     fixture.worker("w", "p", 2).handOut("w", 0, 0, 1);
     fixture.workers.clear();
     fixture.book.follow(fixture.workers);
-    fixture.sent.get(0).worker.fault(new Fault.WorkerUnreachable("w"), false);
+    fixture.sent.get(0).worker.fault(new ApiError.WorkerUnreachable("w"), false);
     fixture.run(500);
     assertThat(fixture.gaveBack()).isTrue();
   }
--- a/core-logic/src/test/java/applespindle/corelogic/BatchViewTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchStateTest.java
@@ -1,21 +1,22 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchEvent.Accepted;
-import applespindle.corelogic.BatchEvent.Attempt;
-import applespindle.corelogic.BatchEvent.Opaque;
-import applespindle.corelogic.BatchEvent.Recorded;
-import applespindle.corelogic.BatchEvent.Result;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.batch.BatchEvent.Attempt;
+import applespindle.corelogic.batch.BatchEvent.ProxiedRoute;
+import applespindle.corelogic.batch.BatchEvent.Recorded;
+import applespindle.corelogic.batch.BatchEvent.Result;
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The fold of an opaque batch's log. */
-final class BatchViewTest {
-  private final BatchView view = new BatchView();
+final class BatchStateTest {
+  private final BatchState view = new BatchState();
 
   private void fold(BatchEvent event) {
     view.fold(Json.bytes(event));
@@ -26,13 +27,18 @@
     fold(
         BatchEvent.accepted(
             new Accepted(
-                "", "digest", 10_000, 60_000, items, new Opaque("h", "/l/x", "r", 4, 2, 500))));
+                "",
+                "digest",
+                10_000,
+                60_000,
+                items,
+                new ProxiedRoute("h", "/l/x", "r", 4, 2, 500))));
     fold(BatchEvent.ordered(List.of(1, 0), 2));
   }
 
   private static JsonNode item(String id, int tokens) {
     return JSON.valueToTree(
-        new OpaqueBatch.Item(id, "/l/" + id, List.of(), "body".getBytes(UTF_8), tokens));
+        new ProxiedBatch.Item(id, "/l/" + id, List.of(), "body".getBytes(UTF_8), tokens));
   }
 
   private void record(int item, String fault, String output) {
@@ -89,7 +95,8 @@
   @Test
   void keepsTheBodyByteForByte() {
     accept();
-    OpaqueBatch.Item item = JSON.convertValue(view.accepted.items().get(1), OpaqueBatch.Item.class);
+    ProxiedBatch.Item item =
+        JSON.convertValue(view.accepted.items().get(1), ProxiedBatch.Item.class);
     assertThat(new String(item.body(), UTF_8)).isEqualTo("body");
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/DueOrderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/DeadlineOrderTest.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -7,8 +7,8 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-class DueOrderTest {
-  private final DueOrder order = new DueOrder(10_000, 1_300);
+class DeadlineOrderTest {
+  private final DeadlineOrder order = new DeadlineOrder(10_000, 1_300);
 
   private List<Long> sorted(long... dueAt) {
     return LongStream.of(dueAt).boxed().sorted(order::compare).toList();
--- a/core-logic/src/test/java/applespindle/corelogic/OpenSubmissionsTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/PendingSubmissionsTest.java
@@ -1,12 +1,12 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static com.google.common.truth.Truth.assertThat;
 
 import org.junit.jupiter.api.Test;
 
 /** A batch without an answer past its deadline is found, once. */
-class OpenSubmissionsTest {
-  private final OpenSubmissions submissions = new OpenSubmissions();
+class PendingSubmissionsTest {
+  private final PendingSubmissions submissions = new PendingSubmissions();
 
   @Test
   void oneLookPastTheDeadlineProvesNothing() {
--- a/core-logic/src/test/java/applespindle/corelogic/SampleBatchTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -8,7 +8,7 @@
 class SampleBatchTest {
   @Test
   void theSampleIsReadWithoutFault() {
-    BatchFormat.Read read =
+    BatchFormat.ParsedBatch read =
         BatchFormat.OWN.read(BatchFormat.OWN.sample("id", "h.example", "/p/id", 60));
 
     assertThat(read.fault()).isNull();
--- /dev/null
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
@@ -0,0 +1,60 @@
+package applespindle.corelogic.batch;
+
+import static com.google.common.truth.Truth.assertThat;
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** A submission is passed on as it came and becomes the accepting event at its leader. */
+class SubmissionReaderTest {
+  private final SubmissionReader intake = new SubmissionReader(BatchFormat.OWN);
+
+  private static ProxiedBatch batch(String body) {
+    var item =
+        new ProxiedBatch.Item("e1", "/p/1", List.of(new Header("A", "b")), body.getBytes(UTF_8), 7);
+    return new ProxiedBatch("c1", "h.example", "/p/c1", List.of(item));
+  }
+
+  private static byte[] sent(ProxiedBatch batch, long bundleNumber) {
+    return new BatchSubmission.Forwarded(BatchSubmission.of(batch), bundleNumber).encode();
+  }
+
+  @Test
+  void aSubmissionIsDecodedAsItWasEncoded() {
+    BatchSubmission.Forwarded sent = BatchSubmission.Forwarded.decode(sent(batch("x"), 9));
+
+    assertThat(sent.bundleNumber()).isEqualTo(9);
+    assertThat(sent.submission().id()).isEqualTo("c1");
+    assertThat(sent.submission().host()).isEqualTo("h.example");
+    assertThat(sent.submission().path()).isEqualTo("/p/c1");
+    assertThat(sent.submission().body()).isEqualTo(Json.bytes(batch("x")));
+  }
+
+  @Test
+  void theVersionBeforeSentTheEventItself() {
+    byte[] body = Json.bytes(new Accepted("", "digest", 10, 20, List.of(), null));
+
+    assertThat(intake.take(body, null, RouteTable.EMPTY).accepted().digest()).isEqualTo("digest");
+  }
+
+  @Test
+  void withoutAConfigurationNothingIsTaken() {
+    SubmissionReader.ReadResult taken = intake.take(sent(batch("x"), 3), null, RouteTable.EMPTY);
+
+    assertThat(taken.fault()).isInstanceOf(ApiError.NotReady.class);
+  }
+
+  @Test
+  void digestsOfOneSchemeTellContentsApart() {
+    assertThat(SubmissionReader.differ("fields:1", "fields:1")).isFalse();
+    assertThat(SubmissionReader.differ("fields:1", "fields:2")).isTrue();
+    assertThat(SubmissionReader.differ("1", "2")).isTrue();
+    assertThat(SubmissionReader.differ("1", "fields:2")).isFalse();
+  }
+}
--- a/core-logic/src/test/java/applespindle/corelogic/SubmissionsInWorkTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionsInProgressTest.java
@@ -1,26 +1,26 @@
-package applespindle.corelogic;
+package applespindle.corelogic.batch;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Message.Ask;
+import applespindle.corelogic.protocol.Message.PeerRequest;
 import org.junit.jupiter.api.Test;
 
 /** The same batch that arrives again while it is being accepted is not taken up anew. */
-class SubmissionsInWorkTest {
-  private final SubmissionsInWork submissions = new SubmissionsInWork();
+class SubmissionsInProgressTest {
+  private final SubmissionsInProgress submissions = new SubmissionsInProgress();
 
-  private static Ask ask(long correlation, String key, int... body) {
+  private static PeerRequest ask(long correlation, String key, int... body) {
     byte[] bytes = new byte[body.length];
     for (int index = 0; index < body.length; index++) {
       bytes[index] = (byte) body[index];
     }
-    return new Ask(correlation, Ask.SUBMIT, key, "edge", "edge:1", 1, bytes);
+    return new PeerRequest(correlation, PeerRequest.SUBMIT, key, "edge", "edge:1", 1, bytes);
   }
 
   @Test
   void theSameBatchJoinsAndIsToldTheSame() {
-    Ask first = ask(1, "batch/a", 1, 2);
-    Ask again = ask(2, "batch/a", 1, 2);
+    PeerRequest first = ask(1, "batch/a", 1, 2);
+    PeerRequest again = ask(2, "batch/a", 1, 2);
     assertThat(submissions.join(first)).isFalse();
     submissions.begin(first);
 
@@ -34,7 +34,7 @@
 
   @Test
   void anotherBodyOrKeyDoesNotJoin() {
-    Ask first = ask(1, "batch/a", 1, 2);
+    PeerRequest first = ask(1, "batch/a", 1, 2);
     submissions.begin(first);
 
     assertThat(submissions.join(ask(2, "batch/a", 1, 3))).isFalse();
--- a/core-logic/src/test/java/applespindle/corelogic/FeedTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/changefeed/ChangeFeedTest.java
@@ -1,22 +1,22 @@
-package applespindle.corelogic;
+package applespindle.corelogic.changefeed;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Message.FeedItem;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FeedTest {
-  private final Feed feed = new Feed();
+class ChangeFeedTest {
+  private final ChangeFeed feed = new ChangeFeed();
 
-  private static FeedItem item(String key, long sequence) {
-    return new FeedItem(key, sequence, new byte[0]);
+  private static MetadataRecord item(String key, long sequence) {
+    return new MetadataRecord(key, sequence, new byte[0]);
   }
 
   @Test
   void givesEachChangedKeyOnceInItsNewestValue() {
-    FeedItem newest = item("one", 3);
-    FeedItem other = item("other", 1);
+    MetadataRecord newest = item("one", 3);
+    MetadataRecord other = item("other", 1);
     feed.add(item("one", 1));
     feed.add(item("one", 2));
     feed.add(other);
--- a/core-logic/src/test/java/applespindle/corelogic/JsonFixtures.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.common;
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
@@ -16,11 +16,11 @@
  * and other nodes hold such texts, so the fixtures never change: a change of a format adds new
  * ones.
  */
-final class JsonFixtures {
+public final class JsonFixtures {
   private JsonFixtures() {}
 
   /** Each line is a name, a space and a JSON text. */
-  static Map<String, String> read(String resource) throws IOException {
+  public static Map<String, String> read(String resource) throws IOException {
     Map<String, String> texts = new LinkedHashMap<>();
     try (InputStream in = JsonFixtures.class.getResourceAsStream(resource)) {
       for (String line : new String(in.readAllBytes(), UTF_8).split("\n")) {
@@ -32,7 +32,7 @@
   }
 
   /** Each text reads as its value, and the value is written as that very text. */
-  static void assertTextsMatch(Map<String, String> texts, Map<String, Object> expected) {
+  public static void assertTextsMatch(Map<String, String> texts, Map<String, Object> expected) {
     assertThat(texts.keySet()).containsExactlyElementsIn(expected.keySet());
     expected.forEach(
         (name, value) -> {
@@ -43,7 +43,7 @@
   }
 
   /** Compares field by field, as equality of records doesn't look into byte arrays. */
-  static void assertSame(String where, Object actual, Object expected) {
+  public static void assertSame(String where, Object actual, Object expected) {
     if (expected instanceof Record) {
       assertWithMessage(where).that(actual).isNotNull();
       assertWithMessage(where).that(actual.getClass()).isEqualTo(expected.getClass());
--- a/core-logic/src/test/java/applespindle/corelogic/JsonMeterTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonSizeObserverTest.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.common;
 
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class JsonMeterTest {
+class JsonSizeObserverTest {
   private final List<Integer> sizes = new ArrayList<>();
 
   @Test
   void hearsOfDocumentsReadAndWritten() {
-    JsonMeter.observe(
+    JsonSizeObserver.observe(
         sizes::add,
         () -> {
           Json.bytes(List.of(1, 2));
@@ -24,7 +24,7 @@
 
   @Test
   void hearsNothingAfterTheTask() {
-    JsonMeter.observe(sizes::add, () -> {});
+    JsonSizeObserver.observe(sizes::add, () -> {});
     Json.bytes(List.of(1, 2));
     assertThat(sizes).isEmpty();
   }
@@ -35,7 +35,7 @@
         () -> {
           throw new IllegalStateException("fails");
         };
-    assertThrows(IllegalStateException.class, () -> JsonMeter.observe(sizes::add, failing));
+    assertThrows(IllegalStateException.class, () -> JsonSizeObserver.observe(sizes::add, failing));
     Json.bytes(List.of(1, 2));
     assertThat(sizes).isEmpty();
   }
@@ -43,7 +43,7 @@
   @Test
   void hearsNothingOfOtherThreads() {
     Thread other = new Thread(() -> Json.bytes(List.of(1, 2)));
-    JsonMeter.observe(
+    JsonSizeObserver.observe(
         sizes::add,
         () -> {
           other.start();
--- a/core-logic/src/test/java/applespindle/corelogic/ConfigurationPatchTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/ConfigurationPatchTest.java
@@ -1,9 +1,11 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,7 +17,7 @@
        "routes": [{"name": "r1", "host": "one"}, {"name": "r2", "host": "two"}], "more": [1]}
       """;
 
-  private static ConfigurationPatch.Read read(String patch) {
+  private static ConfigurationPatch.ParsedPatch read(String patch) {
     return ConfigurationPatch.read(
         ConfigurationFormat.OWN, patch.replace('\'', '"').getBytes(UTF_8));
   }
@@ -24,7 +26,7 @@
     return (ObjectNode) Json.tree(PRESENT.getBytes(UTF_8));
   }
 
-  private static ConfigurationPatch.Applied applied(String patch) {
+  private static ConfigurationPatch.PatchResult applied(String patch) {
     return read(patch).patch().applyTo(present());
   }
 
@@ -32,8 +34,9 @@
   void replacesInPlaceAddsBehindTheLastAndRemoves() {
     ObjectNode whole =
         applied(
-                "{'number': 9, 'upsert': {'routes': [{'name': 'r3'}, {'name': 'r1', 'host': 'new'}],"
-                    + " 'pools': {'c': {}}}, 'remove': {'routes': ['r2'], 'pools': ['a']}}")
+                "{'number': 9, 'upsert': {'routes': [{'name': 'r3'}, {'name': 'r1', 'host':"
+                    + " 'new'}], 'pools': {'c': {}}}, 'remove': {'routes': ['r2'], 'pools':"
+                    + " ['a']}}")
             .whole();
 
     assertThat(whole.toString())
@@ -99,17 +102,17 @@
 
   @Test
   void whatIsToBeRemovedMustBeThere() {
-    List<Fault.Field> faults =
+    List<ApiError.Field> faults =
         applied("{'number': 9, 'remove': {'routes': ['r1', 'r9'], 'pools': ['z']}}").faults();
-    assertThat(faults.stream().map(Fault.Field::path))
+    assertThat(faults.stream().map(ApiError.Field::path))
         .containsExactly("$.remove.routes[1]", "$.remove.pools[0]");
   }
 
   private static void assertFault(String patch, String path) {
-    ConfigurationPatch.Read read = read(patch);
+    ConfigurationPatch.ParsedPatch read = read(patch);
     assertWithMessage(patch).that(read.patch()).isNull();
     assertWithMessage(patch)
-        .that(read.faults().stream().map(Fault.Field::path).toList())
+        .that(read.faults().stream().map(ApiError.Field::path).toList())
         .containsExactly(path);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/RouteTableTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RouteTableTest.java
@@ -1,10 +1,10 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Bundle.Route;
-import applespindle.corelogic.Bundle.RouteType;
-import applespindle.corelogic.Bundle.Share;
+import applespindle.corelogic.configuration.RoutingConfiguration.PoolWeight;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
         0,
         false,
         false,
-        List.of(new Share("p", 1)),
+        List.of(new PoolWeight("p", 1)),
         0,
         0,
         0);
@@ -33,7 +33,7 @@
   void theLongestPrefixOfTheHostIsTheRoute() {
     RouteTable table =
         RouteTable.compile(
-            new Bundle(
+            new RoutingConfiguration(
                 1,
                 Map.of(),
                 List.of(),
--- a/core-logic/src/test/java/applespindle/corelogic/BundleTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
@@ -1,13 +1,14 @@
-package applespindle.corelogic;
+package applespindle.corelogic.configuration;
 
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import applespindle.corelogic.api.ApiError;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class BundleTest {
+class RoutingConfigurationTest {
   private static final String GOOD =
       """
       {"number": 3,
@@ -22,14 +23,14 @@
                             "cancelForLive": true, "itemExpiryMs": 1000}}}
       """;
 
-  private static Bundle.Checked check(String text) {
-    return Bundle.check(text.getBytes(UTF_8));
+  private static RoutingConfiguration.ValidationResult check(String text) {
+    return RoutingConfiguration.check(text.getBytes(UTF_8));
   }
 
   private static void rejects(String text, String... paths) {
-    Fault fault = check(text).fault();
-    assertThat(fault).isInstanceOf(Fault.InvalidBundle.class);
-    assertThat(((Fault.InvalidBundle) fault).fields().stream().map(Fault.Field::path))
+    ApiError fault = check(text).fault();
+    assertThat(fault).isInstanceOf(ApiError.InvalidConfiguration.class);
+    assertThat(((ApiError.InvalidConfiguration) fault).fields().stream().map(ApiError.Field::path))
         .containsExactlyElementsIn(List.of(paths));
   }
 
@@ -58,8 +59,8 @@
 
   @Test
   void namesThePositionOfAFaultyExpression() {
-    Fault fault = check(GOOD.replace("promptChars > 100", "promptChars > 'x'")).fault();
-    Fault.Field field = ((Fault.InvalidBundle) fault).fields().get(0);
+    ApiError fault = check(GOOD.replace("promptChars > 100", "promptChars > 'x'")).fault();
+    ApiError.Field field = ((ApiError.InvalidConfiguration) fault).fields().get(0);
     assertThat(field.path()).isEqualTo("$.rules[0].when");
     assertThat(field.reason()).startsWith("line 1, column 13: ");
     assertThat(check(GOOD.replace("promptChars > 100", "[1].exists(x, x > 0)")).fault().type())
@@ -69,7 +70,7 @@
   @Test
   void anUnknownSignerAndAWrongSignatureAreRefusedBeforeAnythingIsRead() {
     byte[] bytes = "not json".getBytes(UTF_8);
-    assertThat(Bundle.check(bytes, "nobody", new byte[64], Map.of()).fault().type())
+    assertThat(RoutingConfiguration.check(bytes, "nobody", new byte[64], Map.of()).fault().type())
         .isEqualTo("SignatureRefused");
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/LeaderPlacementTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/dataplane/BatchLeaderPlacementTest.java
@@ -1,8 +1,8 @@
-package applespindle.corelogic;
+package applespindle.corelogic.dataplane;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Records.Member;
+import applespindle.corelogic.metadata.NodeRegistration;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Batches are led where there is processor time and link for them. */
-class LeaderPlacementTest {
+class BatchLeaderPlacementTest {
   private static final int REPLICAS = 5;
 
-  private static Member edge(String id, String zone, double cores, double megabits) {
-    return new Member(id, 1, id, zone, "edge", id + ":1", "", true, cores, megabits);
+  private static NodeRegistration edge(String id, String zone, double cores, double megabits) {
+    return new NodeRegistration(id, 1, id, zone, "edge", id + ":1", "", true, cores, megabits);
   }
 
   /** Many small edges and two larger ones in each of three zones. */
-  private static List<Member> mixed() {
-    List<Member> edges = new ArrayList<>();
+  private static List<NodeRegistration> mixed() {
+    List<NodeRegistration> edges = new ArrayList<>();
     for (String zone : List.of("a", "b", "c")) {
       IntStream.range(0, 2).forEach(n -> edges.add(edge(zone + "-large-" + n, zone, 0.72, 70)));
       IntStream.range(0, 20).forEach(n -> edges.add(edge(zone + "-small-" + n, zone, 0.12, 21)));
@@ -29,13 +29,13 @@
     return edges;
   }
 
-  private static List<String> fit(int replicas, List<Member> edges) {
-    LeaderPlacement placement = new LeaderPlacement(replicas, edges);
-    return edges.stream().map(Member::id).filter(placement::mayLead).toList();
+  private static List<String> fit(int replicas, List<NodeRegistration> edges) {
+    BatchLeaderPlacement placement = new BatchLeaderPlacement(replicas, edges);
+    return edges.stream().map(NodeRegistration::id).filter(placement::mayLead).toList();
   }
 
-  private static List<String> ids(List<Member> edges) {
-    return edges.stream().map(Member::id).toList();
+  private static List<String> ids(List<NodeRegistration> edges) {
+    return edges.stream().map(NodeRegistration::id).toList();
   }
 
   @Test
@@ -47,28 +47,30 @@
 
   @Test
   void edgesThatAreAllSmallAreAllFit() {
-    List<Member> small = mixed().stream().filter(edge -> edge.id().contains("small")).toList();
+    List<NodeRegistration> small =
+        mixed().stream().filter(edge -> edge.id().contains("small")).toList();
 
     assertThat(fit(REPLICAS, small)).containsExactlyElementsIn(ids(small));
   }
 
   @Test
   void edgesThatTakeABatchInAMomentAreFitBesideFasterOnes() {
-    List<Member> edges = List.of(edge("fast", "a", 1.35, 1_000), edge("slower", "a", 0.63, 1_000));
+    List<NodeRegistration> edges =
+        List.of(edge("fast", "a", 1.35, 1_000), edge("slower", "a", 0.63, 1_000));
 
     assertThat(fit(3, edges)).containsExactly("fast", "slower");
   }
 
   @Test
   void edgesThatTellNothingAreFit() {
-    List<Member> edges = List.of(edge("one", "a", 0, 0), edge("two", "a", 0, 0));
+    List<NodeRegistration> edges = List.of(edge("one", "a", 0, 0), edge("two", "a", 0, 0));
 
     assertThat(fit(REPLICAS, edges)).containsExactly("one", "two");
   }
 
   @Test
   void aFitEdgeLeadsWhatIsHandedInToIt() {
-    LeaderPlacement placement = new LeaderPlacement(REPLICAS, mixed());
+    BatchLeaderPlacement placement = new BatchLeaderPlacement(REPLICAS, mixed());
     for (String key : keys()) {
       assertThat(placement.orderFrom("b-large-1", "b", key).get(0).id()).isEqualTo("b-large-1");
     }
@@ -76,10 +78,10 @@
 
   @Test
   void aSmallEdgeTurnsToTheFitOnesOfItsZoneAndThenOfOthers() {
-    LeaderPlacement placement = new LeaderPlacement(REPLICAS, mixed());
+    BatchLeaderPlacement placement = new BatchLeaderPlacement(REPLICAS, mixed());
     Set<String> first = new HashSet<>();
     for (String key : keys()) {
-      List<Member> order = placement.orderFrom("b-small-3", "b", key);
+      List<NodeRegistration> order = placement.orderFrom("b-small-3", "b", key);
       first.add(order.get(0).id());
       assertThat(order.get(0).zone()).isEqualTo("b");
       assertThat(order.get(1).zone()).isEqualTo("b");
@@ -93,10 +95,10 @@
 
   @Test
   void allNodesAgreeOnTheOrderForAKey() {
-    List<Member> reversed = new ArrayList<>(mixed());
+    List<NodeRegistration> reversed = new ArrayList<>(mixed());
     Collections.reverse(reversed);
-    LeaderPlacement one = new LeaderPlacement(REPLICAS, mixed());
-    LeaderPlacement other = new LeaderPlacement(REPLICAS, reversed);
+    BatchLeaderPlacement one = new BatchLeaderPlacement(REPLICAS, mixed());
+    BatchLeaderPlacement other = new BatchLeaderPlacement(REPLICAS, reversed);
     for (String key : keys()) {
       assertThat(other.order(key)).isEqualTo(one.order(key));
     }
@@ -104,7 +106,7 @@
 
   @Test
   void withoutEdgesThereIsNoOrder() {
-    LeaderPlacement placement = new LeaderPlacement(REPLICAS, List.of());
+    BatchLeaderPlacement placement = new BatchLeaderPlacement(REPLICAS, List.of());
 
     assertThat(placement.order("batch/1")).isEmpty();
     assertThat(placement.mayLead("any")).isTrue();
