--- a/core-logic/src/test/java/applespindle/corelogic/PlayedWorld.java
+++ b/core-logic/src/test/java/applespindle/corelogic/environment/FakeEnvironment.java
@@ -1,8 +1,18 @@
-package applespindle.corelogic;
+package applespindle.corelogic.environment;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.OpaqueRequest.Piece;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.protocol.Envelope;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -15,37 +25,38 @@
  * Simulated time and workers of opaque requests that the test plays; nothing else of the world may
  * be used.
  */
-abstract class PlayedWorld implements Surroundings {
+public abstract class FakeEnvironment implements Environment {
   /** One send as a worker sees it. */
-  static final class Sent {
-    final WorkerExchange call;
-    final ExchangeListener worker;
-    boolean cancelled;
+  public static final class Sent {
+    public final WorkerExchange call;
+    public final ExchangeListener worker;
+    public boolean cancelled;
 
     Sent(WorkerExchange call, ExchangeListener worker) {
       this.call = call;
       this.worker = worker;
     }
 
-    void event(int id, String data) {
-      worker.piece(new Piece("" + id, ("id: " + id + "\ndata: " + data + "\n\n").getBytes(UTF_8)));
+    public void event(int id, String data) {
+      worker.piece(
+          new ResponseChunk("" + id, ("id: " + id + "\ndata: " + data + "\n\n").getBytes(UTF_8)));
     }
   }
 
   private record Planned(long at, long order, Runnable task) {}
 
-  final List<Sent> sent = new ArrayList<>();
+  public final List<Sent> sent = new ArrayList<>();
   private final PriorityQueue<Planned> plan =
       new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
   private final RandomGenerator random = new SplittableRandom(7);
   private long now;
   private long order;
 
-  PlayedWorld(long startMs) {
+  public FakeEnvironment(long startMs) {
     now = startMs;
   }
 
-  void run(long millis) {
+  public void run(long millis) {
     long until = now + millis;
     while (!plan.isEmpty() && plan.peek().at() <= until) {
       Planned due = plan.poll();
@@ -56,7 +67,7 @@
   }
 
   /** Time passes without any task being run, as in a frozen process. */
-  void freeze(long millis) {
+  public void freeze(long millis) {
     now += millis;
   }
 
@@ -66,14 +77,14 @@
   }
 
   @Override
-  public Schedule after(long millis, Runnable task) {
+  public ScheduledTask after(long millis, Runnable task) {
     Planned planned = new Planned(now + millis, order++, task);
     plan.add(planned);
     return () -> plan.remove(planned);
   }
 
   @Override
-  public WorkerRun exchange(WorkerExchange call, ExchangeListener listener) {
+  public WorkerCallHandle exchange(WorkerExchange call, ExchangeListener listener) {
     Sent send = new Sent(call, listener);
     sent.add(send);
     return () -> send.cancelled = true;
@@ -83,7 +94,7 @@
   public void send(String peerAddress, Envelope envelope) {}
 
   @Override
-  public void write(List<DiskRecord> records, Runnable whenSynced) {}
+  public void write(List<LogRecord> records, Runnable whenSynced) {}
 
   @Override
   public boolean takesWrites() {
@@ -91,13 +102,13 @@
   }
 
   @Override
-  public WorkerRun run(WorkerCall call, WorkerListener listener) {
+  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
     throw new AssertionError("no such run");
   }
 
   @Override
   public void readLoad(
-      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
     throw new AssertionError("a worker whose slots are listed is never asked");
   }
 
--- /dev/null
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
@@ -0,0 +1,204 @@
+package applespindle.corelogic.live;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.configuration.RouteTable;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.RoutingConfiguration.PoolWeight;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
+import applespindle.corelogic.environment.FakeEnvironment;
+import applespindle.corelogic.environment.FakeEnvironment.Sent;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.worker.EdgeContext;
+import applespindle.corelogic.worker.WorkerRegistry;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/**
+ * One dispatcher of opaque requests on simulated time; the test acts as its workers and clients.
+ */
+final class ProxyDispatcherFixture extends FakeEnvironment implements EdgeContext {
+  static final ResponseHead GOOD = new ResponseHead(200, List.of());
+  static final String POOL = "p";
+
+  final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
+  final WorkerRegistry book = new WorkerRegistry(this, () -> {});
+  final ProxyDispatcher desk = new ProxyDispatcher(this, "near", this, book);
+  RoutingConfiguration bundle;
+  ApiError mayBegin;
+  ApiError mayGoOn;
+
+  ProxyDispatcherFixture() {
+    super(1_000);
+  }
+
+  ProxyDispatcherFixture worker(String id, String pool, String zone, int slots) {
+    workers.put(
+        id,
+        new WorkerRegistration(
+            id,
+            "10.0.0.1:" + (1000 + workers.size()),
+            pool,
+            WorkerRegistration.READY,
+            zone,
+            slots));
+    book.follow(workers);
+    return this;
+  }
+
+  void mark(String id, String state) {
+    WorkerRegistration old = workers.get(id);
+    workers.put(
+        id, new WorkerRegistration(id, old.address(), old.pool(), state, old.zone(), old.slots()));
+    book.follow(workers);
+  }
+
+  ProxyDispatcherFixture routes(Route... routes) {
+    Map<String, RoutingConfiguration.Pool> pools =
+        Map.of(
+            POOL,
+            new RoutingConfiguration.Pool(64, 4, 1.5),
+            "q",
+            new RoutingConfiguration.Pool(64, 4, 1.5));
+    bundle = new RoutingConfiguration(1, pools, List.of(), null, Arrays.asList(routes), null, null);
+    return this;
+  }
+
+  Sent last() {
+    return sent.get(sent.size() - 1);
+  }
+
+  Client pass(ProxiedRequest request) {
+    Client client = new Client();
+    client.handle = desk.take(request, client);
+    return client;
+  }
+
+  @Override
+  public ApiError mayBegin() {
+    return mayBegin == null ? mayGoOn : mayBegin;
+  }
+
+  @Override
+  public ApiError mayGoOn() {
+    return mayGoOn;
+  }
+
+  @Override
+  public RoutingConfiguration bundle() {
+    return bundle;
+  }
+
+  @Override
+  public RouteTable routes() {
+    return bundle == null ? RouteTable.EMPTY : RouteTable.compile(bundle);
+  }
+
+  @Override
+  public void claimOnce(String id, String token, Consumer<ApiError> then) {}
+
+  @Override
+  public void unclaimOnce(String id, String token) {}
+
+  @Override
+  public void count(String counter) {}
+
+  /** Writes down what it hears. */
+  static final class Client implements ProxiedResponseListener {
+    final List<String> heard = new ArrayList<>();
+    Response refusal;
+    ApiError cut;
+    RequestHandle handle;
+
+    @Override
+    public void head(ResponseHead head) {
+      heard.add("head " + head.status());
+    }
+
+    @Override
+    public void piece(ResponseChunk piece) {
+      heard.add(new String(piece.bytes(), UTF_8));
+    }
+
+    @Override
+    public void end() {
+      heard.add("end");
+    }
+
+    @Override
+    public void refused(Response response) {
+      refusal = response;
+      heard.add("refused " + response.status());
+    }
+
+    @Override
+    public void cut(ApiError fault) {
+      cut = fault;
+      heard.add("cut");
+    }
+  }
+
+  static Route route(RouteType type, int attempts, boolean resumable, PoolWeight... split) {
+    return new Route(
+        "r-" + type,
+        "a.example",
+        "/a/",
+        type,
+        4_000,
+        200,
+        type == RouteType.STREAM ? 100 : 0,
+        attempts,
+        3,
+        true,
+        resumable,
+        split.length == 0 ? List.of(new PoolWeight(POOL, 1)) : List.of(split),
+        0,
+        0,
+        0);
+  }
+
+  static ProxiedRequest request(String id, String... parts) {
+    return request(id, "A.Example:80", "/a/x?y=/b/", 2_000, parts);
+  }
+
+  static ProxiedRequest request(
+      String id, String host, String target, long deadlineMs, String... parts) {
+    List<PromptPart> prompt = Arrays.stream(parts).map(part -> new PromptPart(part, 400)).toList();
+    return new ProxiedRequest(
+        id,
+        "POST",
+        target,
+        host,
+        List.of(),
+        new byte[0],
+        deadlineMs,
+        "m",
+        400 * parts.length,
+        80,
+        prompt,
+        "");
+  }
+
+  static ResponseChunk event(int id) {
+    return new ResponseChunk(Integer.toString(id), ("e" + id).getBytes(UTF_8));
+  }
+
+  static ProxyDispatcherFixture fixture(Route route) {
+    return new ProxyDispatcherFixture()
+        .worker("w1", POOL, "near", 8)
+        .worker("w2", POOL, "near", 8)
+        .worker("w3", POOL, "near", 8)
+        .routes(route);
+  }
+}
--- a/core-logic/src/test/java/applespindle/corelogic/OpaqueDeskWorkerChoiceTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
@@ -1,21 +1,25 @@
-package applespindle.corelogic;
+package applespindle.corelogic.live;
 
-import static applespindle.corelogic.OpaqueDeskFixture.GOOD;
-import static applespindle.corelogic.OpaqueDeskFixture.POOL;
-import static applespindle.corelogic.OpaqueDeskFixture.event;
-import static applespindle.corelogic.OpaqueDeskFixture.fixture;
-import static applespindle.corelogic.OpaqueDeskFixture.request;
-import static applespindle.corelogic.OpaqueDeskFixture.route;
+import static applespindle.corelogic.live.ProxyDispatcherFixture.GOOD;
+import static applespindle.corelogic.live.ProxyDispatcherFixture.POOL;
+import static applespindle.corelogic.live.ProxyDispatcherFixture.event;
+import static applespindle.corelogic.live.ProxyDispatcherFixture.fixture;
+import static applespindle.corelogic.live.ProxyDispatcherFixture.request;
+import static applespindle.corelogic.live.ProxyDispatcherFixture.route;
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Bundle.RouteType;
-import applespindle.corelogic.Message.WorkerLoads;
-import applespindle.corelogic.Message.WorkerLoads.OwnLoad;
-import applespindle.corelogic.PlayedWorld.Sent;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Worker;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.RoutingConfiguration.RouteType;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.FakeEnvironment.Sent;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Message.PeerLoadReport;
+import applespindle.corelogic.protocol.Message.PeerLoadReport.OwnLoad;
+import applespindle.corelogic.worker.PeerLoadReporter;
+import applespindle.corelogic.worker.WorkerState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -23,10 +27,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Which worker a request goes to. */
-final class OpaqueDeskWorkerChoiceTest {
+final class ProxyDispatcherWorkerChoiceTest {
   @Test
   void tellsTheWorkerItsIdRankAndWhatIsLeft() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.ONCE, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     fixture.pass(request("1"));
     WorkerExchange call = fixture.last().call;
     assertThat(call.workerId()).isEqualTo(fixture.workers.get(call.workerId()).id());
@@ -37,18 +41,18 @@
 
   @Test
   void neverSendsToALeavingWorker() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
-    fixture.mark("w1", Worker.LEAVING);
-    fixture.mark("w2", Worker.LEAVING);
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
+    fixture.mark("w1", WorkerRegistration.LEAVING);
+    fixture.mark("w2", WorkerRegistration.LEAVING);
     fixture.pass(request("1"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w3");
-    fixture.mark("w3", Worker.LEAVING);
+    fixture.mark("w3", WorkerRegistration.LEAVING);
     assertThat(fixture.pass(request("2")).heard).containsExactly("refused 503");
   }
 
   @Test
   void spreadsRequestsOverIdleWorkers() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.ONCE, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     for (int index = 0; index < 12; index++) {
       fixture.pass(request("r" + index));
     }
@@ -57,9 +61,9 @@
 
   @Test
   void passesOverAWorkerThatReadsWhatAFellowSentThere() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.STREAM, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     for (String busy : List.of("w1", "w3")) {
-      fixture.book.peerTold("other", new WorkerLoads(List.of(new OwnLoad(busy, 1, 1_500))));
+      fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad(busy, 1, 1_500))));
     }
     fixture.pass(request("1", "a", "b"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w2");
@@ -67,25 +71,26 @@
 
   @Test
   void whatAFellowToldFadesAsTheWorkerReads() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.STREAM, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     fixture.book.peerTold(
-        "other", new WorkerLoads(List.of(new OwnLoad("w1", 2, 1_000), new OwnLoad("gone", 1, 1))));
-    WorkerBook.Known worker = fixture.book.get("w1");
+        "other",
+        new PeerLoadReport(List.of(new OwnLoad("w1", 2, 1_000), new OwnLoad("gone", 1, 1))));
+    WorkerState worker = fixture.book.get("w1");
     assertThat(worker.unreadNow(fixture.now())).isEqualTo(1_000.0);
     fixture.run(10);
     assertThat(worker.unreadNow(fixture.now()))
         .isWithin(0.001)
-        .of(1_000 - 10 * Constants.PACE_GUESS_TOKENS_PER_MS);
+        .of(1_000 - 10 * WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS);
     fixture.run(20);
     assertThat(worker.unreadNow(fixture.now())).isEqualTo(0.0);
     assertThat(worker.runningNow(fixture.now())).isGreaterThan(1.5);
-    fixture.book.peerTold("other", new WorkerLoads(List.of(new OwnLoad("w1", 1, 200))));
+    fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad("w1", 1, 200))));
     assertThat(worker.unreadNow(fixture.now())).isEqualTo(200.0);
   }
 
   @Test
   void learnsHowFastAWorkerReads() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.STREAM, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     double guessed = fixture.book.get("w1").readTokensPerMs();
     for (int index = 0; index < 60; index++) {
       fixture.pass(request("r" + index, "a" + index, "b" + index));
@@ -103,7 +108,7 @@
 
   @Test
   void keptPartsDoNotOutweighAPauseThatStreamsCanNotBear() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.STREAM, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     fixture.pass(request("1", "a", "b", "c"));
     String keeper = fixture.last().call.workerId();
     fixture.last().worker.head(GOOD);
@@ -111,33 +116,33 @@
     fixture.last().worker.end();
     fixture.pass(request("2", "a", "b", "d"));
     assertThat(fixture.last().call.workerId()).isEqualTo(keeper);
-    fixture.book.peerTold("other", new WorkerLoads(List.of(new OwnLoad(keeper, 1, 5_000))));
+    fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad(keeper, 1, 5_000))));
     fixture.pass(request("3", "a", "b", "e"));
     assertThat(fixture.last().call.workerId()).isNotEqualTo(keeper);
   }
 
   @Test
   void tellsItsFellowsOfTheZoneOnceForAllThatBeganMeanwhile() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.STREAM, 1, false));
-    List<Member> fellows =
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
+    List<NodeRegistration> fellows =
         List.of(
-            new Member("e2", 1, "e2", "near", "edge", "10.0.0.2:1", "", true),
-            new Member("e3", 1, "e3", "near", "edge", "10.0.0.3:1", "", true));
+            new NodeRegistration("e2", 1, "e2", "near", "edge", "10.0.0.2:1", "", true),
+            new NodeRegistration("e3", 1, "e3", "near", "edge", "10.0.0.3:1", "", true));
     List<String> told = new ArrayList<>();
     List<OwnLoad> loads = new ArrayList<>();
     fixture.book.whenBegan(
-        new PeerLoads(
+        new PeerLoadReporter(
                 fixture,
                 fixture.book,
                 () -> fellows,
                 (address, id, message) -> {
                   told.add(id);
-                  loads.addAll(((WorkerLoads) message).loads());
+                  loads.addAll(((PeerLoadReport) message).loads());
                 })
             ::began);
     fixture.pass(request("1", "a", "b"));
     fixture.pass(request("2", "c", "d"));
-    fixture.run(2 * Constants.PEER_LOADS_MS - 1);
+    fixture.run(2 * WorkerConstants.PEER_LOAD_REPORT_DELAY_MS - 1);
     assertThat(told).isEmpty();
     fixture.run(1);
     assertThat(told).containsExactly("e2", "e3").inOrder();
@@ -150,7 +155,7 @@
   void meetsTheSameWorkerForTheSameSharedPartsFromEveryEdge() {
     Set<String> chosen = new HashSet<>();
     for (int edge = 0; edge < 5; edge++) {
-      OpaqueDeskFixture fixture = fixture(route(RouteType.ONCE, 1, false));
+      ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
       fixture.pass(request("r" + edge, "shared", "also", "own" + edge));
       chosen.add(fixture.last().call.workerId());
     }
@@ -159,7 +164,7 @@
 
   @Test
   void takesAnotherWorkerOnceThatOneIsClearlyMoreLoaded() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.ONCE, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     for (int index = 0; index < 24; index++) {
       fixture.pass(request("r" + index, "shared", "own" + index));
     }
@@ -168,7 +173,7 @@
 
   @Test
   void doesNotLetOneWorkerReadManyPromptsAtOnce() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.STREAM, 1, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     for (int index = 0; index < 3; index++) {
       fixture.pass(
           request("r" + index, "shared", "a" + index, "b" + index, "c" + index, "d" + index));
@@ -181,8 +186,8 @@
 
   @Test
   void prefersItsOwnZoneUntilThatIsMoreLoaded() {
-    OpaqueDeskFixture fixture =
-        new OpaqueDeskFixture()
+    ProxyDispatcherFixture fixture =
+        new ProxyDispatcherFixture()
             .worker("w1", POOL, "far", 8)
             .worker("w2", POOL, "near", 8)
             .worker("w3", POOL, "far", 8)
@@ -198,25 +203,25 @@
   /** Nobody tells what runs in other zones: silence is no sign of an idle worker. */
   @Test
   void takesWorkersOfOtherZonesForAsBusyAsItsOwn() {
-    OpaqueDeskFixture fixture = nearAndFar();
+    ProxyDispatcherFixture fixture = nearAndFar();
     List<OwnLoad> loads = List.of(new OwnLoad("w1", 5, 0), new OwnLoad("w2", 5, 0));
-    fixture.book.peerTold("other", new WorkerLoads(loads));
+    fixture.book.peerTold("other", new PeerLoadReport(loads));
     fixture.pass(request("1"));
     assertThat(fixture.workers.get(fixture.last().call.workerId()).zone()).isEqualTo("near");
   }
 
   @Test
   void takesAWorkerOfAnotherZoneThatToldThatItIsIdle() {
-    OpaqueDeskFixture fixture = nearAndFar();
+    ProxyDispatcherFixture fixture = nearAndFar();
     fixture.book.told(fixture.book.get("w3"), new WorkerLoad(0, 0, 8, false));
     List<OwnLoad> loads = List.of(new OwnLoad("w1", 5, 0), new OwnLoad("w2", 5, 0));
-    fixture.book.peerTold("other", new WorkerLoads(loads));
+    fixture.book.peerTold("other", new PeerLoadReport(loads));
     fixture.pass(request("1"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w3");
   }
 
-  private static OpaqueDeskFixture nearAndFar() {
-    return new OpaqueDeskFixture()
+  private static ProxyDispatcherFixture nearAndFar() {
+    return new ProxyDispatcherFixture()
         .worker("w1", POOL, "near", 8)
         .worker("w2", POOL, "near", 8)
         .worker("w3", POOL, "far", 8)
@@ -226,8 +231,8 @@
 
   @Test
   void avoidsAWorkerThatToldOfALoadUntilThatIsOld() {
-    OpaqueDeskFixture fixture =
-        new OpaqueDeskFixture()
+    ProxyDispatcherFixture fixture =
+        new ProxyDispatcherFixture()
             .worker("w1", POOL, "near", 8)
             .worker("w2", POOL, "near", 8)
             .routes(route(RouteType.ONCE, 1, false));
@@ -247,14 +252,14 @@
               sent.worker.end();
             });
     fixture.run(10_000);
-    first.worker.fault(new Fault.WorkerCut("w"), true);
+    first.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(fixture.book.get(first.call.workerId()).othersNow(fixture.now())).isLessThan(0.1);
   }
 
   @Test
   void givesAWorkerJustListedFewRequestsAtFirst() {
-    OpaqueDeskFixture fixture =
-        new OpaqueDeskFixture()
+    ProxyDispatcherFixture fixture =
+        new ProxyDispatcherFixture()
             .worker("w1", POOL, "near", 8)
             .routes(route(RouteType.ONCE, 1, false));
     fixture.run(10_000);
@@ -263,16 +268,16 @@
       fixture.pass(request("r" + index));
     }
     assertThat(fixture.book.get("w2").live).isAtMost(3);
-    fixture.run(Constants.RAMP_MS);
+    fixture.run(WorkerConstants.SLOW_START_MS);
     assertThat(fixture.book.ramp(fixture.book.get("w2"))).isEqualTo(1.0);
   }
 
   @Test
   void avoidsAWorkerAfterAFaultAndTriesItWithOneAtATimeLater() {
-    OpaqueDeskFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
+    ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
     fixture.pass(request("1"));
     String faulty = fixture.last().call.workerId();
-    fixture.last().worker.fault(new Fault.WorkerCut(faulty), true);
+    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated(faulty), true);
     for (int index = 0; index < 10; index++) {
       fixture.pass(request("r" + index));
       assertThat(fixture.last().call.workerId()).isNotEqualTo(faulty);
@@ -282,7 +287,7 @@
           sent.worker.head(GOOD);
           sent.worker.end();
         });
-    fixture.run(Constants.WORKER_REST_MS + Constants.RAMP_MS);
+    fixture.run(WorkerConstants.BASE_EJECTION_MS + WorkerConstants.SLOW_START_MS);
     for (int index = 0; index < 6; index++) {
       fixture.pass(request("s" + index));
     }
--- a/core-logic/src/test/java/applespindle/corelogic/StreamTextTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/StreamTextTest.java
@@ -1,16 +1,16 @@
-package applespindle.corelogic;
+package applespindle.corelogic.live;
 
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.OpaqueRequest.Piece;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
 import org.junit.jupiter.api.Test;
 
 final class StreamTextTest {
   private final StreamText text = new StreamText();
 
   private void add(String id, String bytes) {
-    text.add(new Piece(id, bytes.getBytes(UTF_8)));
+    text.add(new ResponseChunk(id, bytes.getBytes(UTF_8)));
   }
 
   @Test
@@ -51,15 +51,15 @@
   @Test
   void goesOnFromWhatWasHandedOver() {
     StreamText later = new StreamText("2", "a\nb");
-    later.add(new Piece("2", "id: 2\ndata: b\n\n".getBytes(UTF_8)));
-    later.add(new Piece("3", "id: 3\ndata: c\n\n".getBytes(UTF_8)));
+    later.add(new ResponseChunk("2", "id: 2\ndata: b\n\n".getBytes(UTF_8)));
+    later.add(new ResponseChunk("3", "id: 3\ndata: c\n\n".getBytes(UTF_8)));
     assertThat(later.text()).isEqualTo("a\nb\nc");
   }
 
   @Test
   void beginsEmptyWhereNothingWasHandedOver() {
     StreamText anew = new StreamText("", "");
-    anew.add(new Piece("1", "id: 1\ndata: a\n\n".getBytes(UTF_8)));
+    anew.add(new ResponseChunk("1", "id: 1\ndata: a\n\n".getBytes(UTF_8)));
     assertThat(anew.text()).isEqualTo("a");
   }
 
--- /dev/null
+++ b/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
@@ -0,0 +1,79 @@
+package applespindle.corelogic.metadata;
+
+import static com.google.common.truth.Truth.assertThat;
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.ConfigurationConstants;
+import applespindle.corelogic.controlplane.ConfigurationManager;
+import applespindle.corelogic.metadata.AcceptedRevisions.RevisionStatus;
+import org.junit.jupiter.api.Test;
+
+class AcceptedRevisionsTest {
+  private static byte[] content(long number) {
+    return ("{\"configuration\":" + number + "}").getBytes(UTF_8);
+  }
+
+  private static AcceptedRevisions accepted(int changes) {
+    AcceptedRevisions accepted = AcceptedRevisions.NONE;
+    for (int change = 1; change <= changes; change++) {
+      accepted = accepted.with(2L * change, content(2L * change));
+    }
+    return accepted;
+  }
+
+  @Test
+  void tellsWhatWasAcceptedFromWhatWasNot() {
+    AcceptedRevisions accepted = accepted(3);
+    assertThat(accepted.standing(4, content(4))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.standing(4, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.standing(5, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.standing(8, content(8))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+  }
+
+  @Test
+  void whileAllIsRememberedNothingIsForgotten() {
+    AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
+    assertThat(accepted.standing(2, content(2))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.standing(1, content(1))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+  }
+
+  @Test
+  void whatIsOlderThanTheMemoryIsForgottenAndNothingElse() {
+    AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + 3);
+    assertThat(accepted.standing(2, content(2))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.standing(5, content(5))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.standing(6, content(6))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.standing(7, content(7))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.standing(8, content(8))).isEqualTo(RevisionStatus.ACCEPTED);
+  }
+
+  @Test
+  void itsSizeIsBounded() {
+    int full = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS).packed().length;
+    assertThat(full).isEqualTo(16 * ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
+    assertThat(accepted(5 * ConfigurationConstants.MAX_REMEMBERED_REVISIONS).packed())
+        .hasLength(full);
+  }
+
+  @Test
+  void afterAWriterWithoutThisMemoryOnlyTheLastIsKnown() {
+    AcceptedRevisions accepted = AcceptedRevisions.startingWith(10, content(10));
+    assertThat(accepted.standing(10, content(10))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.standing(10, content(11))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.standing(9, content(9))).isEqualTo(RevisionStatus.FORGOTTEN);
+  }
+
+  @Test
+  void isKeptWithItsBundleAndStrippedForTheFeed() {
+    SignedConfiguration kept =
+        new SignedConfiguration(4, content(4), "", new byte[0], 2L, accepted(2));
+    byte[] event = Json.bytes(kept);
+    assertThat(Json.read(event, SignedConfiguration.class).accepted().standing(2, content(2)))
+        .isEqualTo(RevisionStatus.ACCEPTED);
+    SignedConfiguration fed =
+        Json.read(ConfigurationManager.forFeed(event), SignedConfiguration.class);
+    assertThat(fed.accepted()).isNull();
+    assertThat(fed.bytes()).isEqualTo(content(4));
+  }
+}
--- a/core-logic/src/test/java/applespindle/corelogic/MessageNamesTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/protocol/MessageNamesTest.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.protocol;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -14,7 +14,7 @@
 
   @Test
   void namesAreThoseThatMetricsAlwaysHad() {
-    assertThat(MessageNames.of(new Message.WhereIsCore())).isEqualTo("WhereIsCore");
+    assertThat(MessageNames.of(new Message.QuorumDiscoveryRequest())).isEqualTo("WhereIsCore");
     assertThat(MessageNames.of(new Message.BatchEnded("b"))).isEqualTo("BatchEnded");
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/LossMarginTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/FaultToleranceMonitorTest.java
@@ -1,8 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.OwnedKey.Replica;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.metadata.NodeAddress;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Arrays;
 import java.util.List;
@@ -10,13 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** What a deployment still bears, with members gone and changes of members under way. */
-final class LossMarginTest {
-  private static List<Replica> set(String... ids) {
-    return Arrays.stream(ids).map(id -> new Replica(id, id)).toList();
+final class FaultToleranceMonitorTest {
+  private static List<NodeAddress> set(String... ids) {
+    return Arrays.stream(ids).map(id -> new NodeAddress(id, id)).toList();
   }
 
-  private static int bearable(List<Replica> present, List<Replica> next, String... alive) {
-    return LossMargin.bearable(new ReplicaSets(1, present, next), Set.of(alive)::contains);
+  private static int bearable(List<NodeAddress> present, List<NodeAddress> next, String... alive) {
+    return FaultToleranceMonitor.bearable(
+        new ReplicaConfiguration(1, present, next), Set.of(alive)::contains);
   }
 
   @Test
@@ -43,7 +45,7 @@
 
   @Test
   void tellsHowLongItHasBeenFewerThanAsked() {
-    LossMargin margin = new LossMargin(1);
+    FaultToleranceMonitor margin = new FaultToleranceMonitor(1);
     margin.look(1, 0, 1_000);
     margin.look(1, 0, 3_000);
     ObjectNode status = Json.JSON.createObjectNode();
--- a/core-logic/src/test/java/applespindle/corelogic/InvariantBroken.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/InvariantViolation.java
@@ -1,7 +1,7 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 /** A run of the model reached a state that the replicated register must never be in. */
-final class InvariantBroken extends RuntimeException {
+final class InvariantViolation extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /** What must hold in every state. */
@@ -22,7 +22,7 @@
 
   private final transient Invariant invariant;
 
-  InvariantBroken(Invariant invariant, String detail) {
+  InvariantViolation(Invariant invariant, String detail) {
     super(invariant + ": " + detail);
     this.invariant = invariant;
   }
--- a/core-logic/src/test/java/applespindle/corelogic/ReplicaDiskTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
@@ -1,17 +1,29 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyLogAsk;
-import applespindle.corelogic.Message.KeyLogPart;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.Verdict;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.LogFetchRequest;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.Verdict;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,15 +35,15 @@
  * A replica on a disk that syncs only when told to and may lose power after any record: replies
  * wait for what they speak of, and every prefix of what was written is a sound state.
  */
-final class ReplicaDiskTest {
+final class LogReplicasDiskTest {
   private static final String KEY = "batch/1";
   private static final String SET = "shard/1";
   private static final Epoch FIRST = new Epoch(1, "a");
   private static final Epoch SECOND = new Epoch(2, "b");
 
   /** Keeps what is written in order; callbacks wait for {@link #sync}. */
-  private static final class SlowDisk implements Surroundings {
-    final List<DiskRecord> written = new ArrayList<>();
+  private static final class SlowDisk implements Environment {
+    final List<LogRecord> written = new ArrayList<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
 
     /** Syncs the oldest write that still waits. */
@@ -46,7 +58,7 @@
     }
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
       written.addAll(records);
       waiting.add(whenSynced);
     }
@@ -57,7 +69,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       return () -> {};
     }
 
@@ -70,13 +82,13 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       return () -> {};
     }
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {}
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
 
     @Override
     public RandomGenerator random() {
@@ -89,16 +101,16 @@
 
   private final SlowDisk disk = new SlowDisk();
   private final List<Message> replies = new ArrayList<>();
-  private final KeyReplicas replicas =
-      new KeyReplicas(
+  private final LogReplicas replicas =
+      new LogReplicas(
           disk, (address, id, message) -> replies.add(message), (key, entry) -> {}, key -> SET);
 
-  private static Entry entry(long sequence, Epoch epoch) {
-    return new Entry(sequence, epoch, false, ("event " + sequence).getBytes(UTF_8));
+  private static LogEntry entry(long sequence, Epoch epoch) {
+    return new LogEntry(sequence, epoch, false, ("event " + sequence).getBytes(UTF_8));
   }
 
-  private static Entry whole(long sequence, Epoch epoch) {
-    return new Entry(sequence, epoch, true, ("state " + sequence).getBytes(UTF_8));
+  private static LogEntry whole(long sequence, Epoch epoch) {
+    return new LogEntry(sequence, epoch, true, ("state " + sequence).getBytes(UTF_8));
   }
 
   private void append(
@@ -107,16 +119,16 @@
       long previous,
       Epoch previousEpoch,
       long committed,
-      Entry... entries) {
+      LogEntry... entries) {
     replicas.append(
-        new KeyAppend(
+        new AppendRequest(
             KEY, epoch, setNumber, 1, previous, previousEpoch, committed, true, List.of(entries)),
         epoch.node(),
         "");
   }
 
-  private static List<Long> sequences(List<Entry> entries) {
-    return entries.stream().map(Entry::sequence).toList();
+  private static List<Long> sequences(List<LogEntry> entries) {
+    return entries.stream().map(LogEntry::sequence).toList();
   }
 
   @Test
@@ -128,7 +140,7 @@
     assertThat(replies).isEmpty();
     disk.syncAll();
     assertThat(replies).hasSize(1);
-    assertThat(((KeyAppended) replies.get(0)).verdict()).isEqualTo(Verdict.OK);
+    assertThat(((AppendResponse) replies.get(0)).verdict()).isEqualTo(Verdict.OK);
   }
 
   @Test
@@ -148,10 +160,10 @@
     append(1, SECOND, 0, Epoch.NONE, 0, entry(1, SECOND));
     disk.syncAll();
     replies.clear();
-    replicas.promise(new KeyPromise(KEY, FIRST, 2, false, 0, false), FIRST.node(), "");
+    replicas.promise(new VoteRequest(KEY, FIRST, 2, false, 0, false), FIRST.node(), "");
     assertThat(replies).isEmpty();
     disk.syncAll();
-    assertThat(((KeyPromised) replies.get(0)).verdict()).isEqualTo(Verdict.REFUSED);
+    assertThat(((VoteResponse) replies.get(0)).verdict()).isEqualTo(Verdict.REFUSED);
   }
 
   @Test
@@ -160,8 +172,8 @@
     append(1, FIRST, 3, FIRST, 3, entry(4, FIRST), entry(5, FIRST));
     append(1, SECOND, 3, FIRST, 6, entry(4, SECOND), entry(5, SECOND), entry(6, SECOND));
     for (int kept = 0; kept <= disk.written.size(); kept++) {
-      KeyReplicas again =
-          new KeyReplicas(
+      LogReplicas again =
+          new LogReplicas(
               new SlowDisk(), (address, id, message) -> {}, (key, entry) -> {}, key -> SET);
       disk.written.subList(0, kept).forEach(again::recover);
       again.recovered();
@@ -182,8 +194,8 @@
     append(1, FIRST, 0, Epoch.NONE, 3, entry(1, FIRST), entry(2, FIRST), entry(3, FIRST));
     append(1, FIRST, 3, FIRST, 3, entry(4, FIRST), whole(5, FIRST));
     append(1, SECOND, 3, FIRST, 6, entry(4, SECOND), entry(5, SECOND), entry(6, SECOND));
-    KeyReplicas again =
-        new KeyReplicas(
+    LogReplicas again =
+        new LogReplicas(
             new SlowDisk(), (address, id, message) -> {}, (key, entry) -> {}, key -> SET);
     disk.written.forEach(again::recover);
     again.recovered();
@@ -192,7 +204,7 @@
 
   @Test
   void aMessageThatComesTwiceTakesNothingFromATrimmedLog() {
-    Entry[] start = {entry(1, FIRST), entry(2, FIRST)};
+    LogEntry[] start = {entry(1, FIRST), entry(2, FIRST)};
     append(1, FIRST, 0, Epoch.NONE, 0, start);
     append(1, FIRST, 2, FIRST, 3, whole(3, FIRST), entry(4, FIRST));
     disk.syncAll();
@@ -205,8 +217,8 @@
   @Test
   void aCopyOfALogThatBeginsEarlierTakesNothingFromATrimmedOne() {
     append(1, FIRST, 0, Epoch.NONE, 3, entry(1, FIRST), entry(2, FIRST), whole(3, FIRST));
-    KeyReplicas.Copied longer =
-        new KeyReplicas.Copied(
+    ReplicaSnapshot longer =
+        new ReplicaSnapshot(
             KEY,
             SECOND,
             3,
@@ -219,7 +231,7 @@
   @Test
   void theMarkOfWhatIsCommittedFollowsItsEntries() {
     append(1, FIRST, 0, Epoch.NONE, 2, entry(1, FIRST), entry(2, FIRST));
-    assertThat(disk.written.stream().map(DiskRecord::kind).toList())
+    assertThat(disk.written.stream().map(LogRecord::kind).toList())
         .containsExactly(Kind.SET, Kind.PROMISE, Kind.ENTRY, Kind.ENTRY, Kind.COMMITTED)
         .inOrder();
   }
@@ -229,14 +241,14 @@
   void aClaimantGetsPartsOfTheLogThatItKnowsTheTailOfAlone() {
     append(1, FIRST, 0, Epoch.NONE, 0, entry(1, FIRST), entry(2, FIRST));
     disk.syncAll();
-    replicas.promise(new KeyPromise(KEY, SECOND, 1, true, 1, false), SECOND.node(), "");
+    replicas.promise(new VoteRequest(KEY, SECOND, 1, true, 1, false), SECOND.node(), "");
     disk.syncAll();
     replies.clear();
-    replicas.tellLog(new KeyLogAsk(KEY, SECOND, 1, 1, SECOND), SECOND.node(), "");
-    replicas.tellLog(new KeyLogAsk(KEY, SECOND, 1, 1, FIRST), SECOND.node(), "");
-    assertThat(((KeyLogPart) replies.get(0)).verdict()).isEqualTo(Verdict.REFUSED);
-    assertThat(((KeyLogPart) replies.get(0)).entries()).isEmpty();
-    assertThat(((KeyLogPart) replies.get(1)).verdict()).isEqualTo(Verdict.OK);
-    assertThat(((KeyLogPart) replies.get(1)).entries()).hasSize(1);
+    replicas.tellLog(new LogFetchRequest(KEY, SECOND, 1, 1, SECOND), SECOND.node(), "");
+    replicas.tellLog(new LogFetchRequest(KEY, SECOND, 1, 1, FIRST), SECOND.node(), "");
+    assertThat(((LogFetchResponse) replies.get(0)).verdict()).isEqualTo(Verdict.REFUSED);
+    assertThat(((LogFetchResponse) replies.get(0)).entries()).isEmpty();
+    assertThat(((LogFetchResponse) replies.get(1)).verdict()).isEqualTo(Verdict.OK);
+    assertThat(((LogFetchResponse) replies.get(1)).entries()).hasSize(1);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/KeyReplicasTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
@@ -1,10 +1,23 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.DiskRecord.Kind;
-import applespindle.corelogic.Message.KeyAppend;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.log.LogRecord.Kind;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -15,19 +28,19 @@
  * What a replica knows of its own log when it starts again: an entry it can not call committed is
  * undecided.
  */
-final class KeyReplicasTest {
+final class LogReplicasTest {
   private static final String KEY = "bundle";
   private static final Epoch FIRST = new Epoch(1, "a");
   private static final Epoch SECOND = new Epoch(2, "b");
 
-  private final class World implements Surroundings {
+  private final class World implements Environment {
     @Override
     public long now() {
       return now;
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       return () -> {};
     }
 
@@ -35,7 +48,7 @@
     public void send(String peerAddress, Envelope envelope) {}
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
       whenSynced.run();
     }
 
@@ -45,13 +58,13 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       return () -> {};
     }
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {}
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
 
     @Override
     public RandomGenerator random() {
@@ -64,31 +77,30 @@
 
   private long now;
   private Message replied;
-  private final KeyReplicas replicas =
-      new KeyReplicas(
+  private final LogReplicas replicas =
+      new LogReplicas(
           new World(),
           (address, id, message) -> replied = message,
           (key, entry) -> {},
           key -> "set");
 
-  private static Entry entry(long sequence, Epoch epoch) {
-    return new Entry(sequence, epoch, true, "{}".getBytes(UTF_8));
+  private static LogEntry entry(long sequence, Epoch epoch) {
+    return new LogEntry(sequence, epoch, true, "{}".getBytes(UTF_8));
   }
 
   private void recover(long entries, long committed) {
     for (long sequence = 1; sequence <= entries; sequence++) {
-      replicas.recover(
-          new DiskRecord(Kind.ENTRY, KEY, FIRST, sequence, true, "{}".getBytes(UTF_8)));
+      replicas.recover(new LogRecord(Kind.ENTRY, KEY, FIRST, sequence, true, "{}".getBytes(UTF_8)));
     }
-    replicas.recover(
-        new DiskRecord(Kind.COMMITTED, KEY, Epoch.NONE, committed, false, new byte[0]));
+    replicas.recover(new LogRecord(Kind.COMMITTED, KEY, Epoch.NONE, committed, false, new byte[0]));
     replicas.recovered();
   }
 
   private void append(
-      Epoch epoch, long previous, Epoch previousEpoch, long committed, Entry... entries) {
+      Epoch epoch, long previous, Epoch previousEpoch, long committed, LogEntry... entries) {
     replicas.append(
-        new KeyAppend(KEY, epoch, 1, 1, previous, previousEpoch, committed, true, List.of(entries)),
+        new AppendRequest(
+            KEY, epoch, 1, 1, previous, previousEpoch, committed, true, List.of(entries)),
         epoch.node(),
         "");
   }
@@ -130,7 +142,7 @@
   @Test
   void aTakeoverAloneIsNothingToDecide() {
     recover(2, 2);
-    replicas.recover(new DiskRecord(Kind.ENTRY, KEY, SECOND, 3, false, new byte[0]));
+    replicas.recover(new LogRecord(Kind.ENTRY, KEY, SECOND, 3, false, new byte[0]));
     replicas.recovered();
     assertThat(replicas.undecided(KEY)).isFalse();
   }
@@ -142,17 +154,17 @@
     assertThat(replicas.undecided(KEY)).isFalse();
   }
 
-  private static Entry part(long sequence, Epoch epoch) {
-    return new Entry(sequence, epoch, false, "{}".getBytes(UTF_8));
+  private static LogEntry part(long sequence, Epoch epoch) {
+    return new LogEntry(sequence, epoch, false, "{}".getBytes(UTF_8));
   }
 
-  private static KeyReplicas.Held held(long sequence, Epoch epoch) {
-    return new KeyReplicas.Held(sequence, epoch);
+  private static LogEndPosition held(long sequence, Epoch epoch) {
+    return new LogEndPosition(sequence, epoch);
   }
 
-  private List<Long> copied(Map<String, KeyReplicas.Held> held) {
+  private List<Long> copied(Map<String, LogEndPosition> held) {
     return replicas.copiesOf("set", "", held, 1 << 20).get(0).entries().stream()
-        .map(Entry::sequence)
+        .map(LogEntry::sequence)
         .toList();
   }
 
@@ -170,12 +182,9 @@
   @Test
   void aPartIsTakenOnlyBehindWhatItFollows() {
     append(FIRST, 0, Epoch.NONE, 0, part(1, FIRST), part(2, FIRST));
-    var follows =
-        new KeyReplicas.Copied(KEY, FIRST, 2, true, List.of(part(2, FIRST), part(3, FIRST)));
-    var other =
-        new KeyReplicas.Copied(KEY, FIRST, 3, true, List.of(part(3, SECOND), part(4, SECOND)));
-    var beyond =
-        new KeyReplicas.Copied(KEY, FIRST, 3, true, List.of(part(5, FIRST), part(6, FIRST)));
+    var follows = new ReplicaSnapshot(KEY, FIRST, 2, true, List.of(part(2, FIRST), part(3, FIRST)));
+    var other = new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(part(3, SECOND), part(4, SECOND)));
+    var beyond = new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(part(5, FIRST), part(6, FIRST)));
     assertThat(replicas.absorb(follows, () -> {})).isTrue();
     assertThat(replicas.absorb(other, () -> {})).isFalse();
     assertThat(replicas.absorb(beyond, () -> {})).isFalse();
@@ -199,19 +208,19 @@
     append(FIRST, 2, FIRST, 2, entry(3, FIRST));
     append(FIRST, 3, FIRST, 3);
     var older =
-        new KeyReplicas.Copied(KEY, FIRST, 2, false, List.of(entry(1, FIRST), entry(2, FIRST)));
+        new ReplicaSnapshot(KEY, FIRST, 2, false, List.of(entry(1, FIRST), entry(2, FIRST)));
     assertThat(replicas.absorb(older, () -> {})).isTrue();
     assertThat(replicas.heldOf("set", "")).containsExactly(KEY, held(3, FIRST));
   }
 
   private Message.Verdict tried(Epoch epoch) {
-    replicas.promise(new Message.KeyPromise(KEY, epoch, 1, false, 0, true), epoch.node(), "");
-    return ((Message.KeyPromised) replied).verdict();
+    replicas.promise(new Message.VoteRequest(KEY, epoch, 1, false, 0, true), epoch.node(), "");
+    return ((Message.VoteResponse) replied).verdict();
   }
 
   private void beat(Epoch epoch, boolean hearsMajority) {
     replicas.append(
-        new KeyAppend(KEY, epoch, 1, 1, 0, Epoch.NONE, 0, hearsMajority, List.of()),
+        new AppendRequest(KEY, epoch, 1, 1, 0, Epoch.NONE, 0, hearsMajority, List.of()),
         epoch.node(),
         "");
   }
@@ -232,7 +241,7 @@
   @Test
   void theBeatOfAnOwnerThatHearsNoMajorityDoesNotCount() {
     beat(FIRST, true);
-    now += Constants.TAKEOVER_MS;
+    now += ReplicationConstants.LEADER_TIMEOUT_MS;
     beat(FIRST, false);
     assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_PROMISE);
   }
--- a/core-logic/src/test/java/applespindle/corelogic/ModelBounds.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelBounds.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/core-logic/src/test/java/applespindle/corelogic/ModelClaimant.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
@@ -1,7 +1,9 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyPromised;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.VoteResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -11,24 +13,24 @@
  * One life of a process that claims the register, leads it and folds its log into a view, wired as
  * a batch's leader is.
  */
-final class ModelClaimant {
+final class ModelCandidate {
   private final ModelRuntime runtime;
   private final String id;
   private final String key;
   private final boolean snapshotValues;
   private final ModelHistory history;
-  private final KeyClaims claims;
-  private OwnedKey led;
+  private final Elections claims;
+  private ReplicatedLogLeader led;
 
   /** The entries folded by the leader of now, in the order of folding. */
-  private final List<Entry> view = new ArrayList<>();
+  private final List<LogEntry> view = new ArrayList<>();
 
-  ModelClaimant(
+  ModelCandidate(
       ModelRuntime runtime,
       String id,
       String key,
       boolean snapshotValues,
-      Supplier<ReplicaSets> sets,
+      Supplier<ReplicaConfiguration> sets,
       ModelHistory history) {
     this.runtime = runtime;
     this.id = id;
@@ -37,7 +39,7 @@
     this.history = history;
     BiConsumer<String, Envelope> network = runtime::send;
     claims =
-        new KeyClaims(
+        new Elections(
             runtime,
             id,
             (address, toId, message) ->
@@ -63,14 +65,14 @@
     claims.claim(key, true, outcome -> {});
   }
 
-  private void lead(OwnedKey owned) {
+  private void lead(ReplicatedLogLeader owned) {
     led = owned;
     view.clear();
     owned.whenLost(() -> led = null);
     List.copyOf(owned.entries()).forEach(this::fold);
   }
 
-  private void fold(Entry entry) {
+  private void fold(LogEntry entry) {
     if (!entry.isTakeover()) {
       history.folded(id, led.entries(), view, entry);
       view.add(entry);
@@ -78,7 +80,7 @@
   }
 
   void append(byte[] value) {
-    Entry entry = new Entry(led.lastSequence() + 1, led.epoch(), snapshotValues, value);
+    LogEntry entry = new LogEntry(led.lastSequence() + 1, led.epoch(), snapshotValues, value);
     led.append(
         snapshotValues,
         value,
@@ -95,7 +97,7 @@
     long last =
         led.entries().stream()
             .filter(entry -> !entry.isTakeover())
-            .mapToLong(Entry::sequence)
+            .mapToLong(LogEntry::sequence)
             .max()
             .orElse(0);
     led.confirm(
@@ -108,12 +110,12 @@
 
   /** Gives the register up, as a leader without work does. */
   void release() {
-    OwnedKey former = led;
+    ReplicatedLogLeader former = led;
     led = null;
     former.stop();
   }
 
-  void changeSets(ReplicaSets sets) {
+  void changeSets(ReplicaConfiguration sets) {
     if (led != null) {
       led.changeSets(sets);
     }
@@ -121,10 +123,10 @@
   }
 
   void receive(Envelope envelope) {
-    if (envelope.message() instanceof KeyPromised promised) {
+    if (envelope.message() instanceof VoteResponse promised) {
       claims.promised(promised, envelope.fromId());
-    } else if (envelope.message() instanceof KeyAppended appended) {
-      OwnedKey receiver = led != null ? led : claims.claiming(key);
+    } else if (envelope.message() instanceof AppendResponse appended) {
+      ReplicatedLogLeader receiver = led != null ? led : claims.claiming(key);
       if (receiver != null) {
         receiver.appended(appended, envelope.fromId());
       }
--- a/core-logic/src/test/java/applespindle/corelogic/ModelDisk.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelDisk.java
@@ -1,5 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
+import applespindle.corelogic.log.LogRecord;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,15 +10,15 @@
  * unsynced records and loses the rest.
  */
 final class ModelDisk implements StateText.Named {
-  private record Pending(List<DiskRecord> records, Runnable whenSynced) {}
+  private record Pending(List<LogRecord> records, Runnable whenSynced) {}
 
   private final boolean slow;
   private final String setName;
-  private final List<DiskRecord> synced = new ArrayList<>();
+  private final List<LogRecord> synced = new ArrayList<>();
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
 
   /** What a start would make of the synced records. */
-  private KeyReplicas recoverable;
+  private LogReplicas recoverable;
 
   ModelDisk(boolean slow, String setName) {
     this.slow = slow;
@@ -25,11 +26,11 @@
     recoverable = emptyReplicas();
   }
 
-  private KeyReplicas emptyReplicas() {
-    return new KeyReplicas(null, (address, id, message) -> {}, (key, entry) -> {}, key -> setName);
+  private LogReplicas emptyReplicas() {
+    return new LogReplicas(null, (address, id, message) -> {}, (key, entry) -> {}, key -> setName);
   }
 
-  void write(List<DiskRecord> records, Runnable whenSynced) {
+  void write(List<LogRecord> records, Runnable whenSynced) {
     pending.add(new Pending(records, whenSynced));
     if (!slow) {
       syncAll();
@@ -53,7 +54,7 @@
     }
   }
 
-  private void keep(DiskRecord record) {
+  private void keep(LogRecord record) {
     synced.add(record);
     recoverable.recover(record);
   }
@@ -64,17 +65,17 @@
 
   /** The process ends; this many unsynced records happen to have reached the disk. */
   void crash(int kept) {
-    List<DiskRecord> unsynced =
+    List<LogRecord> unsynced =
         pending.stream().flatMap(each -> each.records().stream()).limit(kept).toList();
     pending.clear();
     unsynced.forEach(this::keep);
   }
 
-  List<DiskRecord> synced() {
+  List<LogRecord> synced() {
     return synced;
   }
 
-  KeyReplicas recoverable() {
+  LogReplicas recoverable() {
     return recoverable;
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/ModelEvent.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelEvent.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 /** What the bounds of a model limit. All else may happen as often as it is possible. */
 enum ModelEvent {
--- a/core-logic/src/test/java/applespindle/corelogic/ModelHistory.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
@@ -1,11 +1,14 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.InvariantBroken.Invariant;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.Verdict;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.Verdict;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.replication.InvariantViolation.Invariant;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -14,9 +17,9 @@
 /** What was told and seen in a run so far, and the invariants that are judged as it happens. */
 final class ModelHistory {
   /** By sequence, the entry that some process called committed. */
-  private final TreeMap<Long, Entry> committed = new TreeMap<>();
+  private final TreeMap<Long, LogEntry> committed = new TreeMap<>();
 
-  private final TreeMap<Long, Entry> acknowledged = new TreeMap<>();
+  private final TreeMap<Long, LogEntry> acknowledged = new TreeMap<>();
 
   /** By replica, the highest epoch that it has told somebody it would stand by. */
   private final Map<String, Epoch> told = new TreeMap<>();
@@ -28,7 +31,7 @@
     return lastSeen;
   }
 
-  TreeMap<Long, Entry> acknowledged() {
+  TreeMap<Long, LogEntry> acknowledged() {
     return acknowledged;
   }
 
@@ -36,29 +39,29 @@
     return told.getOrDefault(replica, Epoch.NONE);
   }
 
-  static boolean same(Entry one, Entry other) {
+  static boolean same(LogEntry one, LogEntry other) {
     return one.epoch().equals(other.epoch()) && Arrays.equals(one.event(), other.event());
   }
 
-  void committed(String by, Entry entry) {
-    Entry present = committed.putIfAbsent(entry.sequence(), entry);
+  void committed(String by, LogEntry entry) {
+    LogEntry present = committed.putIfAbsent(entry.sequence(), entry);
     if (present != null && !same(present, entry)) {
-      throw new InvariantBroken(
+      throw new InvariantViolation(
           Invariant.ONE_VALUE,
           by + " has " + text(entry) + " where " + text(present) + " was committed");
     }
   }
 
-  void acknowledged(Entry entry) {
+  void acknowledged(LogEntry entry) {
     committed("a client", entry);
     acknowledged.put(entry.sequence(), entry);
     lastSeen = Math.max(lastSeen, entry.sequence());
   }
 
   void sent(Envelope envelope) {
-    if (envelope.message() instanceof KeyPromised promised && promised.verdict() == Verdict.OK) {
+    if (envelope.message() instanceof VoteResponse promised && promised.verdict() == Verdict.OK) {
       told.merge(envelope.fromId(), promised.asked(), ModelHistory::higher);
-    } else if (envelope.message() instanceof KeyAppended appended
+    } else if (envelope.message() instanceof AppendResponse appended
         && appended.verdict() == Verdict.OK) {
       told.merge(envelope.fromId(), appended.epoch(), ModelHistory::higher);
     }
@@ -69,19 +72,19 @@
   }
 
   /** A leader is about to add an entry to its view. */
-  void folded(String leader, List<Entry> log, List<Entry> view, Entry entry) {
+  void folded(String leader, List<LogEntry> log, List<LogEntry> view, LogEntry entry) {
     committed(leader + "'s view", entry);
     long last = lastOf(view);
     if (entry.sequence() <= last) {
-      throw new InvariantBroken(
+      throw new InvariantViolation(
           Invariant.VIEW_IS_LOG, leader + " folds " + text(entry) + " after sequence " + last);
     }
     if (entry.whole()) {
       return;
     }
-    for (Entry each : log) {
+    for (LogEntry each : log) {
       if (!each.isTakeover() && each.sequence() > last && each.sequence() < entry.sequence()) {
-        throw new InvariantBroken(
+        throw new InvariantViolation(
             Invariant.VIEW_IS_LOG,
             leader + " folds " + text(entry) + " and has never folded " + text(each));
       }
@@ -92,25 +95,25 @@
    * A read was confirmed. before: what had been seen when it began; last: the last value in the
    * leader's log then.
    */
-  void read(String leader, List<Entry> view, long before, long last) {
+  void read(String leader, List<LogEntry> view, long before, long last) {
     long seen = lastOf(view);
     if (seen < before) {
-      throw new InvariantBroken(
+      throw new InvariantViolation(
           Invariant.READ_CURRENT,
           leader + " reads up to " + seen + " where " + before + " was seen");
     }
     if (seen < last) {
-      throw new InvariantBroken(
+      throw new InvariantViolation(
           Invariant.VIEW_IS_LOG, leader + " reads up to " + seen + " of a log up to " + last);
     }
     lastSeen = Math.max(lastSeen, seen);
   }
 
-  private static long lastOf(List<Entry> entries) {
+  private static long lastOf(List<LogEntry> entries) {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
-  static String text(Entry entry) {
+  static String text(LogEntry entry) {
     return entry.sequence()
         + "="
         + (entry.isTakeover() ? "takeover" : new String(entry.event(), UTF_8))
--- a/core-logic/src/test/java/applespindle/corelogic/ModelPlan.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelPlan.java
@@ -1,22 +1,22 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.ModelBounds.Start.BLANK;
-import static applespindle.corelogic.ModelBounds.Start.COPIED;
-import static applespindle.corelogic.ModelBounds.Start.DIVERGED;
-import static applespindle.corelogic.ModelBounds.Start.LAGGING;
-import static applespindle.corelogic.ModelBounds.Start.LED;
-import static applespindle.corelogic.ModelBounds.Start.SUPERSEDED;
-import static applespindle.corelogic.ModelBounds.from;
-import static applespindle.corelogic.ModelEvent.APPEND;
-import static applespindle.corelogic.ModelEvent.CLAIM;
-import static applespindle.corelogic.ModelEvent.CLAIMANT_CRASH;
-import static applespindle.corelogic.ModelEvent.CLOCK_JUMP;
-import static applespindle.corelogic.ModelEvent.DUPLICATE;
-import static applespindle.corelogic.ModelEvent.READ;
-import static applespindle.corelogic.ModelEvent.RELEASE;
-import static applespindle.corelogic.ModelEvent.REPLICA_CRASH;
-import static applespindle.corelogic.ModelEvent.SET_CHANGE;
-import static applespindle.corelogic.ModelEvent.TIMER;
+import static applespindle.corelogic.replication.ModelBounds.Start.BLANK;
+import static applespindle.corelogic.replication.ModelBounds.Start.COPIED;
+import static applespindle.corelogic.replication.ModelBounds.Start.DIVERGED;
+import static applespindle.corelogic.replication.ModelBounds.Start.LAGGING;
+import static applespindle.corelogic.replication.ModelBounds.Start.LED;
+import static applespindle.corelogic.replication.ModelBounds.Start.SUPERSEDED;
+import static applespindle.corelogic.replication.ModelBounds.from;
+import static applespindle.corelogic.replication.ModelEvent.APPEND;
+import static applespindle.corelogic.replication.ModelEvent.CLAIM;
+import static applespindle.corelogic.replication.ModelEvent.CLAIMANT_CRASH;
+import static applespindle.corelogic.replication.ModelEvent.CLOCK_JUMP;
+import static applespindle.corelogic.replication.ModelEvent.DUPLICATE;
+import static applespindle.corelogic.replication.ModelEvent.READ;
+import static applespindle.corelogic.replication.ModelEvent.RELEASE;
+import static applespindle.corelogic.replication.ModelEvent.REPLICA_CRASH;
+import static applespindle.corelogic.replication.ModelEvent.SET_CHANGE;
+import static applespindle.corelogic.replication.ModelEvent.TIMER;
 
 /** Named bounds, each made for one kind of trouble. */
 enum ModelPlan {
--- a/core-logic/src/test/java/applespindle/corelogic/ModelReplica.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
@@ -1,8 +1,13 @@
-package applespindle.corelogic;
-
-import applespindle.corelogic.Message.Ask;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyPromise;
+package applespindle.corelogic.replication;
+
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Message.VoteRequest;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.List;
@@ -12,21 +17,21 @@
 /** One life of a replica's process: the replica's and the copier's own classes, nothing else. */
 final class ModelReplica extends Node implements StateText.Named {
   /** What a replica's messages are wired to; the rest of what a node does is not modelled. */
-  private final KeyReplicas replicas;
+  private final LogReplicas replicas;
 
-  private final ReplicaCopier copier;
+  private final ReplicaCatchUp copier;
   private final ModelRuntime runtime;
   private boolean copied;
 
   ModelReplica(
-      ModelRuntime runtime, String id, String setName, BiConsumer<String, Entry> whenCommitted) {
-    super(runtime, new Place(id, 0, id, "", "", id, "", List.of()));
+      ModelRuntime runtime, String id, String setName, BiConsumer<String, LogEntry> whenCommitted) {
+    super(runtime, new NodeIdentity(id, 0, id, "", "", id, "", List.of()));
     this.runtime = runtime;
-    replicas = new KeyReplicas(runtime, this::send, whenCommitted, key -> setName);
-    copier = new ReplicaCopier(runtime, this, replicas, new HashMap<>(), key -> setName);
+    replicas = new LogReplicas(runtime, this::send, whenCommitted, key -> setName);
+    copier = new ReplicaCatchUp(runtime, this, replicas, new HashMap<>(), key -> setName);
   }
 
-  KeyReplicas replicas() {
+  LogReplicas replicas() {
     return replicas;
   }
 
@@ -40,8 +45,7 @@
   }
 
   /** Learns of the pending set that it is to join, and begins to copy. */
-  void copyIn(
-      String setName, long number, List<OwnedKey.Replica> sources, LongSupplier numberInForce) {
+  void copyIn(String setName, long number, List<NodeAddress> sources, LongSupplier numberInForce) {
     replicas.learnSet(
         setName,
         number,
@@ -66,15 +70,15 @@
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof KeyAppend append) {
+    if (message instanceof AppendRequest append) {
       replicas.append(append, fromId, fromAddress);
-    } else if (message instanceof KeyPromise promise) {
+    } else if (message instanceof VoteRequest promise) {
       replicas.promise(promise, fromId, fromAddress);
     }
   }
 
   @Override
-  protected void handleAsk(Ask ask) {
+  protected void handleAsk(PeerRequest ask) {
     copier.copyOut(ask);
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/ModelRuntime.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelRuntime.java
@@ -1,5 +1,14 @@
-package applespindle.corelogic;
-
+package applespindle.corelogic.replication;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.protocol.Envelope;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +22,7 @@
  * timers fire when the model says so, whatever their delay, except that tasks without a delay run
  * at the end of the step that planned them.
  */
-final class ModelRuntime implements Surroundings, StateText.Named {
+final class ModelRuntime implements Environment, StateText.Named {
   /** A timer that may fire. */
   static final class Timer {
     final long millis;
@@ -79,7 +88,7 @@
   }
 
   @Override
-  public Schedule after(long millis, Runnable task) {
+  public ScheduledTask after(long millis, Runnable task) {
     if (millis == 0) {
       immediate.add(task);
       return () -> immediate.remove(task);
@@ -91,7 +100,7 @@
 
   /** Named, as it is reached from the logic's own fields. */
   private record Cancellation(List<Timer> timers, Timer timer)
-      implements Schedule, StateText.Named {
+      implements ScheduledTask, StateText.Named {
     @Override
     public void cancel() {
       timers.remove(timer);
@@ -111,7 +120,7 @@
   }
 
   @Override
-  public void write(List<DiskRecord> records, Runnable whenSynced) {
+  public void write(List<LogRecord> records, Runnable whenSynced) {
     disk.write(
         records,
         () -> {
@@ -127,13 +136,13 @@
   }
 
   @Override
-  public WorkerRun run(WorkerCall call, WorkerListener listener) {
+  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
     throw new UnsupportedOperationException();
   }
 
   @Override
   public void readLoad(
-      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
     throw new UnsupportedOperationException();
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/ModelSearch.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelSearch.java
@@ -1,6 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import applespindle.corelogic.RegisterModel.Step;
+import applespindle.corelogic.replication.ReplicatedLogModel.Step;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -28,7 +28,7 @@
   }
 
   /** A broken invariant and the steps that lead to it. */
-  record Counterexample(InvariantBroken broken, List<String> steps) {}
+  record Counterexample(InvariantViolation broken, List<String> steps) {}
 
   /**
    * What a search has done.
@@ -67,7 +67,7 @@
 
   /** Reaches every state within the bounds, those of fewer steps first. */
   Outcome breadthFirst() {
-    seen.add(new RegisterModel(bounds).stateHash());
+    seen.add(new ReplicatedLogModel(bounds).stateHash());
     List<byte[]> frontier = List.of(new byte[0]);
     long steps = 0;
     int depth = 0;
@@ -118,7 +118,7 @@
   }
 
   private long expand(byte[] path, ConcurrentLinkedQueue<byte[]> next) {
-    RegisterModel model = repeat(path);
+    ReplicatedLogModel model = repeat(path);
     List<Step> enabled = model.enabled();
     int choices = enabled.size();
     Set<String> offered = new HashSet<>();
@@ -127,12 +127,12 @@
       if (!first.get(choice)) {
         continue;
       }
-      RegisterModel successor = choice == 0 ? model : repeat(path);
+      ReplicatedLogModel successor = choice == 0 ? model : repeat(path);
       byte[] longer = Arrays.copyOf(path, path.length + 1);
       longer[path.length] = (byte) choice;
       try {
         successor.take(successor.enabled().get(choice));
-      } catch (InvariantBroken broken) {
+      } catch (InvariantViolation broken) {
         brokenPath.compareAndSet(null, longer);
         return choice + 1;
       }
@@ -143,8 +143,8 @@
     return choices;
   }
 
-  private RegisterModel repeat(byte[] path) {
-    RegisterModel model = new RegisterModel(bounds);
+  private ReplicatedLogModel repeat(byte[] path) {
+    ReplicatedLogModel model = new ReplicatedLogModel(bounds);
     for (byte choice : path) {
       model.enabled().get(choice & 0xff).effect().run();
     }
@@ -152,14 +152,14 @@
   }
 
   private Outcome broken(long steps, byte[] path) {
-    RegisterModel model = new RegisterModel(bounds);
+    ReplicatedLogModel model = new ReplicatedLogModel(bounds);
     List<String> labels = new ArrayList<>();
     for (byte choice : path) {
       Step step = model.enabled().get(choice & 0xff);
       labels.add(step.label().get());
       try {
         model.take(step);
-      } catch (InvariantBroken broken) {
+      } catch (InvariantViolation broken) {
         return new Outcome(
             End.BROKEN,
             seen.size(),
@@ -192,8 +192,8 @@
 
   /** Fills in the choices taken; returns their number, negative if the last broke an invariant. */
   private int walk(Random random, byte[] path) {
-    RegisterModel model = new RegisterModel(bounds);
-    WalkHabit habit = new WalkHabit(random);
+    ReplicatedLogModel model = new ReplicatedLogModel(bounds);
+    WalkStrategy habit = new WalkStrategy(random);
     for (int count = 0; count < path.length; count++) {
       List<Step> enabled = model.enabled();
       if (enabled.isEmpty()) {
@@ -203,7 +203,7 @@
       path[count] = (byte) choice;
       try {
         model.take(enabled.get(choice));
-      } catch (InvariantBroken broken) {
+      } catch (InvariantViolation broken) {
         return -count - 1;
       }
       seen.add(model.stateHash());
@@ -230,7 +230,7 @@
 
   /** Takes the steps of these labels, passing over those that aren't enabled. */
   private Optional<Counterexample> follow(List<String> labels) {
-    RegisterModel model = new RegisterModel(bounds);
+    ReplicatedLogModel model = new ReplicatedLogModel(bounds);
     List<String> taken = new ArrayList<>();
     for (String label : labels) {
       Optional<Step> step =
@@ -241,7 +241,7 @@
       taken.add(label);
       try {
         model.take(step.get());
-      } catch (InvariantBroken broken) {
+      } catch (InvariantViolation broken) {
         return Optional.of(new Counterexample(broken, taken));
       }
     }
--- a/core-logic/src/test/java/applespindle/corelogic/OwnedKeyTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
@@ -1,15 +1,19 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.Message.KeyPromise;
-import applespindle.corelogic.Message.KeyPromised;
-import applespindle.corelogic.Message.Verdict;
-import applespindle.corelogic.OwnedKey.Claim;
-import applespindle.corelogic.OwnedKey.Replica;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.FakeEnvironment;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.Verdict;
+import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Message.VoteResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
@@ -17,64 +21,64 @@
 import org.junit.jupiter.api.Test;
 
 /** The leader's side of one key before three replicas that answer when the test lets them. */
-final class OwnedKeyTest {
+final class ReplicatedLogLeaderTest {
   private static final String KEY = "batch/one";
 
-  private final PlayedWorld world = new PlayedWorld(1_000) {};
-  private final List<KeyAppend> unanswered = new ArrayList<>();
+  private final FakeEnvironment world = new FakeEnvironment(1_000) {};
+  private final List<AppendRequest> unanswered = new ArrayList<>();
   private final List<String> applied = new ArrayList<>();
-  private final List<Fault> answers = new ArrayList<>();
-  private final List<KeyPromise> asked = new ArrayList<>();
+  private final List<ApiError> answers = new ArrayList<>();
+  private final List<VoteRequest> asked = new ArrayList<>();
   private Verdict promiseVerdict = Verdict.OK;
-  private OwnedKey leader;
-  private Claim claim;
+  private ReplicatedLogLeader leader;
+  private ElectionResult claim;
   private int timesLost;
 
   @BeforeEach
   void lead() {
-    List<Replica> replicas =
-        Stream.of("a", "b", "c").map(id -> new Replica(id, "address-" + id)).toList();
+    List<NodeAddress> replicas =
+        Stream.of("a", "b", "c").map(id -> new NodeAddress(id, "address-" + id)).toList();
     leader = claimFor(replicas);
     leader.whenLost(() -> timesLost++);
     world.run(1);
     answerAppends();
     world.run(1);
-    assertThat(claim).isEqualTo(Claim.OWNED);
+    assertThat(claim).isEqualTo(ElectionResult.OWNED);
     unanswered.clear();
   }
 
-  private OwnedKey claimFor(List<Replica> replicas) {
-    return new OwnedKey(
+  private ReplicatedLogLeader claimFor(List<NodeAddress> replicas) {
+    return new ReplicatedLogLeader(
         world,
         "leader",
         (address, id, message) -> world.after(0, () -> delivered(id, message)),
         KEY,
-        new ReplicaSets(1, replicas, List.of()),
+        new ReplicaConfiguration(1, replicas, List.of()),
         false,
         false,
         outcome -> claim = outcome.claim());
   }
 
   private void delivered(String replica, Message message) {
-    if (message instanceof KeyPromise promise) {
+    if (message instanceof VoteRequest promise) {
       asked.add(promise);
       Verdict verdict =
           promise.trial() && promiseVerdict == Verdict.OK ? Verdict.WOULD_PROMISE : promiseVerdict;
       leader.promised(
-          new KeyPromised(KEY, promise.epoch(), verdict, Epoch.NONE, "", "", 0, 0, List.of()),
+          new VoteResponse(KEY, promise.epoch(), verdict, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
-    } else if (message instanceof KeyAppend append) {
+    } else if (message instanceof AppendRequest append) {
       unanswered.add(append);
     }
   }
 
   /** A majority says that it has synced all that it was sent. */
   private void answerAppends() {
-    for (KeyAppend append : List.copyOf(unanswered)) {
+    for (AppendRequest append : List.copyOf(unanswered)) {
       long matched = append.previousSequence() + append.entries().size();
       for (String replica : List.of("a", "b")) {
         leader.appended(
-            new KeyAppended(
+            new AppendResponse(
                 KEY, append.epoch(), append.round(), Verdict.OK, append.epoch(), matched),
             replica);
       }
@@ -90,8 +94,9 @@
   @Test
   void appliesAnEntryThatIsCommittedAfterItsCallerWasAnswered() {
     append("early");
-    world.run(Constants.COMMAND_EXPIRY_MS + Constants.OWNER_BEAT_MS + 1);
-    assertThat(answers).containsExactly(new Fault.OutcomeUnknown(KEY));
+    world.run(
+        ReplicationConstants.COMMIT_TIMEOUT_MS + ReplicationConstants.HEARTBEAT_INTERVAL_MS + 1);
+    assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
     assertThat(applied).isEmpty();
 
     append("late");
@@ -99,7 +104,7 @@
     answerAppends();
 
     assertThat(applied).containsExactly("early", "late").inOrder();
-    assertThat(answers).containsExactly(new Fault.OutcomeUnknown(KEY), null).inOrder();
+    assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY), null).inOrder();
   }
 
   @Test
@@ -121,14 +126,14 @@
     leader.stop();
     answerAppends();
     assertThat(applied).isEmpty();
-    assertThat(answers).containsExactly(new Fault.OutcomeUnknown(KEY));
+    assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
   }
 
   /** One replica's answer to the newest append. */
   private void answerBeatOf(String replica) {
-    KeyAppend newest = unanswered.get(unanswered.size() - 1);
+    AppendRequest newest = unanswered.get(unanswered.size() - 1);
     leader.appended(
-        new KeyAppended(
+        new AppendResponse(
             KEY, newest.epoch(), newest.round(), Verdict.OK, newest.epoch(), leader.lastSequence()),
         replica);
   }
@@ -140,25 +145,29 @@
   @Test
   void saysThatItHearsNoMajorityAndThenStepsDown() {
     append("pending");
-    world.run(Constants.OWNER_UNHEARD_MS - Constants.OWNER_BEAT_MS);
+    world.run(
+        ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS
+            - ReplicationConstants.HEARTBEAT_INTERVAL_MS);
     assertThat(saysThatItHearsAMajority()).isTrue();
-    world.run(2 * Constants.OWNER_BEAT_MS);
+    world.run(2 * ReplicationConstants.HEARTBEAT_INTERVAL_MS);
     assertThat(saysThatItHearsAMajority()).isFalse();
     assertThat(leader.owned()).isTrue();
 
-    world.run(Constants.OWNER_STEP_DOWN_MS);
-    assertThat(leader.state()).isEqualTo(OwnedKey.State.LOST);
+    world.run(ReplicationConstants.LEADER_STEP_DOWN_MS);
+    assertThat(leader.state()).isEqualTo(ReplicatedLogLeader.LeadershipState.LOST);
     assertThat(timesLost).isEqualTo(1);
-    assertThat(answers).containsExactly(new Fault.OutcomeUnknown(KEY));
-    List<Fault> later = new ArrayList<>();
+    assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
+    List<ApiError> later = new ArrayList<>();
     leader.confirm(later::add);
-    assertThat(later).containsExactly(new Fault.NotOwner(KEY));
+    assertThat(later).containsExactly(new ApiError.NotLeader(KEY));
   }
 
   @Test
   void oneReplicaOfThreeIsNoMajority() {
-    for (long ms = 0; ms <= Constants.OWNER_STEP_DOWN_MS; ms += Constants.OWNER_BEAT_MS) {
-      world.run(Constants.OWNER_BEAT_MS);
+    for (long ms = 0;
+        ms <= ReplicationConstants.LEADER_STEP_DOWN_MS;
+        ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
+      world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
       if (leader.owned()) {
         answerBeatOf("a");
       }
@@ -168,8 +177,10 @@
 
   @Test
   void answersOfAMajorityKeepItLeading() {
-    for (long ms = 0; ms <= 2 * Constants.OWNER_STEP_DOWN_MS; ms += Constants.OWNER_BEAT_MS) {
-      world.run(Constants.OWNER_BEAT_MS);
+    for (long ms = 0;
+        ms <= 2 * ReplicationConstants.LEADER_STEP_DOWN_MS;
+        ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
+      world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
       answerBeatOf("a");
       answerBeatOf("c");
       assertThat(leader.hearsMajority()).isTrue();
@@ -179,8 +190,10 @@
 
   @Test
   void otherSignsThatReplicasHearItCountToo() {
-    for (long ms = 0; ms <= 2 * Constants.OWNER_STEP_DOWN_MS; ms += Constants.OWNER_BEAT_MS) {
-      world.run(Constants.OWNER_BEAT_MS);
+    for (long ms = 0;
+        ms <= 2 * ReplicationConstants.LEADER_STEP_DOWN_MS;
+        ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
+      world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
       leader.heardBy("b");
       leader.heardBy("c");
     }
@@ -198,8 +211,8 @@
 
   @Test
   void asksByATrialBeforeItRaisesTheEpoch() {
-    assertThat(asked.subList(0, 3).stream().allMatch(KeyPromise::trial)).isTrue();
-    KeyPromise first = asked.stream().filter(each -> !each.trial()).findFirst().orElseThrow();
+    assertThat(asked.subList(0, 3).stream().allMatch(VoteRequest::trial)).isTrue();
+    VoteRequest first = asked.stream().filter(each -> !each.trial()).findFirst().orElseThrow();
     assertThat(asked.get(0).epoch().below(first.epoch())).isTrue();
   }
 
@@ -207,31 +220,37 @@
   void raisesNoEpochWhileReplicasKeepTheKeyForItsOwner() {
     asked.clear();
     promiseVerdict = Verdict.BUSY;
-    leader = claimFor(List.of(new Replica("a", "x"), new Replica("b", "y"), new Replica("c", "z")));
-    world.run(Constants.CLAIM_EXPIRY_MS);
-    assertThat(claim).isEqualTo(Claim.BUSY);
-    assertThat(asked.stream().allMatch(KeyPromise::trial)).isTrue();
+    leader =
+        claimFor(
+            List.of(
+                new NodeAddress("a", "x"), new NodeAddress("b", "y"), new NodeAddress("c", "z")));
+    world.run(ReplicationConstants.ELECTION_TIMEOUT_MS);
+    assertThat(claim).isEqualTo(ElectionResult.BUSY);
+    assertThat(asked.stream().allMatch(VoteRequest::trial)).isTrue();
   }
 
   /** An answer to an earlier trial of the same epoch is no promise. */
   @Test
   void countsNoTrialAnswerAsAPromise() {
     promiseVerdict = Verdict.REFUSED;
-    leader = claimFor(List.of(new Replica("a", "x"), new Replica("b", "y"), new Replica("c", "z")));
+    leader =
+        claimFor(
+            List.of(
+                new NodeAddress("a", "x"), new NodeAddress("b", "y"), new NodeAddress("c", "z")));
     Epoch trialled = leader.epoch();
     for (String replica : List.of("a", "b")) {
       leader.promised(
-          new KeyPromised(
+          new VoteResponse(
               KEY, trialled, Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     }
     assertThat(trialled.below(leader.epoch())).isTrue();
     for (String replica : List.of("a", "b")) {
       leader.promised(
-          new KeyPromised(
+          new VoteResponse(
               KEY, leader.epoch(), Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     }
-    assertThat(leader.state()).isEqualTo(OwnedKey.State.CLAIMING);
+    assertThat(leader.state()).isEqualTo(ReplicatedLogLeader.LeadershipState.CLAIMING);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/RegisterModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -1,9 +1,14 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.InvariantBroken.Invariant;
-import applespindle.corelogic.ModelBounds.Start;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.replication.InvariantViolation.Invariant;
+import applespindle.corelogic.replication.ModelBounds.Start;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,7 +24,7 @@
  * claimants, the messages in flight. The run is a sequence of steps, each chosen from those that
  * are enabled; the same choices give the same run.
  */
-final class RegisterModel implements StateText.Named {
+final class ReplicatedLogModel implements StateText.Named {
   /**
    * One thing that may happen next.
    *
@@ -39,19 +44,21 @@
   private static final long PENDING_SET = 2;
   private static final String NEWCOMER = "r4";
   private static final List<String> CLAIMANTS = List.of("a", "b");
-  private static final ReplicaSets FIRST =
-      new ReplicaSets(1, replicas("r1", "r2", "r3"), List.of());
-  private static final ReplicaSets PENDING =
-      new ReplicaSets(PENDING_SET, FIRST.present(), replicas("r1", "r2", "r4"));
-  private static final ReplicaSets CHANGED = new ReplicaSets(3, PENDING.next(), List.of());
-  private static final ReplicaSets CALLED_OFF = new ReplicaSets(3, FIRST.present(), List.of());
+  private static final ReplicaConfiguration FIRST =
+      new ReplicaConfiguration(1, replicas("r1", "r2", "r3"), List.of());
+  private static final ReplicaConfiguration PENDING =
+      new ReplicaConfiguration(PENDING_SET, FIRST.present(), replicas("r1", "r2", "r4"));
+  private static final ReplicaConfiguration CHANGED =
+      new ReplicaConfiguration(3, PENDING.next(), List.of());
+  private static final ReplicaConfiguration CALLED_OFF =
+      new ReplicaConfiguration(3, FIRST.present(), List.of());
 
   private static final Predicate<InFlight> ALL = message -> true;
   private static final Predicate<InFlight> NOT_TO_FIRST = message -> !message.to.equals("r1");
   private static final Predicate<InFlight> TO_FIRST = message -> message.to.equals("r1");
 
-  private static List<OwnedKey.Replica> replicas(String... ids) {
-    return List.of(ids).stream().map(id -> new OwnedKey.Replica(id, id)).toList();
+  private static List<NodeAddress> replicas(String... ids) {
+    return List.of(ids).stream().map(id -> new NodeAddress(id, id)).toList();
   }
 
   /** A message on its way. */
@@ -80,7 +87,7 @@
   private final ModelHistory history = new ModelHistory();
   private final Map<String, ModelDisk> disks = new TreeMap<>();
   private final Map<String, ModelReplica> replicas = new TreeMap<>();
-  private final Map<String, ModelClaimant> claimants = new TreeMap<>();
+  private final Map<String, ModelCandidate> claimants = new TreeMap<>();
   private final Map<String, Epoch> promisedBefore = new TreeMap<>();
   private final List<InFlight> inFlight = new ArrayList<>();
 
@@ -88,17 +95,17 @@
   private final int[] taken = new int[ModelEvent.values().length];
 
   /** The sets in force: what the control plane has committed. */
-  private ReplicaSets inForce = FIRST;
+  private ReplicaConfiguration inForce = FIRST;
 
   /** By claimant, the sets that it knows. Kept over its crashes, as it asks before it claims. */
-  private final Map<String, ReplicaSets> known = new TreeMap<>();
+  private final Map<String, ReplicaConfiguration> known = new TreeMap<>();
 
   /** The lives of the newcomer that have begun to copy. */
   private final Set<ModelReplica> copying = new HashSet<>();
 
-  RegisterModel(ModelBounds bounds) {
+  ReplicatedLogModel(ModelBounds bounds) {
     this.bounds = bounds;
-    for (OwnedKey.Replica replica : PENDING.all()) {
+    for (NodeAddress replica : PENDING.all()) {
       boolean member = FIRST.present().contains(replica);
       if (member || bounds.most(ModelEvent.SET_CHANGE) > 0) {
         disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), SET));
@@ -125,14 +132,15 @@
     ModelRuntime runtime = new ModelRuntime(id, null, this::send);
     claimants.put(
         id,
-        new ModelClaimant(runtime, id, KEY, bounds.snapshotValues(), () -> known.get(id), history));
+        new ModelCandidate(
+            runtime, id, KEY, bounds.snapshotValues(), () -> known.get(id), history));
   }
 
   private void begin(Start start) {
     if (start == Start.BLANK) {
       return;
     }
-    ModelClaimant first = claimants.get(CLAIMANTS.get(0));
+    ModelCandidate first = claimants.get(CLAIMANTS.get(0));
     act(first.runtime(), first::claim);
     settle(ALL);
     act(first.runtime(), () -> first.append(value(0)));
@@ -144,7 +152,7 @@
       }
       case LAGGING -> appendReaching(first, -1, NOT_TO_FIRST);
       case SUPERSEDED -> {
-        ModelClaimant second = claimants.get(CLAIMANTS.get(1));
+        ModelCandidate second = claimants.get(CLAIMANTS.get(1));
         act(second.runtime(), second::claim);
         settle(message -> NOT_TO_FIRST.test(message) && !second.leads());
       }
@@ -162,14 +170,14 @@
     inFlight.removeIf(message -> replicas.containsKey(message.to));
   }
 
-  private void appendReaching(ModelClaimant leader, int number, Predicate<InFlight> reaching) {
+  private void appendReaching(ModelCandidate leader, int number, Predicate<InFlight> reaching) {
     act(leader.runtime(), () -> leader.append(value(number)));
     settle(reaching);
   }
 
   private static void endPauses(ModelRuntime runtime) {
     List.copyOf(runtime.timers).stream()
-        .filter(timer -> timer.millis <= Constants.COPY_PAUSE_MS)
+        .filter(timer -> timer.millis <= ReplicationConstants.CATCH_UP_PAGE_DELAY_MS)
         .forEach(runtime::fire);
   }
 
@@ -208,7 +216,7 @@
 
   private void deliver(InFlight message) {
     ModelReplica replica = replicas.get(message.to);
-    ModelClaimant claimant = claimants.get(message.to);
+    ModelCandidate claimant = claimants.get(message.to);
     if (replica != null) {
       act(replica.runtime(), () -> replica.receive(message.envelope));
     } else if (claimant != null) {
@@ -301,7 +309,7 @@
         });
   }
 
-  private Step step(String label, ModelEvent event, ModelClaimant claimant, Runnable action) {
+  private Step step(String label, ModelEvent event, ModelCandidate claimant, Runnable action) {
     return new Step(() -> label, "", counting(event, () -> act(claimant.runtime(), action)));
   }
 
@@ -316,7 +324,7 @@
                     "clock jump at " + id,
                     ModelEvent.CLOCK_JUMP,
                     claimant,
-                    () -> claimant.runtime().jumpClock(Constants.COMMAND_EXPIRY_MS)));
+                    () -> claimant.runtime().jumpClock(ReplicationConstants.COMMIT_TIMEOUT_MS)));
           }
         });
   }
@@ -327,7 +335,7 @@
       ModelRuntime.Timer timer = runtime.timers.get(index);
       int number = index;
       Supplier<String> label = () -> "timer " + number + " of " + timer.millis + " ms at " + id;
-      if (timer.millis <= Constants.CLAIM_BACKOFF_MS) {
+      if (timer.millis <= ReplicationConstants.MAX_ELECTION_BACKOFF_MS) {
         steps.add(new Step(label, id, () -> runtime.fire(timer)));
       } else if (left(ModelEvent.TIMER)) {
         steps.add(new Step(label, "", counting(ModelEvent.TIMER, () -> runtime.fire(timer))));
@@ -404,7 +412,7 @@
     }
   }
 
-  private Step change(String label, ReplicaSets sets) {
+  private Step change(String label, ReplicaConfiguration sets) {
     return new Step(() -> label, "", counting(ModelEvent.SET_CHANGE, () -> inForce = sets));
   }
 
@@ -426,17 +434,17 @@
   void take(Step step) {
     try {
       step.effect().run();
-    } catch (InvariantBroken broken) {
+    } catch (InvariantViolation broken) {
       throw broken;
     } catch (RuntimeException thrown) {
-      throw new InvariantBroken(Invariant.NO_EXCEPTION, thrown.toString());
+      throw new InvariantViolation(Invariant.NO_EXCEPTION, thrown.toString());
     }
     check();
   }
 
   private void check() {
     replicas.forEach(this::checkPromised);
-    for (Entry entry : history.acknowledged().values()) {
+    for (LogEntry entry : history.acknowledged().values()) {
       checkKept(entry);
     }
   }
@@ -445,21 +453,21 @@
     Epoch promised = promised(replica.replicas());
     Epoch before = promisedBefore.put(id, promised);
     if (before != null && promised.below(before)) {
-      throw new InvariantBroken(Invariant.PROMISE_KEPT, id + " fell to " + promised);
+      throw new InvariantViolation(Invariant.PROMISE_KEPT, id + " fell to " + promised);
     }
     Epoch told = history.told(id);
     if (promised.below(told) || promised(disks.get(id).recoverable()).below(told)) {
-      throw new InvariantBroken(
+      throw new InvariantViolation(
           Invariant.PROMISE_KEPT, id + " has promised " + promised + " and told " + told);
     }
   }
 
-  private static Epoch promised(KeyReplicas replicas) {
-    KeyReplicas.Copy copy = replicas.copies().get(KEY);
+  private static Epoch promised(LogReplicas replicas) {
+    LogReplica copy = replicas.copies().get(KEY);
     return copy == null ? Epoch.NONE : copy.promised;
   }
 
-  private void checkKept(Entry entry) {
+  private void checkKept(LogEntry entry) {
     Set<String> holders = new HashSet<>();
     disks.forEach(
         (id, disk) -> {
@@ -468,9 +476,10 @@
             holders.add(id);
           }
         });
-    ReplicaSets counted = new ReplicaSets(inForce.number(), inForce.present(), List.of());
+    ReplicaConfiguration counted =
+        new ReplicaConfiguration(inForce.number(), inForce.present(), List.of());
     if (!counted.quorum(holders)) {
-      throw new InvariantBroken(
+      throw new InvariantViolation(
           Invariant.ACKNOWLEDGED_KEPT,
           ModelHistory.text(entry) + " is recoverable at " + holders + " only");
     }
--- a/core-logic/src/test/java/applespindle/corelogic/RegisterModelProgram.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelProgram.java
@@ -1,6 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import applespindle.corelogic.ModelSearch.Outcome;
+import applespindle.corelogic.replication.ModelSearch.Outcome;
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
@@ -11,10 +11,10 @@
  * THREADS [SEED]}. Prints one line for each plan, and the shortest run found to a broken invariant.
  * Ends with 1 if there is one.
  */
-final class RegisterModelProgram {
+final class ReplicatedLogModelProgram {
   private static final int WALK_STEPS_MOST = 200;
 
-  private RegisterModelProgram() {}
+  private ReplicatedLogModelProgram() {}
 
   public static void main(String[] arguments) {
     boolean walks = arguments[0].equals("walks");
--- a/core-logic/src/test/java/applespindle/corelogic/RegisterModelTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelTest.java
@@ -1,17 +1,17 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.corelogic.ModelSearch.Outcome;
+import applespindle.corelogic.replication.ModelSearch.Outcome;
 import java.time.Duration;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
  * No invariant of the replicated register breaks in any plan, searched for a short while. The large
- * searches are run by {@link RegisterModelProgram}.
+ * searches are run by {@link ReplicatedLogModelProgram}.
  */
-final class RegisterModelTest {
+final class ReplicatedLogModelTest {
   private static final Duration TIME_MOST = Duration.ofMillis(500);
   private static final long STATES_MOST = 20_000;
   private static final int WALK_STEPS_MOST = 200;
@@ -22,8 +22,8 @@
   }
 
   private static void expectWhole(ModelPlan plan, String kind, Outcome outcome) {
-    System.out.println(RegisterModelProgram.line(plan, kind, outcome));
-    assertWithMessage(outcome.counterexample().map(RegisterModelProgram::trace).orElse(""))
+    System.out.println(ReplicatedLogModelProgram.line(plan, kind, outcome));
+    assertWithMessage(outcome.counterexample().map(ReplicatedLogModelProgram::trace).orElse(""))
         .that(outcome.counterexample().isPresent())
         .isFalse();
     assertWithMessage("states reached").that(outcome.states()).isAtLeast(ModelSearch.STATES_LEAST);
--- a/core-logic/src/test/java/applespindle/corelogic/SlowLinkClaimTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/SlowLinkElectionTest.java
@@ -1,11 +1,22 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyAppended;
-import applespindle.corelogic.OwnedKey.Claim;
-import applespindle.corelogic.OwnedKey.Replica;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntry;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.AppendResponse;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,7 +32,7 @@
  * An edge behind a slow link claims a batch whose log has megabytes: the largest requests that a
  * deployment takes, and the largest outputs. All replicas send over the one link of the claimant.
  */
-final class SlowLinkClaimTest {
+final class SlowLinkElectionTest {
   private static final String KEY = "batch/o-large";
   private static final Epoch FORMER = new Epoch(7, "former");
 
@@ -42,7 +53,7 @@
     }
   }
 
-  private static final class World implements Surroundings {
+  private static final class World implements Environment {
     private static final long LATENCY_MS = 1;
     private static final long SYNC_MS = 5;
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
@@ -57,7 +68,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       boolean[] cancelled = new boolean[1];
       tasks.add(
           new Task(
@@ -91,7 +102,7 @@
     public void send(String peerAddress, Envelope envelope) {}
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
       after(SYNC_MS, whenSynced);
     }
 
@@ -101,13 +112,13 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       return () -> {};
     }
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {}
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
 
     @Override
     public RandomGenerator random() {
@@ -119,12 +130,12 @@
   }
 
   private final World world = new World();
-  private final Map<String, KeyReplicas> replicas = new LinkedHashMap<>();
-  private final List<OwnedKey.ClaimOutcome> outcomes = new ArrayList<>();
-  private final List<OwnedKey> owned = new ArrayList<>();
-  private final List<Entry> log = new ArrayList<>();
+  private final Map<String, LogReplicas> replicas = new LinkedHashMap<>();
+  private final List<ElectionOutcome> outcomes = new ArrayList<>();
+  private final List<ReplicatedLogLeader> owned = new ArrayList<>();
+  private final List<LogEntry> log = new ArrayList<>();
   private long ownedAt = Long.MAX_VALUE;
-  private KeyClaims claims;
+  private Elections claims;
 
   /** Whom the claimant asked for parts of the log, in order. */
   private final List<String> sources = new ArrayList<>();
@@ -133,19 +144,20 @@
   private String silent = "";
 
   private void givenALargeLog() {
-    log.add(new Entry(1, FORMER, false, new byte[REQUEST_BYTES]));
+    log.add(new LogEntry(1, FORMER, false, new byte[REQUEST_BYTES]));
     IntStream.rangeClosed(2, 1 + OUTPUTS)
-        .forEach(sequence -> log.add(new Entry(sequence, FORMER, false, new byte[OUTPUT_BYTES])));
+        .forEach(
+            sequence -> log.add(new LogEntry(sequence, FORMER, false, new byte[OUTPUT_BYTES])));
     for (int number = 1; number <= REPLICAS; number++) {
       String id = "storage-" + number;
-      KeyReplicas copy =
-          new KeyReplicas(
+      LogReplicas copy =
+          new LogReplicas(
               world,
               (address, to, message) -> world.overLink(sizeOf(message), () -> take(message, id)),
               (key, entry) -> {},
               key -> "set");
       copy.append(
-          new KeyAppend(KEY, FORMER, 1, 1, 0, Epoch.NONE, log.size(), true, List.copyOf(log)),
+          new AppendRequest(KEY, FORMER, 1, 1, 0, Epoch.NONE, log.size(), true, List.copyOf(log)),
           FORMER.node(),
           FORMER.node());
       replicas.put(id, copy);
@@ -154,10 +166,10 @@
   }
 
   private static long sizeOf(Message message) {
-    List<Entry> entries =
-        message instanceof Message.KeyPromised promised
+    List<LogEntry> entries =
+        message instanceof Message.VoteResponse promised
             ? promised.entries()
-            : message instanceof Message.KeyLogPart part ? part.entries() : List.of();
+            : message instanceof Message.LogFetchResponse part ? part.entries() : List.of();
     return 200 + entries.stream().mapToLong(entry -> entry.event().length).sum();
   }
 
@@ -165,12 +177,12 @@
     if (claims == null) {
       return;
     }
-    if (message instanceof Message.KeyPromised promised) {
+    if (message instanceof Message.VoteResponse promised) {
       claims.promised(promised, fromId);
-    } else if (message instanceof Message.KeyLogPart part) {
+    } else if (message instanceof Message.LogFetchResponse part) {
       claims.logPart(part);
-    } else if (message instanceof KeyAppended appended) {
-      OwnedKey key = owned.isEmpty() ? claims.claiming(KEY) : owned.get(0);
+    } else if (message instanceof AppendResponse appended) {
+      ReplicatedLogLeader key = owned.isEmpty() ? claims.claiming(KEY) : owned.get(0);
       if (key != null) {
         key.appended(appended, fromId);
       }
@@ -178,11 +190,11 @@
   }
 
   private void claim() {
-    ReplicaSets sets =
-        new ReplicaSets(
-            1, replicas.keySet().stream().map(id -> new Replica(id, id)).toList(), List.of());
+    ReplicaConfiguration sets =
+        new ReplicaConfiguration(
+            1, replicas.keySet().stream().map(id -> new NodeAddress(id, id)).toList(), List.of());
     claims =
-        new KeyClaims(
+        new Elections(
             world,
             "edge",
             (address, id, message) -> world.after(1, () -> atReplica(id, message)),
@@ -198,18 +210,18 @@
   }
 
   private void atReplica(String id, Message message) {
-    KeyReplicas copy = replicas.get(id);
-    if (message instanceof Message.KeyLogAsk) {
+    LogReplicas copy = replicas.get(id);
+    if (message instanceof Message.LogFetchRequest) {
       sources.add(id);
     }
     if (id.equals(silent)) {
       return;
     }
-    if (message instanceof Message.KeyPromise promise) {
+    if (message instanceof Message.VoteRequest promise) {
       copy.promise(promise, "edge", "edge");
-    } else if (message instanceof Message.KeyLogAsk ask) {
+    } else if (message instanceof Message.LogFetchRequest ask) {
       copy.tellLog(ask, "edge", "edge");
-    } else if (message instanceof KeyAppend append) {
+    } else if (message instanceof AppendRequest append) {
       copy.append(append, "edge", "edge");
     }
   }
@@ -220,8 +232,8 @@
     long askedAt = world.now();
     claim();
     world.runUntil(askedAt + 20_000);
-    assertThat(outcomes.stream().map(OwnedKey.ClaimOutcome::claim).toList())
-        .containsExactly(Claim.OWNED);
+    assertThat(outcomes.stream().map(ElectionOutcome::claim).toList())
+        .containsExactly(ElectionResult.OWNED);
     assertThat(owned.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
     assertThat(ownedAt - askedAt).isLessThan(1_500L);
   }
@@ -234,8 +246,8 @@
     assertThat(outcomes).isEmpty();
     silent = sources.get(0);
     world.runUntil(world.now() + 3_000);
-    assertThat(outcomes.stream().map(OwnedKey.ClaimOutcome::claim).toList())
-        .containsExactly(Claim.OWNED);
+    assertThat(outcomes.stream().map(ElectionOutcome::claim).toList())
+        .containsExactly(ElectionResult.OWNED);
     assertThat(owned.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
     assertThat(Set.copyOf(sources)).hasSize(2);
   }
@@ -250,12 +262,12 @@
         .forEach(
             copy ->
                 copy.promise(
-                    new Message.KeyPromise(KEY, new Epoch(99, "other"), 1, false, 1, false),
+                    new Message.VoteRequest(KEY, new Epoch(99, "other"), 1, false, 1, false),
                     "other",
                     ""));
     world.runUntil(world.now() + 5_000);
-    assertThat(outcomes.stream().map(OwnedKey.ClaimOutcome::claim).toList())
-        .containsExactly(Claim.NO_MAJORITY);
+    assertThat(outcomes.stream().map(ElectionOutcome::claim).toList())
+        .containsExactly(ElectionResult.NO_MAJORITY);
     assertThat(owned).isEmpty();
   }
 
@@ -263,19 +275,19 @@
   void aClaimantOfTheVersionBeforeGetsTheWholeLogWithThePromise() {
     givenALargeLog();
     List<Message> told = new ArrayList<>();
-    KeyReplicas copy =
-        new KeyReplicas(
+    LogReplicas copy =
+        new LogReplicas(
             world, (address, to, message) -> told.add(message), (key, entry) -> {}, key -> "set");
     copy.append(
-        new KeyAppend(KEY, FORMER, 1, 1, 0, Epoch.NONE, 0, true, List.copyOf(log)),
+        new AppendRequest(KEY, FORMER, 1, 1, 0, Epoch.NONE, 0, true, List.copyOf(log)),
         "former",
         "former");
     copy.promise(
-        new Message.KeyPromise(KEY, new Epoch(8, "former"), 1, false, Integer.MIN_VALUE, false),
+        new Message.VoteRequest(KEY, new Epoch(8, "former"), 1, false, Integer.MIN_VALUE, false),
         "",
         "");
     world.runUntil(world.now() + 100);
-    Message.KeyPromised last = (Message.KeyPromised) told.get(told.size() - 1);
+    Message.VoteResponse last = (Message.VoteResponse) told.get(told.size() - 1);
     assertThat(last.entries()).containsExactlyElementsIn(log).inOrder();
     assertThat(last.wholeLog()).isTrue();
   }
--- a/core-logic/src/test/java/applespindle/corelogic/StateHashes.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/StateHashes.java
@@ -1,4 +1,4 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
 /** A set of 64-bit hashes in one array, as a search holds millions of them. Safe for threads. */
 final class StateHashes {
--- a/core-logic/src/test/java/applespindle/corelogic/StateText.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/StateText.java
@@ -1,5 +1,10 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.node.TraceLog;
+import applespindle.corelogic.protocol.MessageSender;
 import java.lang.reflect.Array;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
@@ -25,11 +30,11 @@
   /** Types of fields that never change after the start or don't matter for what comes. */
   private static final Set<Class<?>> CONSTANT =
       Set.of(
-          Journal.class,
-          Node.Place.class,
-          Records.Roster.class,
-          Surroundings.class,
-          KeyReplicas.Replies.class,
+          TraceLog.class,
+          NodeIdentity.class,
+          QuorumMembership.class,
+          Environment.class,
+          MessageSender.class,
           BiConsumer.class,
           Function.class,
           UnaryOperator.class);
--- a/core-logic/src/test/java/applespindle/corelogic/WalkHabit.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/WalkStrategy.java
@@ -1,6 +1,6 @@
-package applespindle.corelogic;
+package applespindle.corelogic.replication;
 
-import applespindle.corelogic.RegisterModel.Step;
+import applespindle.corelogic.replication.ReplicatedLogModel.Step;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
@@ -10,7 +10,7 @@
  * comes far. So trouble is rare in some walks, messages arrive in order in some, and for phases of
  * random length some links and disks stand still, as in a partition.
  */
-final class WalkHabit {
+final class WalkStrategy {
   private static final double PHASE_ENDS_MOST = 0.2;
 
   private final Random random;
@@ -20,7 +20,7 @@
   private final double phaseEnds;
   private int phase;
 
-  WalkHabit(Random random) {
+  WalkStrategy(Random random) {
     this.random = random;
     usualPart = random.nextDouble();
     inOrderPart = random.nextDouble();
--- a/core-logic/src/test/java/applespindle/corelogic/WorkerBookTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
@@ -1,8 +1,18 @@
-package applespindle.corelogic;
+package applespindle.corelogic.worker;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Records.Worker;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.protocol.Envelope;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -11,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 
 /** How long a worker rests after what was heard of it, and how long a crowd at it is remembered. */
-final class WorkerBookTest {
+final class WorkerRegistryTest {
   /** Time and load as the test sets them; the load is read when the test says so. */
-  private static final class World implements Surroundings {
+  private static final class World implements Environment {
     long now = 10_000;
     int running;
     Runnable readNext;
@@ -24,7 +34,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       readNext = task;
       return () -> {};
     }
@@ -33,7 +43,7 @@
     public void send(String peerAddress, Envelope envelope) {}
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {}
+    public void write(List<LogRecord> records, Runnable whenSynced) {}
 
     @Override
     public boolean takesWrites() {
@@ -41,13 +51,13 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       throw new AssertionError("nothing is run here");
     }
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
       whenRead.accept(new WorkerLoad(running, 0, 8, false));
     }
 
@@ -61,20 +71,23 @@
   }
 
   private final World world = new World();
-  private final WorkerBook book = new WorkerBook(world, () -> {});
+  private final WorkerRegistry book = new WorkerRegistry(world, () -> {});
 
-  private WorkerBook.Known worker(int slots) {
-    book.follow(Map.of("w", new Worker("w", "10.0.0.1:1", "p", Worker.READY, "", slots)));
+  private WorkerState worker(int slots) {
+    book.follow(
+        Map.of(
+            "w",
+            new WorkerRegistration("w", "10.0.0.1:1", "p", WorkerRegistration.READY, "", slots)));
     return book.get("w");
   }
 
   @Test
   void refusalsOfRequestsSentTogetherMakeOneRest() {
-    WorkerBook.Known worker = worker(0);
+    WorkerState worker = worker(0);
     for (int number = 0; number < 8; number++) {
       book.refused(worker);
     }
-    world.now += Constants.LOAD_POLL_MS - 1;
+    world.now += WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
     assertThat(book.usable(worker)).isFalse();
     world.now++;
     assertThat(book.usable(worker)).isTrue();
@@ -82,11 +95,11 @@
 
   @Test
   void aRefusalAfterTheRestMakesALongerOne() {
-    WorkerBook.Known worker = worker(0);
+    WorkerState worker = worker(0);
     book.refused(worker);
-    world.now += Constants.LOAD_POLL_MS;
+    world.now += WorkerConstants.LOAD_POLL_INTERVAL_MS;
     book.refused(worker);
-    world.now += 2 * Constants.LOAD_POLL_MS - 1;
+    world.now += 2 * WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
     assertThat(book.usable(worker)).isFalse();
     world.now++;
     assertThat(book.usable(worker)).isTrue();
@@ -94,11 +107,11 @@
 
   @Test
   void runsThatFallTogetherMakeOneRest() {
-    WorkerBook.Known worker = worker(8);
+    WorkerState worker = worker(8);
     for (int number = 0; number < 8; number++) {
       book.faulted(worker);
     }
-    world.now += Constants.WORKER_REST_MS - 1;
+    world.now += WorkerConstants.BASE_EJECTION_MS - 1;
     assertThat(book.usable(worker)).isFalse();
     world.now++;
     assertThat(book.usable(worker)).isTrue();
@@ -106,11 +119,11 @@
 
   @Test
   void aFaultAfterTheRestMakesALongerOne() {
-    WorkerBook.Known worker = worker(8);
+    WorkerState worker = worker(8);
     book.faulted(worker);
-    world.now += Constants.WORKER_REST_MS;
+    world.now += WorkerConstants.BASE_EJECTION_MS;
     book.faulted(worker);
-    world.now += 2 * Constants.WORKER_REST_MS - 1;
+    world.now += 2 * WorkerConstants.BASE_EJECTION_MS - 1;
     assertThat(book.usable(worker)).isFalse();
     world.now++;
     assertThat(book.usable(worker)).isTrue();
@@ -119,12 +132,12 @@
   @Test
   void aPastCrowdIsForgottenByHalves() {
     world.running = 8;
-    WorkerBook.Known worker = worker(0);
+    WorkerState worker = worker(0);
     world.running = 0;
-    world.now += Constants.LIVE_PEAK_HALVES_MS;
+    world.now += WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
     world.readNext.run();
     assertThat(worker.livePeak).isWithin(0.01).of(4);
-    world.now += 2 * Constants.LIVE_PEAK_HALVES_MS;
+    world.now += 2 * WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
     world.readNext.run();
     assertThat(worker.livePeak).isWithin(0.01).of(1);
   }
--- a/data-plane/src/main/java/applespindle/dataplane/ClientSocket.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ClientSocket.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
-import applespindle.corelogic.Bundle;
-import applespindle.corelogic.Constants;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.ClientConnectionConstants;
 import io.activej.bytebuf.ByteBuf;
 import io.activej.bytebuf.ByteBufPool;
 import io.activej.net.socket.tcp.ITcpSocket;
@@ -50,7 +50,7 @@
 
   private final ITcpSocket inner;
   private final NioReactor reactor;
-  private final Supplier<Bundle.ClientLimits> limits;
+  private final Supplier<RoutingConfiguration.ClientLimits> limits;
   private final Runnable whenClosed;
   private Phase phase = Phase.HEAD;
 
@@ -110,7 +110,7 @@
   ClientSocket(
       ITcpSocket inner,
       NioReactor reactor,
-      Supplier<Bundle.ClientLimits> limits,
+      Supplier<RoutingConfiguration.ClientLimits> limits,
       Runnable whenClosed) {
     this.inner = inner;
     this.reactor = reactor;
@@ -295,7 +295,7 @@
    * line ends with the version.
    */
   private String headFault() {
-    Bundle.ClientLimits known = limits.get();
+    RoutingConfiguration.ClientLimits known = limits.get();
     int most =
         known == null || known.headBytesMost() == 0
             ? OpaqueDoor.HEAD_BYTES_MOST
@@ -354,19 +354,19 @@
   // ---- time
 
   private long dueAt() {
-    Bundle.ClientLimits known = limits.get();
+    RoutingConfiguration.ClientLimits known = limits.get();
     if (asked == null) {
       return Long.MAX_VALUE;
     }
     if (headBytes != null) {
       return headBegunAt
           + (known == null || known.headTimeoutMs() == 0
-              ? Constants.CLIENT_HEAD_MS
+              ? ClientConnectionConstants.HEAD_TIMEOUT_MS
               : known.headTimeoutMs());
     }
     return Math.max(askedAt, limitsChangedAt)
         + (known == null || known.idleTimeoutMs() == 0
-            ? Constants.CLIENT_IDLE_MS
+            ? ClientConnectionConstants.IDLE_TIMEOUT_MS
             : known.idleTimeoutMs());
   }
 
@@ -396,7 +396,7 @@
       watchTime();
     } else if (lastLookFor != dueAt) {
       lastLookFor = dueAt;
-      timeoutAt = reactor.currentTimeMillis() + Constants.CLIENT_LAST_LOOK_MS;
+      timeoutAt = reactor.currentTimeMillis() + ClientConnectionConstants.FINAL_READ_DELAY_MS;
       timeout = reactor.scheduleBackground(timeoutAt, this::timeUp);
     } else if (phase == Phase.HEAD && headBytes == null) {
       SettablePromise<ByteBuf> present = asked;
--- a/data-plane/src/main/java/applespindle/dataplane/DataPlane.java
+++ b/data-plane/src/main/java/applespindle/dataplane/DataPlane.java
@@ -3,9 +3,9 @@
 import applespindle.adapters.HttpInterface;
 import applespindle.adapters.NodeProcess;
 import applespindle.adapters.Program;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.StorageNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.storage.StorageNode;
 
 /** The data plane's program, in the role its startup names. */
 public final class DataPlane {
--- a/data-plane/src/main/java/applespindle/dataplane/EdgeInterface.java
+++ b/data-plane/src/main/java/applespindle/dataplane/EdgeInterface.java
@@ -1,17 +1,18 @@
 package applespindle.dataplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
 import applespindle.adapters.HttpInterface;
 import applespindle.adapters.HttpInterface.Call;
 import applespindle.adapters.NodeProcess;
-import applespindle.corelogic.BatchInput;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.InputReader;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.InputReader;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchInput;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.SizeLimits;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.live.LiveRequest;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.activej.http.HttpHeaders;
@@ -31,7 +32,7 @@
   record Completion(
       @NotNull String prompt,
       String model,
-      @Min(1) @Max(Constants.TOKENS_MOST) Integer max_tokens,
+      @Min(1) @Max(SizeLimits.MAX_TOKENS) Integer max_tokens,
       Boolean stream,
       Double temperature,
       Double top_p,
@@ -71,15 +72,15 @@
     String key = call.header("Idempotency-Key");
     if (key.isEmpty() || key.length() > KEY_LENGTH_MOST) {
       return HttpInterface.refuse(
-          new Fault.InvalidInput(
+          new ApiError.InvalidInput(
               List.of(
-                  new Fault.Field(
+                  new ApiError.Field(
                       "header Idempotency-Key",
                       "must have 1 to " + KEY_LENGTH_MOST + " characters"))));
     }
     InputReader.Input<BatchInput> input = BatchInput.read(call.body());
     if (!input.good()) {
-      return HttpInterface.refuse(new Fault.InvalidInput(input.faults()));
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
     }
     return http.ask(then -> edge.submit(sender(call), key, input.value(), then));
   }
@@ -87,16 +88,20 @@
   private Promise<HttpResponse> results(HttpInterface http, Call call) {
     Long after = number(call.query("after"), 0, 0, Long.MAX_VALUE);
     Long limit =
-        number(call.query("limit"), Constants.RESULTS_PAGE, 1, Constants.RESULTS_PAGE_MOST);
+        number(
+            call.query("limit"),
+            BatchConstants.DEFAULT_RESULTS_PAGE,
+            1,
+            BatchConstants.MAX_RESULTS_PAGE);
     if (after == null || limit == null) {
       return HttpInterface.refuse(
-          new Fault.InvalidInput(
+          new ApiError.InvalidInput(
               List.of(
                   after == null
-                      ? new Fault.Field("query after", "must be a whole number from 0")
-                      : new Fault.Field(
+                      ? new ApiError.Field("query after", "must be a whole number from 0")
+                      : new ApiError.Field(
                           "query limit",
-                          "must be a whole number from 1 to " + Constants.RESULTS_PAGE_MOST))));
+                          "must be a whole number from 1 to " + BatchConstants.MAX_RESULTS_PAGE))));
     }
     return http.ask(
         then -> edge.readResults(call.parts().get("id"), after, limit.intValue(), then));
@@ -118,7 +123,7 @@
   private Promise<HttpResponse> complete(Call call) {
     InputReader.Input<Completion> input = InputReader.read(call.body(), Completion.class);
     if (!input.good()) {
-      return HttpInterface.refuse(new Fault.InvalidInput(input.faults()));
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
     }
     Completion completion = input.value();
     boolean streams = Boolean.TRUE.equals(completion.stream());
@@ -133,7 +138,7 @@
             });
     body.put("stream", true);
     var request =
-        new LiveDesk.Request(
+        new LiveRequest(
             sender(call),
             completion.model(),
             call.header("Applespindle-Class"),
--- a/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
@@ -1,16 +1,18 @@
 package applespindle.dataplane;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.adapters.HttpInterface;
 import applespindle.adapters.NodeProcess;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.LiveRequestConstants;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.live.LiveRequest;
+import applespindle.corelogic.live.LiveResponseListener;
+import applespindle.corelogic.live.RequestHandle;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.activej.http.HttpResponse;
 import io.activej.promise.Promise;
@@ -20,12 +22,12 @@
  * One live request between the http thread, where its sender is, and the logic thread, where it is
  * decided.
  */
-final class LiveExchange implements LiveDesk.Listener {
+final class LiveExchange implements LiveResponseListener {
   private static final int WAITING_MOST = 10_000;
 
   private final NodeProcess process;
   private final EdgeNode edge;
-  private final LiveDesk.Request request;
+  private final LiveRequest request;
   private final SettablePromise<HttpResponse> response = new SettablePromise<>();
 
   /** On the http thread only. */
@@ -35,9 +37,9 @@
   private boolean over;
 
   /** On the logic thread only. */
-  private LiveDesk.Handle handle;
+  private RequestHandle handle;
 
-  LiveExchange(NodeProcess process, EdgeNode edge, LiveDesk.Request request) {
+  LiveExchange(NodeProcess process, EdgeNode edge, LiveRequest request) {
     this.process = process;
     this.edge = edge;
     this.request = request;
@@ -46,7 +48,7 @@
   Promise<HttpResponse> begin() {
     boolean taken = process.toLogic(() -> handle = edge.complete(request, this));
     if (!taken) {
-      return HttpInterface.refuse(new Fault.Overloaded("logic"));
+      return HttpInterface.refuse(new ApiError.Overloaded("logic"));
     }
     return response;
   }
@@ -106,7 +108,7 @@
     process
         .httpLoop()
         .delay(
-            Constants.BLANK_MS,
+            LiveRequestConstants.WHITESPACE_KEEPALIVE_MS,
             () -> {
               if (over) {
                 return;
--- a/data-plane/src/main/java/applespindle/dataplane/OpaqueDoor.java
+++ b/data-plane/src/main/java/applespindle/dataplane/OpaqueDoor.java
@@ -2,15 +2,15 @@
 
 import applespindle.adapters.HttpInterface;
 import applespindle.adapters.NodeProcess;
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.Bundle;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.HttpSyntax;
-import applespindle.corelogic.OpaqueGateway;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.Response;
-import applespindle.corelogic.StageTrace;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.common.HttpSyntax;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.constants.SizeLimits;
+import applespindle.corelogic.edge.EdgeGateway;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.StageTimer;
 import applespindle.dataplane.RequestFormat.Arrived;
 import applespindle.dataplane.RequestFormat.BatchCall;
 import applespindle.dataplane.RequestFormat.Parsed;
@@ -72,11 +72,11 @@
   static final int HEAD_BYTES_MOST = 64 << 10;
 
   private final NodeProcess process;
-  private final OpaqueGateway gateway;
+  private final EdgeGateway gateway;
   private final RequestFormat format;
 
   /** As the bundle in force has them; null before the first. */
-  private volatile Bundle.ClientLimits limits;
+  private volatile RoutingConfiguration.ClientLimits limits;
 
   /** On the http thread only, as are the sockets. */
   private final Set<ClientSocket> sockets = new HashSet<>();
@@ -84,7 +84,7 @@
   /** The socket being accepted. */
   private ClientSocket accepted;
 
-  public OpaqueDoor(NodeProcess process, OpaqueGateway gateway, RequestFormat format) {
+  public OpaqueDoor(NodeProcess process, EdgeGateway gateway, RequestFormat format) {
     this.process = process;
     this.gateway = gateway;
     this.format = format;
@@ -111,7 +111,7 @@
                     Promise.of(
                         HttpInterface.render(
                             Response.of(
-                                new Fault.InternalFault(fault.getClass().getSimpleName())))))
+                                new ApiError.InternalError(fault.getClass().getSimpleName())))))
             .build();
     try {
       SimpleServer.builder(process.httpLoop(), socket -> serve(server, socket))
@@ -169,12 +169,12 @@
   }
 
   /** The response is the last on its connection; a body that is still coming is read away. */
-  private Promise<HttpResponse> refuseUnread(HttpRequest request, Fault fault) {
+  private Promise<HttpResponse> refuseUnread(HttpRequest request, ApiError fault) {
     request.takeBodyStream().streamTo(ChannelConsumers.recycling());
     return refuseAndClose(request, fault);
   }
 
-  private Promise<HttpResponse> refuseAndClose(HttpRequest request, Fault fault) {
+  private Promise<HttpResponse> refuseAndClose(HttpRequest request, ApiError fault) {
     socket(request).closeAfterWrite();
     return later(
         HttpInterface.begin(Response.of(fault))
@@ -193,48 +193,48 @@
     ClientSocket socket = socket(request);
     boolean chunked = request.getHeader(HttpHeaders.TRANSFER_ENCODING) != null;
     boolean sound = socket.bodyBegins(chunked);
-    Fault fault = headFault(request);
+    ApiError fault = headFault(request);
     if (fault == null && !sound) {
       fault = invalid("body", "must come in sound chunks");
     }
     int bodyBytesMost = bodyBytesMost();
     String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
     if (fault == null && length != null && Long.parseLong(length) > bodyBytesMost) {
-      fault = new Fault.InputTooLarge(bodyBytesMost);
+      fault = new ApiError.InputTooLarge(bodyBytesMost);
     }
     if (fault != null) {
       return refuseUnread(request, fault);
     }
     String target = request.getPathAndQuery();
     String host = request.getHeader(HttpHeaders.HOST);
-    List<OpaqueRequest.Header> headers = endToEnd(request);
+    List<ProxiedRequest.Header> headers = endToEnd(request);
     String method = request.getMethod().name();
-    StageTrace trace = new StageTrace(process);
+    StageTimer trace = new StageTimer(process);
     return request
         .loadBody(bodyBytesMost)
         .then(
             // The library looks at the size before it adds a chunk, and not behind the last.
             body ->
                 body.readRemaining() > bodyBytesMost
-                    ? refuseAndClose(request, new Fault.InputTooLarge(bodyBytesMost))
+                    ? refuseAndClose(request, new ApiError.InputTooLarge(bodyBytesMost))
                     : answer(
                         request,
                         socket,
                         new Arrived(method, target, host, headers, body.getArray()),
                         trace),
-            unreadable -> refuseAndClose(request, new Fault.InputTooLarge(bodyBytesMost)));
+            unreadable -> refuseAndClose(request, new ApiError.InputTooLarge(bodyBytesMost)));
   }
 
   private int bodyBytesMost() {
-    Bundle.ClientLimits known = limits;
+    RoutingConfiguration.ClientLimits known = limits;
     return known == null || known.bodyBytesMost() == 0
-        ? Constants.BODY_BYTES_MOST
+        ? SizeLimits.MAX_BODY_BYTES
         : known.bodyBytesMost();
   }
 
   /** What makes a head ambiguous or too large; such a request goes no further. */
-  private Fault headFault(HttpRequest request) {
-    Bundle.ClientLimits known = limits;
+  private ApiError headFault(HttpRequest request) {
+    RoutingConfiguration.ClientLimits known = limits;
     int headBytesMost =
         known == null || known.headBytesMost() == 0 ? HEAD_BYTES_MOST : known.headBytesMost();
     int bytes = request.getPathAndQuery().length();
@@ -265,7 +265,7 @@
       }
     }
     if (bytes > headBytesMost) {
-      return new Fault.HeadTooLarge(headBytesMost);
+      return new ApiError.HeadTooLarge(headBytesMost);
     }
     if (lengths > 1 || lengths == 1 && encoded) {
       return invalid("header Content-Length", "must stand once, and not beside Transfer-Encoding");
@@ -273,11 +273,11 @@
     return hosts == 1 ? null : invalid("header Host", "must stand once");
   }
 
-  private static Fault invalid(String field, String reason) {
-    return new Fault.InvalidInput(List.of(new Fault.Field(field, reason)));
+  private static ApiError invalid(String field, String reason) {
+    return new ApiError.InvalidInput(List.of(new ApiError.Field(field, reason)));
   }
 
-  private static List<OpaqueRequest.Header> endToEnd(HttpRequest request) {
+  private static List<ProxiedRequest.Header> endToEnd(HttpRequest request) {
     Set<String> named = null;
     String connection = request.getHeader(HttpHeaders.CONNECTION);
     if (connection != null) {
@@ -286,26 +286,27 @@
         named.add(token.strip().toLowerCase(Locale.ROOT));
       }
     }
-    List<OpaqueRequest.Header> headers = new ArrayList<>();
+    List<ProxiedRequest.Header> headers = new ArrayList<>();
     for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
       String name = ClientSocket.unmasked(each.getKey().toString());
       String lower = name.toLowerCase(Locale.ROOT);
       if (!CONNECTION_BOUND.contains(lower) && (named == null || !named.contains(lower))) {
-        headers.add(new OpaqueRequest.Header(name, each.getValue().toString()));
+        headers.add(new ProxiedRequest.Header(name, each.getValue().toString()));
       }
     }
     return headers;
   }
 
   private Promise<HttpResponse> answer(
-      HttpRequest http, ClientSocket socket, Arrived arrived, StageTrace trace) {
+      HttpRequest http, ClientSocket socket, Arrived arrived, StageTimer trace) {
     SettablePromise<HttpResponse> response = new SettablePromise<>();
     Runnable whenGone = decide(arrived, response, trace);
     socket.served(
         () -> {
           whenGone.run();
           // No promise: a client that closed its own side only may still read this.
-          response.trySet(HttpInterface.render(Response.of(new Fault.OutcomeUnknown("request"))));
+          response.trySet(
+              HttpInterface.render(Response.of(new ApiError.OutcomeUnknown("request"))));
         });
     Promise<HttpResponse> unhurried =
         response.isComplete() ? later(response.getResult()) : response;
@@ -323,7 +324,7 @@
 
   /** Has the request answered; what it returns is to be run if the client goes before that. */
   private Runnable decide(
-      Arrived arrived, SettablePromise<HttpResponse> response, StageTrace trace) {
+      Arrived arrived, SettablePromise<HttpResponse> response, StageTimer trace) {
     Parsed<BatchCall> batchCall = format.batchCall(arrived);
     if (!batchCall.isNone()) {
       if (batchCall.fault() != null) {
@@ -333,7 +334,7 @@
       }
       return () -> {};
     }
-    Parsed<OpaqueRequest> request = format.request(arrived);
+    Parsed<ProxiedRequest> request = format.request(arrived);
     if (request.fault() != null) {
       response.set(render(Response.of(request.fault())));
       return () -> {};
@@ -349,7 +350,7 @@
               }
             });
     if (!taken) {
-      response.set(render(Response.of(new Fault.Overloaded("logic"))));
+      response.set(render(Response.of(new ApiError.Overloaded("logic"))));
     }
     return exchange::clientGone;
   }
@@ -363,12 +364,12 @@
     return builder.build();
   }
 
-  private boolean leadsToBatches(OpaqueRequest request) {
-    Bundle.Route route = gateway.route(request.host(), request.path());
-    return route != null && route.type() == Bundle.RouteType.BATCH;
+  private boolean leadsToBatches(ProxiedRequest request) {
+    RoutingConfiguration.Route route = gateway.route(request.host(), request.path());
+    return route != null && route.type() == RoutingConfiguration.RouteType.BATCH;
   }
 
-  private void submit(Arrived arrived, SettablePromise<HttpResponse> response, StageTrace trace) {
+  private void submit(Arrived arrived, SettablePromise<HttpResponse> response, StageTimer trace) {
     trace.mark("receive");
     BatchSubmission submission = format.submission(arrived);
     ask(
@@ -419,7 +420,7 @@
     boolean taken =
         process.toLogic(() -> question.accept(answer -> process.toHttp(() -> then.accept(answer))));
     if (!taken) {
-      then.accept(Response.of(new Fault.Overloaded("logic")));
+      then.accept(Response.of(new ApiError.Overloaded("logic")));
     }
   }
 }
--- a/data-plane/src/main/java/applespindle/dataplane/OpaqueExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/OpaqueExchange.java
@@ -1,13 +1,13 @@
 package applespindle.dataplane;
 
 import applespindle.adapters.NodeProcess;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.live.RequestHandle;
 import io.activej.http.HttpHeaders;
 import io.activej.http.HttpResponse;
 import io.activej.promise.SettablePromise;
@@ -22,7 +22,7 @@
  * is decided. What the logic tells is passed on in order, and what it tells in one task goes over
  * in one; the client's going is told to the logic at most once.
  */
-final class OpaqueExchange implements OpaqueListener {
+final class OpaqueExchange implements ProxiedResponseListener {
   private static final int GATHERED_LEAST = 4;
   private static final int WAITING_BYTES_MOST = 4 << 20;
 
@@ -36,13 +36,13 @@
   private boolean over;
 
   /** On the logic thread only. */
-  private LiveDesk.Handle handle;
+  private RequestHandle handle;
 
   private boolean gone;
 
   /** What the logic has told and the http thread has not taken yet. */
   private static final class Told {
-    Head head;
+    ResponseHead head;
     final List<byte[]> pieces = new ArrayList<>(GATHERED_LEAST);
     Response refused;
     boolean ended;
@@ -62,7 +62,7 @@
   }
 
   /** On the logic thread. */
-  void begin(Function<OpaqueListener, LiveDesk.Handle> pass) {
+  void begin(Function<ProxiedResponseListener, RequestHandle> pass) {
     if (gone) {
       return;
     }
@@ -97,12 +97,12 @@
   }
 
   @Override
-  public void head(Head head) {
+  public void head(ResponseHead head) {
     tell(told -> told.head = head);
   }
 
   @Override
-  public void piece(Piece piece) {
+  public void piece(ResponseChunk piece) {
     tell(told -> told.pieces.add(piece.bytes()));
   }
 
@@ -117,7 +117,7 @@
   }
 
   @Override
-  public void cut(Fault fault) {
+  public void cut(ApiError fault) {
     tell(told -> told.cut = true);
   }
 
@@ -157,9 +157,9 @@
     }
   }
 
-  private static HttpResponse.Builder begin(Head head) {
+  private static HttpResponse.Builder begin(ResponseHead head) {
     HttpResponse.Builder builder = HttpResponse.ofCode(head.status());
-    for (OpaqueRequest.Header header : head.headers()) {
+    for (ProxiedRequest.Header header : head.headers()) {
       builder.withHeader(HttpHeaders.of(header.name()), header.value());
     }
     return builder;
--- a/data-plane/src/main/java/applespindle/dataplane/RequestFormat.java
+++ b/data-plane/src/main/java/applespindle/dataplane/RequestFormat.java
@@ -1,19 +1,19 @@
 package applespindle.dataplane;
 
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.environment.ProxiedRequest;
 import java.util.List;
 
 /** How clients write opaque requests and batches of them. Used on the http thread only. */
 public interface RequestFormat {
   /** A request as it came, with its end-to-end headers. */
   record Arrived(
-      String method, String target, String host, List<OpaqueRequest.Header> headers, byte[] body) {
+      String method, String target, String host, List<ProxiedRequest.Header> headers, byte[] body) {
     /** The first value of a header, or an empty text. */
     public String header(String name) {
-      for (OpaqueRequest.Header header : headers) {
+      for (ProxiedRequest.Header header : headers) {
         if (header.name().equalsIgnoreCase(name)) {
           return header.value();
         }
@@ -38,7 +38,7 @@
   }
 
   /** Either a value or the fault that hindered it; neither if the request is none of that kind. */
-  record Parsed<T>(T value, Fault fault) {
+  record Parsed<T>(T value, ApiError fault) {
     public static <T> Parsed<T> none() {
       return new Parsed<>(null, null);
     }
@@ -51,7 +51,7 @@
   /** The value of the header that tells a refused client when to come back. */
   String comeBack(long millis);
 
-  Parsed<OpaqueRequest> request(Arrived arrived);
+  Parsed<ProxiedRequest> request(Arrived arrived);
 
   Parsed<BatchCall> batchCall(Arrived arrived);
 
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueAnswersTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/OpaqueAnswersTest.java
@@ -7,13 +7,13 @@
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Bundle.ClientLimits;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.RoutingConfiguration.ClientLimits;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.live.ProxiedResponseListener;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.Socket;
@@ -27,8 +27,8 @@
 /** What goes through the door both ways, by raw bytes, and the limits it keeps to. */
 final class OpaqueAnswersTest {
   private static final ClientLimits WIDE = new ClientLimits(16_384, 1 << 20, 60_000, 60_000);
-  private static final Head STREAM =
-      new Head(200, List.of(new Header("Content-Type", "text/event-stream")));
+  private static final ResponseHead STREAM =
+      new ResponseHead(200, List.of(new Header("Content-Type", "text/event-stream")));
   private static TestDoor door;
 
   @BeforeAll
@@ -43,12 +43,12 @@
     door.limit(WIDE);
   }
 
-  private static Piece piece(String text) {
-    return new Piece("", text.getBytes(ISO_8859_1));
+  private static ResponseChunk piece(String text) {
+    return new ResponseChunk("", text.getBytes(ISO_8859_1));
   }
 
-  private static void whole(OpaqueListener listener) {
-    listener.head(new Head(200, List.of(new Header("X-Stamp", "s"))));
+  private static void whole(ProxiedResponseListener listener) {
+    listener.head(new ResponseHead(200, List.of(new Header("X-Stamp", "s"))));
     listener.piece(piece("a body "));
     listener.piece(piece("in two"));
     listener.end();
@@ -76,11 +76,11 @@
       send(socket, chunked);
       readUntil(socket, "in two");
     }
-    OpaqueRequest first = door.nextPassed().request();
+    ProxiedRequest first = door.nextPassed().request();
     assertThat(first.body()).isEqualTo(packed.toByteArray());
     assertThat(first.headers())
         .containsAtLeast(new Header("Content-Encoding", "gzip"), new Header("X-Last", "1"));
-    OpaqueRequest second = door.nextPassed().request();
+    ProxiedRequest second = door.nextPassed().request();
     assertThat(second.body()).isEqualTo(packed.toByteArray());
     assertThat(second.headers()).contains(new Header("content-encoding", "GZIP"));
   }
@@ -95,7 +95,7 @@
       }
       readUntil(socket, "in two");
     }
-    OpaqueRequest request = door.nextPassed().request();
+    ProxiedRequest request = door.nextPassed().request();
     assertThat(request.target()).isEqualTo("/slow");
     assertThat(request.headers()).contains(new Header("Content-Encoding", "gzip"));
     assertThat(request.body()).isEqualTo("abc".getBytes(ISO_8859_1));
@@ -129,7 +129,7 @@
   void aRequestInTheSameBytesEndsTheConnectionAfterAWholeStream() throws Exception {
     try (Socket socket = door.connect()) {
       send(socket, post("/first", "", "abc") + post("/second", "", "abc"));
-      OpaqueListener listener = door.nextPassed().listener();
+      ProxiedResponseListener listener = door.nextPassed().listener();
       door.onLogic(
           () -> {
             listener.head(STREAM);
@@ -166,7 +166,7 @@
   void pieceForPieceWhatComesLater() throws Exception {
     try (Socket socket = door.connect()) {
       send(socket, post("/x", "", "abc"));
-      OpaqueListener listener = door.nextPassed().listener();
+      ProxiedResponseListener listener = door.nextPassed().listener();
       door.onLogic(
           () -> {
             listener.head(STREAM);
@@ -188,12 +188,12 @@
   void aCutStreamDoesNotLookWhole() throws Exception {
     try (Socket socket = door.connect()) {
       send(socket, post("/x", "", "abc"));
-      OpaqueListener listener = door.nextPassed().listener();
+      ProxiedResponseListener listener = door.nextPassed().listener();
       door.onLogic(
           () -> {
             listener.head(STREAM);
             listener.piece(piece("data: 1\n\n"));
-            listener.cut(new Fault.WorkerCut("w"));
+            listener.cut(new ApiError.WorkerStreamTruncated("w"));
           });
       String all = readAll(socket);
       assertThat(all).contains("data: 1\n\n");
@@ -330,7 +330,12 @@
     try (Socket socket = door.connect()) {
       send(
           socket,
-          "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n01234567890\r\n0\r\n\r\n");
+          "POST /x HTTP/1.1\r\n"
+              + "Host: h\r\n"
+              + "Transfer-Encoding: chunked\r\n\r\n"
+              + "b\r\n"
+              + "01234567890\r\n"
+              + "0\r\n\r\n");
       assertThat(readAll(socket)).startsWith("HTTP/1.1 413");
     }
     assertThat(door.passed).isEmpty();
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorFuzzTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorFuzzTest.java
@@ -4,11 +4,11 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.corelogic.Bundle.ClientLimits;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
+import applespindle.corelogic.configuration.RoutingConfiguration.ClientLimits;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.live.ProxiedResponseListener;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.Socket;
@@ -30,7 +30,7 @@
   private static TestDoor door;
 
   /** What became of one text: what the logic got, and what the client read. */
-  private record Outcome(List<OpaqueRequest> passed, String answer) {
+  private record Outcome(List<ProxiedRequest> passed, String answer) {
     private List<String> shown() {
       return passed.stream().map(OpaqueDoorFuzzTest::shown).toList();
     }
@@ -42,8 +42,8 @@
     door.answer = OpaqueDoorFuzzTest::whole;
   }
 
-  private static void whole(OpaqueListener listener) {
-    listener.head(new Head(200, List.of(new Header("X-Stamp", "s"))));
+  private static void whole(ProxiedResponseListener listener) {
+    listener.head(new ResponseHead(200, List.of(new Header("X-Stamp", "s"))));
     listener.end();
   }
 
@@ -91,7 +91,7 @@
     done.orTimeout(TestDoor.LIMIT_S, TimeUnit.SECONDS).join();
   }
 
-  private static String shown(OpaqueRequest request) {
+  private static String shown(ProxiedRequest request) {
     return request.method()
         + " "
         + request.target()
@@ -132,7 +132,7 @@
     Optional<ReferenceRequest> reference = ReferenceRequest.parse(text);
     if (!outcome.passed().isEmpty()) {
       assertWithMessage("a sound request by the second reading").that(reference).isPresent();
-      OpaqueRequest first = outcome.passed().get(0);
+      ProxiedRequest first = outcome.passed().get(0);
       assertThat(first.method()).isEqualTo(reference.get().method());
       assertThat(first.target()).isEqualTo(reference.get().target());
       assertThat(new String(first.body(), ISO_8859_1)).isEqualTo(reference.get().body());
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorTest.java
@@ -5,11 +5,11 @@
 
 import applespindle.adapters.NodeProcess;
 import applespindle.adapters.Startup;
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.ProxiedRequest;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.ServerSocket;
@@ -38,10 +38,10 @@
     }
 
     @Override
-    public Parsed<OpaqueRequest> request(Arrived request) {
+    public Parsed<ProxiedRequest> request(Arrived request) {
       arrived.add(request);
       return new Parsed<>(
-          new OpaqueRequest(
+          new ProxiedRequest(
               "r",
               request.method(),
               request.target(),
@@ -94,7 +94,8 @@
             List.of(),
             Map.of());
     new NodeProcess(
-            startup, (surroundings, place) -> new EdgeNode(surroundings, place, Bounds.DEFAULT))
+            startup,
+            (surroundings, place) -> new EdgeNode(surroundings, place, NodeSettings.DEFAULT))
         .start(
             process ->
                 new OpaqueDoor(process, (EdgeNode) process.node(), FORMAT)
@@ -174,10 +175,10 @@
     assertThat(first.body()).isEqualTo("abc".getBytes(ISO_8859_1));
     assertThat(first.headers())
         .containsExactly(
-            new OpaqueRequest.Header("Host", "h"), new OpaqueRequest.Header("X-Any", "1"));
+            new ProxiedRequest.Header("Host", "h"), new ProxiedRequest.Header("X-Any", "1"));
     RequestFormat.Arrived second = FORMAT.arrived.poll();
     assertThat(second.body()).isEqualTo("abcde".getBytes(ISO_8859_1));
-    assertThat(second.headers()).containsExactly(new OpaqueRequest.Header("Host", "h"));
+    assertThat(second.headers()).containsExactly(new ProxiedRequest.Header("Host", "h"));
   }
 
   @Test
--- a/data-plane/src/test/java/applespindle/dataplane/TestDoor.java
+++ b/data-plane/src/test/java/applespindle/dataplane/TestDoor.java
@@ -4,15 +4,15 @@
 
 import applespindle.adapters.NodeProcess;
 import applespindle.adapters.Startup;
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.Bundle;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.OpaqueGateway;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.edge.EdgeGateway;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.live.RequestHandle;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.ServerSocket;
@@ -32,16 +32,18 @@
 
   /** One request that reached the logic, which tells its listener what the test wants. */
   record Passed(
-      OpaqueRequest request, OpaqueListener listener, CompletableFuture<Void> cancelled) {}
+      ProxiedRequest request,
+      ProxiedResponseListener listener,
+      CompletableFuture<Void> cancelled) {}
 
-  private final class Gateway implements OpaqueGateway {
+  private final class Gateway implements EdgeGateway {
     @Override
-    public void whenBundleChanges(Consumer<Bundle> then) {
+    public void whenBundleChanges(Consumer<RoutingConfiguration> then) {
       bundleChanges = then;
     }
 
     @Override
-    public LiveDesk.Handle pass(OpaqueRequest request, OpaqueListener listener) {
+    public RequestHandle pass(ProxiedRequest request, ProxiedResponseListener listener) {
       CompletableFuture<Void> cancelled = new CompletableFuture<>();
       answer.accept(listener);
       passed.add(new Passed(request, listener, cancelled));
@@ -49,7 +51,7 @@
     }
 
     @Override
-    public Bundle.Route route(String host, String path) {
+    public RoutingConfiguration.Route route(String host, String path) {
       return null;
     }
 
@@ -82,9 +84,9 @@
         }
 
         @Override
-        public Parsed<OpaqueRequest> request(Arrived arrived) {
+        public Parsed<ProxiedRequest> request(Arrived arrived) {
           return new Parsed<>(
-              new OpaqueRequest(
+              new ProxiedRequest(
                   "r",
                   arrived.method(),
                   arrived.target(),
@@ -119,11 +121,11 @@
   final BlockingQueue<Passed> passed = new LinkedBlockingQueue<>();
 
   /** Told at once to each request's listener, on the logic thread. */
-  volatile Consumer<OpaqueListener> answer = unanswered -> {};
+  volatile Consumer<ProxiedResponseListener> answer = unanswered -> {};
 
   final int port;
   private final NodeProcess process;
-  private Consumer<Bundle> bundleChanges;
+  private Consumer<RoutingConfiguration> bundleChanges;
 
   TestDoor() throws IOException {
     OpaqueDoor.allowHeads();
@@ -143,7 +145,8 @@
             Map.of());
     process =
         new NodeProcess(
-            startup, (surroundings, place) -> new EdgeNode(surroundings, place, Bounds.DEFAULT));
+            startup,
+            (surroundings, place) -> new EdgeNode(surroundings, place, NodeSettings.DEFAULT));
     process.start(
         started -> new OpaqueDoor(started, new Gateway(), FORMAT).listen("127.0.0.1:" + port));
   }
@@ -155,11 +158,12 @@
   }
 
   /** Puts limits in force, and waits until the logic has told them. */
-  void limit(Bundle.ClientLimits limits) {
+  void limit(RoutingConfiguration.ClientLimits limits) {
     CompletableFuture<Void> told = new CompletableFuture<>();
     process.toLogic(
         () -> {
-          bundleChanges.accept(new Bundle(1, Map.of(), List.of(), null, List.of(), limits, ""));
+          bundleChanges.accept(
+              new RoutingConfiguration(1, Map.of(), List.of(), null, List.of(), limits, ""));
           told.complete(null);
         });
     told.orTimeout(LIMIT_S, TimeUnit.SECONDS).join();
--- a/operator-tool/src/main/java/applespindle/operatortool/BundlePatching.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/BundlePatching.java
@@ -1,8 +1,8 @@
 package applespindle.operatortool;
 
-import applespindle.corelogic.ConfigurationFormat;
-import applespindle.corelogic.ConfigurationPatch;
-import applespindle.corelogic.Fault;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.ConfigurationFormat;
+import applespindle.corelogic.configuration.ConfigurationPatch;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.activej.http.HttpMethod;
 import java.util.Base64;
@@ -53,13 +53,13 @@
       throw new IllegalArgumentException(
           "can not read the bundle in force: status " + inForce.status() + " " + inForce.text());
     }
-    ConfigurationPatch.Read read = ConfigurationPatch.read(ConfigurationFormat.OWN, patch);
+    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.read(ConfigurationFormat.OWN, patch);
     refuse(read.faults());
     byte[] bytes = Base64.getDecoder().decode(inForce.body().path("bytes").asText());
     ObjectNode written = ConfigurationFormat.OWN.written(bytes);
-    ConfigurationPatch.Applied applied = read.patch().applyTo(written);
+    ConfigurationPatch.PatchResult applied = read.patch().applyTo(written);
     refuse(applied.faults());
-    ConfigurationFormat.Whole whole = ConfigurationFormat.OWN.read(applied.whole());
+    ConfigurationFormat.ParsedConfiguration whole = ConfigurationFormat.OWN.read(applied.whole());
     refuse(whole.faults());
     return new Change(
         patch,
@@ -72,7 +72,7 @@
             Signing.sign(whole.bundle(), privateKey)));
   }
 
-  private static void refuse(List<Fault.Field> faults) {
+  private static void refuse(List<ApiError.Field> faults) {
     if (!faults.isEmpty()) {
       throw new IllegalArgumentException(
           faults.stream()
--- a/operator-tool/src/main/java/applespindle/operatortool/HttpCaller.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/HttpCaller.java
@@ -1,6 +1,6 @@
 package applespindle.operatortool;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.adapters.NumbersOnly;
--- a/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
@@ -1,7 +1,7 @@
 package applespindle.operatortool;
 
-import applespindle.corelogic.Bundle;
-import applespindle.corelogic.Fault;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.RoutingConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.failsafe.Failsafe;
 import dev.failsafe.RetryPolicy;
@@ -289,12 +289,12 @@
   }
 
   private static int checkBundle(byte[] bytes) {
-    Bundle.Checked checked = Bundle.check(bytes);
+    RoutingConfiguration.ValidationResult checked = RoutingConfiguration.check(bytes);
     if (checked.fault() == null) {
       System.out.println("bundle " + checked.bundle().number() + ": good");
       return 0;
     }
-    if (checked.fault() instanceof Fault.InvalidBundle invalid) {
+    if (checked.fault() instanceof ApiError.InvalidConfiguration invalid) {
       invalid.fields().forEach(field -> System.err.println(field.path() + ": " + field.reason()));
     }
     return 1;
--- a/operator-tool/src/main/java/applespindle/operatortool/Preflight.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/Preflight.java
@@ -1,6 +1,6 @@
 package applespindle.operatortool;
 
-import applespindle.corelogic.Constants;
+import applespindle.corelogic.constants.ShardConstants;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -120,7 +120,7 @@
 
   /** How many copies the core means to keep of whatever must survive. */
   private static int replicas(JsonNode core) {
-    return core.path("replicas").asInt(Constants.SHARD_REPLICAS);
+    return core.path("replicas").asInt(ShardConstants.DEFAULT_REPLICAS);
   }
 
   private void ready(Map<String, JsonNode> statuses) {
@@ -202,8 +202,10 @@
   }
 
   private void shards(JsonNode core) {
-    if (core.path("shards").size() != Constants.SHARDS) {
-      found("shards", core.path("shards").size() + " of " + Constants.SHARDS + " are placed");
+    if (core.path("shards").size() != ShardConstants.SHARD_COUNT) {
+      found(
+          "shards",
+          core.path("shards").size() + " of " + ShardConstants.SHARD_COUNT + " are placed");
     }
     core.path("shards")
         .fields()
--- a/test-fleet/src/main/java/applespindle/testfleet/CoreWatch.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/CoreWatch.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.CoreNode;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
@@ -79,7 +79,7 @@
 
   private List<Process> cores() {
     return simulation.processes.values().stream()
-        .filter(process -> process.node() instanceof CoreNode)
+        .filter(process -> process.node() instanceof ControlPlaneNode)
         .toList();
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
@@ -41,21 +41,21 @@
    */
   public String bundle(long number, String trafficClass, String pool) {
     return """
-        {
-          "number": %d,
-          "pools": {"main": {"prefixBlockChars": 64, "prefixBlocks": 4, "loadFactor": 1.5}%s},
-          "rules": [
-            {"name": "notes", "match": {"trafficClass": "note"},
-             "way": {"pool": "%s", "trafficClass": "note", "expiryMs": 10000, "retries": 2}},
-            {"name": "checks", "way": {"pool": "%s", "trafficClass": "check", "expiryMs": 5000, "retries": 2}}
-          ],
-          "limits": {
-            "classes": {"check": {"rank": 0, "queueMost": 200}, "note": {"rank": 1, "queueMost": 100}},
-            "batch": {"pool": "main", "waitingItemsMost": 2000, "perWorkerMost": 12, "liveReserve": 2,
-                      "cancelForLive": true, "itemExpiryMs": 30000, "retentionMs": 86400000}
-          }
-        }
-        """
+    {
+      "number": %d,
+      "pools": {"main": {"prefixBlockChars": 64, "prefixBlocks": 4, "loadFactor": 1.5}%s},
+      "rules": [
+        {"name": "notes", "match": {"trafficClass": "note"},
+         "way": {"pool": "%s", "trafficClass": "note", "expiryMs": 10000, "retries": 2}},
+        {"name": "checks", "way": {"pool": "%s", "trafficClass": "check", "expiryMs": 5000, "retries": 2}}
+      ],
+      "limits": {
+        "classes": {"check": {"rank": 0, "queueMost": 200}, "note": {"rank": 1, "queueMost": 100}},
+        "batch": {"pool": "main", "waitingItemsMost": 2000, "perWorkerMost": 12, "liveReserve": 2,
+                  "cancelForLive": true, "itemExpiryMs": 30000, "retentionMs": 86400000}
+      }
+    }
+    """
         .formatted(
             number,
             pool.isEmpty() || pool.equals("main")
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
@@ -2,21 +2,21 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.OpaqueBatch;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.OpaqueRequest.PromptPart;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.batch.ProxiedBatch;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.live.RequestHandle;
+import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.testfleet.OpaqueWorkers.Worker;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
@@ -159,11 +159,11 @@
     call(
         simulation.processes.get("core-0"),
         (Consumer<Response> then) ->
-            ((CoreNode) simulation.processes.get("core-0").node())
+            ((ControlPlaneNode) simulation.processes.get("core-0").node())
                 .command(
                     "bundle",
                     "bundle",
-                    new SignedBundle(0, Json.bytes(bundle), "", new byte[0], 0L),
+                    new SignedConfiguration(0, Json.bytes(bundle), "", new byte[0], 0L),
                     then),
         response -> {
           if (!response.good()) {
@@ -273,10 +273,10 @@
     return (int) Math.max(1, Math.min(most, Math.round(drawn)));
   }
 
-  private final class LiveRequest implements OpaqueListener {
+  private final class LiveRequest implements ProxiedResponseListener {
     final DispatchResult.Kind kind;
     final Process edge;
-    final OpaqueRequest request;
+    final ProxiedRequest request;
     final int tokens;
     final double sentMs = simulation.nowUs() / 1_000.0;
     double lastMs = sentMs;
@@ -298,7 +298,7 @@
                   (check ? "cs" : "ns") + own.nextInt(check ? 4_124 : 593), check ? 227 : 140),
               new PromptPart(id, spread(own, check ? 1_800 : 1_110, 0.9, check ? 6_870 : 3_790)));
       this.request =
-          new OpaqueRequest(
+          new ProxiedRequest(
               id,
               "POST",
               (check ? "/stream/" : "/resumable/") + id,
@@ -318,7 +318,7 @@
       simulation.call(
           edge,
           (Consumer<Runnable> then) -> {
-            LiveDesk.Handle ignored = ((EdgeNode) edge.node()).pass(request, this);
+            RequestHandle ignored = ((EdgeNode) edge.node()).pass(request, this);
           },
           new Caller<Runnable>() {
             @Override
@@ -332,10 +332,10 @@
     }
 
     @Override
-    public void head(Head head) {}
+    public void head(ResponseHead head) {}
 
     @Override
-    public void piece(Piece piece) {
+    public void piece(ResponseChunk piece) {
       double nowMs = simulation.nowUs() / 1_000.0;
       if (first) {
         first = false;
@@ -353,7 +353,7 @@
     }
 
     @Override
-    public void cut(Fault fault) {
+    public void cut(ApiError fault) {
       over(false);
     }
 
@@ -370,7 +370,7 @@
   }
 
   /** What a live request meets at its worker, beside the least loaded of all at that moment. */
-  private void seen(Worker worker, String edgeZone, OpaqueRequest request) {
+  private void seen(Worker worker, String edgeZone, ProxiedRequest request) {
     if (request.target().startsWith("/batch/")) {
       return;
     }
@@ -402,12 +402,12 @@
       return;
     }
     String lot = "b" + ++ids;
-    List<OpaqueBatch.Item> rows = new ArrayList<>();
+    List<ProxiedBatch.Item> rows = new ArrayList<>();
     int items = spread(own, shape.lotItems(), 0.5, 150);
     for (int index = 0; index < items; index++) {
       rows.add(item(lot + "-" + index, own));
     }
-    OpaqueBatch batch = new OpaqueBatch(lot, HOST, "/batch/" + lot, rows);
+    ProxiedBatch batch = new ProxiedBatch(lot, HOST, "/batch/" + lot, rows);
     List<Process> zone = edges.get(own.nextInt(shape.zones()));
     Process edge = zone.get(own.nextInt(zone.size()));
     result.items += items;
@@ -420,7 +420,7 @@
         () -> nextLot(own));
   }
 
-  private OpaqueBatch.Item item(String id, SplittableRandom own) {
+  private ProxiedBatch.Item item(String id, SplittableRandom own) {
     int tokens = TOKENS_AN_EVENT * spread(own, 35, 0.5, 77);
     List<PromptPart> prompt =
         List.of(
@@ -433,7 +433,7 @@
           boolean inTime = simulation.nowMs() - itemSentMs.get(id) <= LOT_AIM_MS;
           result.itemsInTime += inTime ? 1 : 0;
         });
-    return new OpaqueBatch.Item(
+    return new ProxiedBatch.Item(
         id,
         "/batch/plain/" + id,
         List.of(new Header("Content-Type", "text/plain")),
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchResult.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchResult.java
@@ -67,7 +67,8 @@
   }
 
   static final String HEADER =
-      "checks notes  items | worst | p50  p99  | refused | other-zone waited behind-items idle-elsewhere | read-again messages/s";
+      "checks notes  items | worst | p50  p99  | refused | other-zone waited behind-items"
+          + " idle-elsewhere | read-again messages/s";
 
   String line(double seconds) {
     double all = Math.max(1, live);
--- a/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
@@ -1,10 +1,10 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.controlplane.ControlPlane;
-import applespindle.corelogic.Json;
+import applespindle.corelogic.common.Json;
 import applespindle.dataplane.DataPlane;
 import applespindle.operatortool.HttpCaller;
 import applespindle.operatortool.HttpCaller.Result;
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.Records.WorkerInput;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.metadata.WorkerInput;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -28,7 +28,7 @@
         fleet.liveCore(),
         "worker",
         "worker/" + id,
-        CoreNode.workerListed(input),
+        ControlPlaneNode.workerListed(input),
         response -> {
           if (response == null || !response.good()) {
             simulation.afterMs(500, () -> listWorker(id));
@@ -41,7 +41,7 @@
         fleet.liveCore(),
         "worker",
         "worker/" + id,
-        CoreNode.workerMarked(id, true),
+        ControlPlaneNode.workerMarked(id, true),
         response -> {
           int status = response == null ? 0 : response.status();
           simulation.history.add(simulation.nowMs(), Kind.LEAVING_ANSWERED, id, "", "", status);
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
@@ -53,8 +53,9 @@
         .metavar("SECOND:VERB:WHO")
         .setDefault(List.of())
         .help(
-            "such as 10:kill:leader 18:start:last; verbs kill start freeze wake stop lose-disk; "
-                + "or of outside: bundle:2:check:spare leaving:w3 dark:w1 cuts:w1 garbage:w1 refuses:w1 well:w1");
+            "such as 10:kill:leader 18:start:last; verbs kill start freeze wake stop lose-disk; or"
+                + " of outside: bundle:2:check:spare leaving:w3 dark:w1 cuts:w1 garbage:w1"
+                + " refuses:w1 well:w1");
     parser
         .addArgument("--spare")
         .nargs("*")
--- a/test-fleet/src/main/java/applespindle/testfleet/History.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/History.java
@@ -1,9 +1,9 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Json;
+import applespindle.corelogic.common.Json;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.util.ArrayList;
 import java.util.List;
--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -1,10 +1,12 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.live.LiveRequest;
+import applespindle.corelogic.live.LiveResponseListener;
+import applespindle.corelogic.live.RequestHandle;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
@@ -95,7 +97,7 @@
   /**
    * One request at one edge, from its sending to its answer or the end of its client's patience.
    */
-  private final class SentRequest implements LiveDesk.Listener, Caller<Runnable> {
+  private final class SentRequest implements LiveResponseListener, Caller<Runnable> {
     private final String trafficClass;
     private final String once;
     private final int repeats;
@@ -106,7 +108,7 @@
     private final Process edge;
     private final long sentAt;
     private final StringBuilder streamed = new StringBuilder();
-    private LiveDesk.Handle handle;
+    private RequestHandle handle;
     private Consumer<Runnable> answer;
     private boolean done;
 
@@ -144,7 +146,7 @@
               .put("max_tokens", tokens)
               .put("stream", true);
       var request =
-          new LiveDesk.Request("sender", null, trafficClass, Map.of(), prompt, body, stream, once);
+          new LiveRequest("sender", null, trafficClass, Map.of(), prompt, body, stream, once);
       handle = ((EdgeNode) edge.node()).complete(request, this);
     }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
@@ -1,7 +1,7 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.DiskRecord;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.log.LogRecord;
 import applespindle.testfleet.Simulation.Process;
 import java.util.HashMap;
 import java.util.Map;
@@ -179,16 +179,16 @@
   }
 
   private static long highest(Process core) {
-    return ((CoreNode) core.node())
+    return ((ControlPlaneNode) core.node())
         .checkpoint().stream()
             .filter(ManyChanges::isChange)
-            .mapToLong(DiskRecord::sequence)
+            .mapToLong(LogRecord::sequence)
             .max()
             .orElse(0);
   }
 
-  private static boolean isChange(DiskRecord record) {
-    return record.kind() == DiskRecord.Kind.ENTRY
+  private static boolean isChange(LogRecord record) {
+    return record.kind() == LogRecord.Kind.ENTRY
         && record.key().equals(BUNDLE)
         && record.payload().length > 0;
   }
@@ -206,7 +206,7 @@
 
   /** What a core node's snapshot holds of the key at the end of the day. */
   private long stateBytes() {
-    return ((CoreNode) voter().node())
+    return ((ControlPlaneNode) voter().node())
         .checkpoint().stream()
             .filter(ManyChanges::isChange)
             .mapToLong(record -> record.payload().length)
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/OpaqueClients.java
@@ -2,19 +2,19 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.OpaqueBatch;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.OpaqueRequest.PromptPart;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.batch.ProxiedBatch;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.live.RequestHandle;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.OpaqueOperators.Route;
 import applespindle.testfleet.Simulation.Caller;
@@ -176,12 +176,12 @@
     }
   }
 
-  private final class Try implements OpaqueListener {
+  private final class Try implements ProxiedResponseListener {
     final Wish wish;
     final Process edge;
     final String id = "q" + ++ids;
     final StringBuilder text = new StringBuilder();
-    LiveDesk.Handle handle;
+    RequestHandle handle;
     Consumer<Runnable> whenOver;
     String stamp = "";
     String detail = "";
@@ -198,7 +198,7 @@
 
     void send() {
       var request =
-          new OpaqueRequest(
+          new ProxiedRequest(
               id,
               "POST",
               wish.target,
@@ -291,7 +291,7 @@
     }
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
       int told = head.status();
       later(
           () -> {
@@ -306,7 +306,7 @@
     }
 
     @Override
-    public void piece(Piece piece) {
+    public void piece(ResponseChunk piece) {
       later(
           () -> {
             String bytes = new String(piece.bytes(), UTF_8);
@@ -342,7 +342,7 @@
     }
 
     @Override
-    public void cut(Fault fault) {
+    public void cut(ApiError fault) {
       whenOver.accept(() -> finish("cut", status));
     }
 
@@ -413,7 +413,7 @@
   }
 
   final class BatchClient {
-    final OpaqueBatch batch;
+    final ProxiedBatch batch;
     private final int bodyBytes;
     final Set<Long> known = new HashSet<>();
     final long sentMs = simulation.nowMs();
@@ -438,7 +438,7 @@
 
     BatchClient(Route route, int items) {
       String id = "b" + ++ids;
-      List<OpaqueBatch.Item> rows = new ArrayList<>();
+      List<ProxiedBatch.Item> rows = new ArrayList<>();
       for (int index = 0; index < items; index++) {
         int tokens = 4 + simulation.random.nextInt(BATCH_TOKENS_MOST);
         String item = "x" + ++ids;
@@ -447,7 +447,7 @@
         List<PromptPart> prompt = prompt(item);
         int promptTokens = prompt.stream().mapToInt(PromptPart::tokens).sum();
         var row =
-            new OpaqueBatch.Item(
+            new ProxiedBatch.Item(
                 item,
                 route.prefix() + mark + "/" + item,
                 List.of(new Header("Content-Type", "text/plain")),
@@ -462,7 +462,7 @@
             row.tokens() + " POST " + route.host() + " " + row.target() + " " + body,
             tokens);
       }
-      batch = new OpaqueBatch(id, route.host(), route.prefix() + id, rows);
+      batch = new ProxiedBatch(id, route.host(), route.prefix() + id, rows);
       bodyBytes = Json.bytes(batch).length;
     }
 
@@ -484,7 +484,7 @@
           batch.id(),
           edge.name,
           batch.host() + " " + batch.path(),
-          batch.items().stream().mapToLong(OpaqueBatch.Item::tokens).sum());
+          batch.items().stream().mapToLong(ProxiedBatch.Item::tokens).sum());
       simulation.submissions.tried(batch.id(), edge);
       fleet.waitFor(
           edge,
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/OpaqueOperators.java
@@ -1,10 +1,10 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Json;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
 import applespindle.testfleet.History.Kind;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/OpaqueWorkers.java
@@ -2,15 +2,15 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.OpaqueRequest.Head;
-import applespindle.corelogic.OpaqueRequest.Header;
-import applespindle.corelogic.OpaqueRequest.Piece;
-import applespindle.corelogic.OpaqueRequest.PromptPart;
-import applespindle.corelogic.Surroundings.ExchangeListener;
-import applespindle.corelogic.Surroundings.WorkerExchange;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.environment.ProxiedRequest.Header;
+import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
+import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 import applespindle.testfleet.History.Kind;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -110,7 +110,7 @@
     }
 
     private void leave(List<Run> runs) {
-      List.copyOf(runs).forEach(run -> run.breakOff(new Fault.WorkerCut(id)));
+      List.copyOf(runs).forEach(run -> run.breakOff(new ApiError.WorkerStreamTruncated(id)));
     }
 
     private WorkerLoad load() {
@@ -207,7 +207,7 @@
         WorkerExchange exchange,
         ExchangeListener listener,
         BooleanSupplier callerDead) {
-      OpaqueRequest request = exchange.request();
+      ProxiedRequest request = exchange.request();
       this.number = ++runs;
       this.label = "r" + number;
       this.edge = edge;
@@ -234,14 +234,14 @@
       worker = byAddress.get(exchange.address());
       if (worker == null || worker.over) {
         over = true;
-        tell(() -> listener.fault(new Fault.WorkerUnreachable(exchange.workerId()), false));
+        tell(() -> listener.fault(new ApiError.WorkerUnreachable(exchange.workerId()), false));
         return;
       }
       if (worker.condition == Condition.VANISHED) {
         over = true;
         simulation.afterMs(
             CONNECT_TIMEOUT_MS,
-            () -> listener.fault(new Fault.WorkerUnreachable(worker.id), false));
+            () -> listener.fault(new ApiError.WorkerUnreachable(worker.id), false));
         return;
       }
       if (callerDead.getAsBoolean() || cancelled) {
@@ -285,7 +285,7 @@
       tell(
           () -> {
             tellLoad(load);
-            listener.fault(new Fault.WorkerRefused(status), false);
+            listener.fault(new ApiError.WorkerRejected(status), false);
           });
     }
 
@@ -315,7 +315,7 @@
         return;
       }
       if (fails && worker.condition == Condition.GREY) {
-        breakOff(new Fault.WorkerCut(worker.id));
+        breakOff(new ApiError.WorkerStreamTruncated(worker.id));
         return;
       }
       read();
@@ -371,11 +371,11 @@
         return;
       }
       if (worker.condition == Condition.GARBAGE) {
-        breakOff(new Fault.WorkerGarbage(worker.id));
+        breakOff(new ApiError.MalformedWorkerResponse(worker.id));
         return;
       }
       if (worker.condition == Condition.CUTS && position >= tokens / 2) {
-        breakOff(new Fault.WorkerCut(worker.id));
+        breakOff(new ApiError.WorkerStreamTruncated(worker.id));
         return;
       }
       int first = position + 1;
@@ -412,7 +412,7 @@
     private void finish() {
       if (worker.condition == Condition.LOSES) {
         ended(200);
-        tell(() -> listener.fault(new Fault.WorkerCut(worker.id), true));
+        tell(() -> listener.fault(new ApiError.WorkerStreamTruncated(worker.id), true));
         return;
       }
       whole(200);
@@ -425,8 +425,8 @@
       if (!headSent) {
         headSent = true;
         WorkerLoad load = worker.load();
-        Head head =
-            new Head(
+        ResponseHead head =
+            new ResponseHead(
                 status,
                 List.of(
                     new Header(
@@ -465,7 +465,7 @@
     }
 
     private void piece(String eventId, String text) {
-      listener.piece(new Piece(eventId, text.getBytes(UTF_8)));
+      listener.piece(new ResponseChunk(eventId, text.getBytes(UTF_8)));
     }
 
     private void expire() {
@@ -478,16 +478,16 @@
         tell(
             () -> {
               tellLoad(load);
-              listener.fault(new Fault.WorkerRefused(503), false);
+              listener.fault(new ApiError.WorkerRejected(503), false);
             });
       } else if (headSent) {
-        breakOff(new Fault.WorkerCut(worker.id));
+        breakOff(new ApiError.WorkerStreamTruncated(worker.id));
       } else {
         whole(504);
       }
     }
 
-    private void breakOff(Fault fault) {
+    private void breakOff(ApiError fault) {
       if (!over) {
         ended(0);
         tell(() -> listener.fault(fault, true));
@@ -527,7 +527,7 @@
     void reset() {
       if (!over) {
         dropped();
-        tell(() -> listener.fault(new Fault.WorkerCut(exchange.workerId()), true));
+        tell(() -> listener.fault(new ApiError.WorkerStreamTruncated(exchange.workerId()), true));
         deaf = true;
       }
     }
@@ -553,7 +553,7 @@
   /**
    * What a worker was asked, in one line; that it goes on behind some event changes nothing of it.
    */
-  static String asked(OpaqueRequest request) {
+  static String asked(ProxiedRequest request) {
     return request.method()
         + " "
         + request.host()
@@ -564,7 +564,7 @@
   }
 
   /** The number of tokens put out stands at the end of a body, behind the last dot. */
-  private static int tokens(OpaqueRequest request) {
+  private static int tokens(ProxiedRequest request) {
     String body = new String(request.body(), UTF_8);
     return Integer.parseInt(body.substring(body.lastIndexOf('.') + 1));
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/Outside.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Outside.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.Bounds;
+import applespindle.corelogic.environment.NodeSettings;
 import applespindle.testfleet.History.Kind;
 
 /**
@@ -58,8 +58,8 @@
     simulation.history.add(simulation.nowMs(), Kind.BOUND, name, "", "", value);
   }
 
-  private Bounds bounds() {
-    return new Bounds(
+  private NodeSettings bounds() {
+    return new NodeSettings(
         losses,
         true,
         true,
--- a/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
@@ -1,11 +1,11 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.adapters.NumbersOnly;
-import applespindle.corelogic.BatchKeys;
-import applespindle.corelogic.Json;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.common.Json;
 import applespindle.testfleet.Fleet.Member;
 import applespindle.testfleet.History.Kind;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -1,15 +1,15 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchInput;
-import applespindle.corelogic.BatchKeys;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.StorageState;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchInput;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.operatortool.Signing;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
@@ -67,7 +67,7 @@
         rows.addObject().put("id", "i" + index).put("prompt", prompt).put("max_tokens", tokens);
         simulation.history.add(simulation.nowMs(), Kind.ITEM, key, "i" + index, prompt, tokens);
       }
-      body = applespindle.corelogic.Json.bytes(input);
+      body = applespindle.corelogic.common.Json.bytes(input);
     }
 
     void submit() {
@@ -428,9 +428,9 @@
     return cores.get(simulation.random.nextInt(cores.size()));
   }
 
-  SignedBundle signed(byte[] bytes, Long buildsOn) {
+  SignedConfiguration signed(byte[] bytes, Long buildsOn) {
     byte[] signature = Base64.getDecoder().decode(Signing.sign(bytes, KEYS.privateKey()));
-    return new SignedBundle(0, bytes, "operator", signature, buildsOn);
+    return new SignedConfiguration(0, bytes, "operator", signature, buildsOn);
   }
 
   void command(
@@ -443,7 +443,8 @@
     waitFor(
         core,
         patienceMs,
-        (Consumer<Response> answer) -> ((CoreNode) core.node()).command(duty, key, body, answer),
+        (Consumer<Response> answer) ->
+            ((ControlPlaneNode) core.node()).command(duty, key, body, answer),
         then);
   }
 
@@ -485,12 +486,12 @@
 
   void markStorage(String name, String state) {
     String core = liveCore();
-    String id = ((CoreNode) simulation.processes.get(core).node()).storageId(name);
+    String id = ((ControlPlaneNode) simulation.processes.get(core).node()).storageId(name);
     command(
         core,
         "storage",
         "storage/" + id,
-        new StorageState(id, name, state),
+        new StorageNodeState(id, name, state),
         response -> {
           if (response != null && response.status() == 409) {
             storageRefusals++;
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcessor.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcessor.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.JsonMeter;
+import applespindle.corelogic.common.JsonSizeObserver;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -141,7 +141,7 @@
     int inLife = life;
     busy = true;
     usedNs = EVENT_NS;
-    JsonMeter.observe(this::json, waiting.poll());
+    JsonSizeObserver.observe(this::json, waiting.poll());
     totalNs += usedNs;
     long doneUs = simulation.nowUs() + (long) (usedNs / share / 1_000);
     simulation.at(doneUs, () -> unlessFrozen.accept(() -> finish(inLife)));
