--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
@@ -1,10 +1,11 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Surroundings.WorkerCall;
-import applespindle.corelogic.Surroundings.WorkerListener;
-import applespindle.corelogic.Surroundings.WorkerLoad;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.constants.LiveRequestConstants;
+import applespindle.corelogic.constants.WorkerConstants;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.StandInWorkers.Pace;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -63,7 +64,7 @@
     void become(Condition next) {
       condition = next;
       if (next == Condition.CRASHED) {
-        List.copyOf(running).forEach(run -> run.fail(new Fault.WorkerCut(id)));
+        List.copyOf(running).forEach(run -> run.fail(new ApiError.WorkerStreamTruncated(id)));
         running.clear();
         cache.clear();
       } else if (next == Condition.VANISHED) {
@@ -75,7 +76,7 @@
   /** One request at a worker, from its arrival to its end. */
   public final class Run {
     private final Worker worker;
-    private final WorkerListener listener;
+    private final WorkerCallListener listener;
     private final BooleanSupplier callerDead;
     private final String prompt;
     private final String item;
@@ -85,7 +86,7 @@
     private int position;
     private boolean over;
 
-    Run(Worker worker, WorkerCall call, WorkerListener listener, BooleanSupplier callerDead) {
+    Run(Worker worker, WorkerCall call, WorkerCallListener listener, BooleanSupplier callerDead) {
       JsonNode body = Simulation.tree(call.body());
       this.worker = worker;
       this.listener = listener;
@@ -104,7 +105,7 @@
       switch (worker.condition) {
         case CRASHED -> {
           over = true;
-          listener.fault(new Fault.WorkerUnreachable(worker.id), false);
+          listener.fault(new ApiError.WorkerUnreachable(worker.id), false);
           return;
         }
         case VANISHED -> {
@@ -113,7 +114,7 @@
               () -> {
                 if (!over) {
                   over = true;
-                  listener.fault(new Fault.WorkerUnreachable(worker.id), false);
+                  listener.fault(new ApiError.WorkerUnreachable(worker.id), false);
                 }
               });
           return;
@@ -126,7 +127,7 @@
       }
       if (worker.condition == Condition.REFUSES || worker.running.size() >= pace.capacity()) {
         over = true;
-        simulation.afterMs(WIRE_MS, () -> listener.fault(new Fault.WorkerRefused(503), false));
+        simulation.afterMs(WIRE_MS, () -> listener.fault(new ApiError.WorkerRejected(503), false));
         return;
       }
       simulation.history.add(simulation.nowMs(), Kind.WORKER_RECEIVED, worker.id, item, prompt, 0);
@@ -159,12 +160,12 @@
       }
       if (worker.condition == Condition.CUTS && position >= tokens / 2) {
         worker.running.remove(this);
-        fail(new Fault.WorkerCut(worker.id));
+        fail(new ApiError.WorkerStreamTruncated(worker.id));
         return;
       }
       if (worker.condition == Condition.GARBAGE) {
         worker.running.remove(this);
-        fail(new Fault.WorkerGarbage(worker.id));
+        fail(new ApiError.MalformedWorkerResponse(worker.id));
         return;
       }
       heardAtMs = simulation.nowMs();
@@ -184,22 +185,23 @@
     /** The caller's side: silence and expiry end a run, as the real client does. */
     private void watch() {
       simulation.afterMs(
-          Constants.LOAD_POLL_MS,
+          WorkerConstants.LOAD_POLL_INTERVAL_MS,
           () -> {
             if (over) {
               return;
             }
             long now = simulation.nowMs();
-            if (now - heardAtMs > Constants.STREAM_SILENCE_MS || now > expiresAtMs) {
+            if (now - heardAtMs > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
+                || now > expiresAtMs) {
               worker.running.remove(this);
-              fail(new Fault.WorkerSilent(worker.id));
+              fail(new ApiError.WorkerTimeout(worker.id));
             } else {
               watch();
             }
           });
     }
 
-    private void fail(Fault fault) {
+    private void fail(ApiError fault) {
       if (!over) {
         over = true;
         simulation.afterMs(WIRE_MS, () -> listener.fault(fault, true));
@@ -239,23 +241,23 @@
     return new HashMap<>(workers);
   }
 
-  Run run(WorkerCall call, WorkerListener listener, BooleanSupplier callerDead) {
+  Run run(WorkerCall call, WorkerCallListener listener, BooleanSupplier callerDead) {
     Run run = new Run(workers.get(call.workerAddress()), call, listener, callerDead);
     simulation.afterMs(WIRE_MS, run::arrive);
     return run;
   }
 
-  void readLoad(String address, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+  void readLoad(String address, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
     Worker worker = workers.get(address);
     simulation.afterMs(
         WIRE_MS,
         () -> {
           switch (worker.condition) {
-            case CRASHED -> whenFaulty.accept(new Fault.WorkerUnreachable(worker.id));
+            case CRASHED -> whenFaulty.accept(new ApiError.WorkerUnreachable(worker.id));
             case DARK, VANISHED ->
                 simulation.afterMs(
-                    Constants.LOAD_STALE_MS,
-                    () -> whenFaulty.accept(new Fault.WorkerUnreachable(worker.id)));
+                    WorkerConstants.LOAD_STALE_AFTER_MS,
+                    () -> whenFaulty.accept(new ApiError.WorkerUnreachable(worker.id)));
             default -> {
               WorkerLoad load =
                   new WorkerLoad(worker.running.size(), 0, pace.capacity(), worker.leaving);
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -1,26 +1,35 @@
 package applespindle.testfleet;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrame;
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.ConfigurationFormat;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Epoch;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Invariant;
-import applespindle.corelogic.KeyReplicas;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.MessageNames;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.StorageNode;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.ConfigurationFormat;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ExchangeListener;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerExchange;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.Invariant;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.MessageNames;
+import applespindle.corelogic.replication.LogReplicas;
+import applespindle.corelogic.storage.StorageNode;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -76,13 +85,13 @@
   private static final class Disk {
     String id;
     long incarnation;
-    final List<DiskRecord> synced = new ArrayList<>();
+    final List<LogRecord> synced = new ArrayList<>();
     long stalledUntilUs;
     long lastSyncUs;
   }
 
   /** One process and the machine it runs on; its surroundings are made up here. */
-  public final class Process implements Surroundings {
+  public final class Process implements Environment {
     public final String name;
     final String zone;
     final String role;
@@ -126,7 +135,7 @@
     private final Map<String, Long> receivedBytes = new TreeMap<>();
     private boolean stopping;
     private final ArrayDeque<Runnable> whileFrozen = new ArrayDeque<>();
-    private final List<DiskRecord> unsynced = new ArrayList<>();
+    private final List<LogRecord> unsynced = new ArrayList<>();
     private final Set<SimulatedWorkers.Run> runs = new LinkedHashSet<>();
     private final Set<OpaqueWorkers.Run> opaqueRuns = new LinkedHashSet<>();
 
@@ -173,15 +182,15 @@
         id = disk.id;
         incarnation = ++disk.incarnation;
       }
-      var place = new Node.Place(id, incarnation, name, zone, role, name, name + "/http", seeds);
+      var place = new NodeIdentity(id, incarnation, name, zone, role, name, name + "/http", seeds);
       node =
           switch (role) {
             case "core" ->
-                new CoreNode(
+                new ControlPlaneNode(
                     this,
                     place,
                     operatorKeys,
-                    bounds == Bounds.DEFAULT ? seeds : List.of(),
+                    bounds == NodeSettings.DEFAULT ? seeds : List.of(),
                     bounds(),
                     ConfigurationFormat.OWN);
             case "storage" -> new StorageNode(this, place, bounds());
@@ -197,8 +206,8 @@
      * Only the first start of all, with an empty disk, is told to found the core, unless its
      * settings stay as they were; a machine without a disk has no vote.
      */
-    private Bounds bounds() {
-      return bounds == Bounds.DEFAULT
+    private NodeSettings bounds() {
+      return bounds == NodeSettings.DEFAULT
           ? bounds
           : bounds.at(disk != null, (life == 1 || bootstrapStays) && nowMs() < foundedByMs);
     }
@@ -388,7 +397,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       at(
@@ -433,7 +442,7 @@
       int takenOver = target.connections;
       String link = name + ">" + peerAddress;
       long arrives = nowUs + latency(zone, target.zone, target == this);
-      if (frame.length >= Constants.PEER_LARGE_BYTES
+      if (frame.length >= PeerConnectionConstants.LARGE_FRAME_BYTES
           && (linkBytesPerMs + target.linkBytesPerMs) > 0) {
         // Large frames have a connection of their own, and share the links with each other.
         arrives += carryOver(this, target, frame.length);
@@ -445,7 +454,8 @@
       target.receivedBytes.merge(
           Instant.kindOf(envelope.message()), (long) frame.length, Long::sum);
       newsItems +=
-          envelope.message() instanceof applespindle.corelogic.Message.FeedNews news
+          envelope.message()
+                  instanceof applespindle.corelogic.protocol.Message.ChangeFeedUpdate news
               ? news.items().size()
               : 0;
       Runnable arrival =
@@ -472,7 +482,7 @@
     }
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
       int inLife = life;
       unsynced.addAll(records);
       records.forEach(record -> writtenBytes += record.payload().length);
@@ -486,7 +496,7 @@
       sync(done, inLife, List.copyOf(records), whenSynced);
     }
 
-    private void sync(long done, int inLife, List<DiskRecord> records, Runnable whenSynced) {
+    private void sync(long done, int inLife, List<LogRecord> records, Runnable whenSynced) {
       at(
           done,
           () -> {
@@ -509,7 +519,7 @@
     }
 
     @Override
-    public WorkerRun exchange(WorkerExchange exchange, ExchangeListener listener) {
+    public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
       int inLife = life;
       OpaqueWorkers.Run[] run = new OpaqueWorkers.Run[1];
       run[0] =
@@ -519,12 +529,12 @@
               exchange,
               new ExchangeListener() {
                 @Override
-                public void head(OpaqueRequest.Head head) {
+                public void head(ProxiedRequest.ResponseHead head) {
                   enter(inLife, () -> unlessCancelled(() -> listener.head(head)));
                 }
 
                 @Override
-                public void piece(OpaqueRequest.Piece piece) {
+                public void piece(ProxiedRequest.ResponseChunk piece) {
                   enter(inLife, () -> unlessCancelled(() -> listener.piece(piece)));
                 }
 
@@ -540,7 +550,7 @@
                 }
 
                 @Override
-                public void fault(Fault fault, boolean mayHaveRun) {
+                public void fault(ApiError fault, boolean mayHaveRun) {
                   opaqueRuns.remove(run[0]);
                   enter(inLife, () -> unlessCancelled(() -> listener.fault(fault, mayHaveRun)));
                 }
@@ -561,12 +571,12 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       int inLife = life;
       SimulatedWorkers.Run run =
           workers.run(
               call,
-              new WorkerListener() {
+              new WorkerCallListener() {
                 @Override
                 public void text(String text) {
                   enter(inLife, () -> listener.text(text));
@@ -578,7 +588,7 @@
                 }
 
                 @Override
-                public void fault(Fault fault, boolean mayHaveRun) {
+                public void fault(ApiError fault, boolean mayHaveRun) {
                   enter(inLife, () -> listener.fault(fault, mayHaveRun));
                 }
               },
@@ -592,7 +602,7 @@
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
       int inLife = life;
       workers.readLoad(
           workerAddress,
@@ -602,7 +612,7 @@
 
     @Override
     public void listWorkers(
-        String pageToken, Consumer<WorkerPage> whenRead, Consumer<Fault> whenFaulty) {
+        String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty) {
       int inLife = life;
       outsideList.read(
           this,
@@ -667,7 +677,9 @@
     }
 
     static String kindOf(Message message) {
-      return message instanceof Message.Ask ask ? "Ask:" + ask.duty() : MessageNames.of(message);
+      return message instanceof Message.PeerRequest ask
+          ? "Ask:" + ask.duty()
+          : MessageNames.of(message);
     }
 
     /** True if the message must not go out. */
@@ -712,11 +724,11 @@
     void read(
         Process reader,
         String pageToken,
-        Consumer<Surroundings.WorkerPage> whenRead,
-        Consumer<Fault> whenFaulty);
+        Consumer<Environment.WorkerListPage> whenRead,
+        Consumer<ApiError> whenFaulty);
   }
 
-  Bounds bounds = Bounds.DEFAULT;
+  NodeSettings bounds = NodeSettings.DEFAULT;
 
   /** Processes first started before this are told to found the core. */
   long foundedByMs = 10_000;
@@ -725,7 +737,7 @@
   boolean bootstrapStays;
 
   OutsideList outsideList =
-      (reader, token, whenRead, whenFaulty) -> whenFaulty.accept(new Fault.Overloaded("list"));
+      (reader, token, whenRead, whenFaulty) -> whenFaulty.accept(new ApiError.Overloaded("list"));
   Instant instant;
 
   /** The platform round the fleet, where there is one: opaque workers and the list of them. */
@@ -955,8 +967,8 @@
 
   // ---- invariants
 
-  private KeyReplicas replicasOf(Process process) {
-    return process.node instanceof CoreNode core
+  private LogReplicas replicasOf(Process process) {
+    return process.node instanceof ControlPlaneNode core
         ? core.replicas()
         : process.node instanceof StorageNode storage ? storage.replicas() : null;
   }
@@ -966,12 +978,12 @@
   }
 
   private void tellPromise(Process process, Message message) {
-    if (message instanceof Message.KeyPromised told && told.verdict() == Message.Verdict.OK) {
+    if (message instanceof Message.VoteResponse told && told.verdict() == Message.Verdict.OK) {
       promisedAloud.merge(
           holder(process, told.key()),
           told.asked(),
           (one, other) -> one.compareTo(other) < 0 ? other : one);
-    } else if (message instanceof Message.KeyAppended told
+    } else if (message instanceof Message.AppendResponse told
         && told.verdict() == Message.Verdict.OK) {
       promisedAloud.merge(
           holder(process, told.key()),
@@ -989,13 +1001,13 @@
   }
 
   private void checkInvariants(Process process) {
-    KeyReplicas replicas = process.alive ? replicasOf(process) : null;
+    LogReplicas replicas = process.alive ? replicasOf(process) : null;
     if (replicas == null || replicas.lastTouched().isEmpty()) {
       return;
     }
     String key = replicas.lastTouched();
     String holder = holder(process, key);
-    KeyReplicas.View view = replicas.view(key);
+    LogReplicas.View view = replicas.view(key);
     Epoch before = promisedBefore.put(holder, view.promised());
     if (before != null && view.promised().compareTo(before) < 0) {
       throw new InvariantBroken(
--- a/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.Message;
+import applespindle.corelogic.protocol.Message;
 import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -87,17 +87,17 @@
     if (visits.isEmpty()) {
       return;
     }
-    if (message instanceof Message.Ask ask) {
+    if (message instanceof Message.PeerRequest ask) {
       asked(from, ask);
-    } else if (message instanceof Message.KeyPromise promise) {
+    } else if (message instanceof Message.VoteRequest promise) {
       reachKey(promise.key(), from, promise.trial() ? Stage.CLAIM_TRIED : Stage.CLAIM_ASKED);
-    } else if (message instanceof Message.KeyAppend append) {
+    } else if (message instanceof Message.AppendRequest append) {
       boolean hasEvent = append.entries().stream().anyMatch(entry -> entry.event().length > 0);
       reachKey(append.key(), from, hasEvent ? Stage.APPEND_SENT : Stage.CLAIM_SETTLING);
     }
   }
 
-  private void asked(Process from, Message.Ask ask) {
+  private void asked(Process from, Message.PeerRequest ask) {
     if (ask.duty().equals("submit") && arriving.containsKey(from.name)) {
       clientIds.put(recordId(ask.key()), arriving.remove(from.name));
     } else if (ask.duty().equals("room")) {
@@ -111,7 +111,7 @@
   }
 
   void received(Process by, Message message) {
-    if (message instanceof Message.AskResponse response) {
+    if (message instanceof Message.PeerResponse response) {
       String clientId = roomAsked.remove(by.name + " " + response.correlation());
       if (clientId != null) {
         reach(clientId, by, Stage.ROOM_ANSWERED);
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerEngine.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerEngine.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.OpaqueRequest;
+import applespindle.corelogic.environment.ProxiedRequest;
 
 /**
  * What the workers are like. Times in milliseconds at a pace of 1.
@@ -30,6 +30,6 @@
 
   /** Hears of each request that arrives at a worker, before it is queued. */
   interface Watcher {
-    void arrives(OpaqueWorkers.Worker worker, String edgeZone, OpaqueRequest request);
+    void arrives(OpaqueWorkers.Worker worker, String edgeZone, ProxiedRequest request);
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
@@ -1,8 +1,8 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Surroundings.ListedWorker;
-import applespindle.corelogic.Surroundings.WorkerPage;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.environment.Environment.ListedWorker;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
 import applespindle.testfleet.History.Kind;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -108,7 +108,7 @@
         });
   }
 
-  void read(String pageToken, Consumer<WorkerPage> whenRead, Consumer<Fault> whenFaulty) {
+  void read(String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty) {
     calls++;
     simulation.afterMs(
         condition == Condition.SLOW ? SLOW_MS : WIRE_MS,
@@ -116,17 +116,17 @@
           switch (condition) {
             case DOWN ->
                 simulation.afterMs(
-                    DOWN_MS, () -> whenFaulty.accept(new Fault.WorkerSilent("list")));
-            case REFUSES -> answer(() -> whenFaulty.accept(new Fault.Overloaded("list")));
-            case CUT -> answer(() -> whenFaulty.accept(new Fault.WorkerCut("list")));
-            case EMPTY -> answer(() -> whenRead.accept(new WorkerPage(List.of(), "")));
+                    DOWN_MS, () -> whenFaulty.accept(new ApiError.WorkerTimeout("list")));
+            case REFUSES -> answer(() -> whenFaulty.accept(new ApiError.Overloaded("list")));
+            case CUT -> answer(() -> whenFaulty.accept(new ApiError.WorkerStreamTruncated("list")));
+            case EMPTY -> answer(() -> whenRead.accept(new WorkerListPage(List.of(), "")));
             default -> {
               if (takesCall()) {
-                WorkerPage page = page(pageToken);
+                WorkerListPage page = page(pageToken);
                 answer(() -> whenRead.accept(page));
               } else {
                 refusedCalls++;
-                answer(() -> whenFaulty.accept(new Fault.Overloaded("list")));
+                answer(() -> whenFaulty.accept(new ApiError.Overloaded("list")));
               }
             }
           }
@@ -152,12 +152,13 @@
    * Each page is of the list as it is shown at that moment; a worker may so be missed or seen twice
    * between pages.
    */
-  private WorkerPage page(String pageToken) {
+  private WorkerListPage page(String pageToken) {
     long at = simulation.nowMs() - (condition == Condition.STALE ? STALE_MS : 0);
     List<ListedWorker> all = shown.floorEntry(Math.max(0, at)).getValue();
     int from =
         pageToken.isEmpty() ? 0 : Math.min(all.size(), Integer.parseInt(pageToken.substring(2)));
     int to = Math.min(all.size(), from + PAGE);
-    return new WorkerPage(new ArrayList<>(all.subList(from, to)), to < all.size() ? "p-" + to : "");
+    return new WorkerListPage(
+        new ArrayList<>(all.subList(from, to)), to < all.size() ? "p-" + to : "");
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowHost.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowHost.java
@@ -1,19 +1,25 @@
 package applespindle.testfleet.capacity;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.adapters.PeerCodec;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.sun.management.OperatingSystemMXBean;
@@ -68,7 +74,7 @@
     }
   }
 
-  private final class Hollow implements Surroundings {
+  private final class Hollow implements Environment {
     final int index;
     final HollowPeers peers;
     private final SplittableRandom random;
@@ -88,7 +94,7 @@
       node =
           new EdgeNode(
               this,
-              new Node.Place(
+              new NodeIdentity(
                   String.format("%04x%04x%04x", index, life, random.nextInt(1 << 16)),
                   1,
                   "hollow-" + index,
@@ -115,13 +121,13 @@
         return;
       }
       node.receive(envelope);
-      if (envelope.message() instanceof FeedNews news) {
-        for (FeedItem item : news.items()) {
+      if (envelope.message() instanceof ChangeFeedUpdate news) {
+        for (MetadataRecord item : news.items()) {
           if (item.key().equals("bundle")) {
             long number =
                 numbers.computeIfAbsent(
                     Arrays.hashCode(item.value()),
-                    unseen -> Json.read(item.value(), SignedBundle.class).number());
+                    unseen -> Json.read(item.value(), SignedConfiguration.class).number());
             knownAt
                 .computeIfAbsent(number, unseen -> new HashMap<>())
                 .putIfAbsent(index, System.nanoTime());
@@ -136,7 +142,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       int inLife = life;
       ScheduledRunnable planned =
           loop.delay(
@@ -159,7 +165,7 @@
     }
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
       throw new IllegalStateException("an edge keeps no records");
     }
 
@@ -169,14 +175,14 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       throw new IllegalStateException("a hollow node serves nothing");
     }
 
     /** Never answered: reads of load are HTTP and counted by the slopes. */
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {}
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
 
     @Override
     public RandomGenerator random() {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowPeers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowPeers.java
@@ -3,8 +3,8 @@
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrame;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Envelope;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.protocol.Envelope;
 import io.activej.bytebuf.ByteBuf;
 import io.activej.eventloop.Eventloop;
 import io.activej.net.SimpleServer;
@@ -46,7 +46,8 @@
 
     /** Dropped, as the real transport does, when the other side takes too little. */
     void add(Frame frame) {
-      if (!waiting.isEmpty() && waitingBytes + frame.bytes.length > Constants.PEER_WAITING_BYTES) {
+      if (!waiting.isEmpty()
+          && waitingBytes + frame.bytes.length > PeerConnectionConstants.MAX_QUEUED_BYTES) {
         return;
       }
       waiting.add(frame);
@@ -214,7 +215,7 @@
   void send(String address, Envelope envelope) {
     byte[] frame = codec.encode(envelope);
     byte[] deflated =
-        frame.length < Constants.PEER_DEFLATE_BYTES ? frame : deflation.deflate(frame);
+        frame.length < PeerConnectionConstants.MIN_DEFLATE_BYTES ? frame : deflation.deflate(frame);
     outbound
         .computeIfAbsent(address, Outbound::new)
         .add(
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/LoneNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LoneNode.java
@@ -2,23 +2,29 @@
 
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrame;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.Records.CoreMember;
-import applespindle.corelogic.Records.Member;
-import applespindle.corelogic.Records.Roster;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.Worker;
-import applespindle.corelogic.StorageNode;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.NodeRegistration;
+import applespindle.corelogic.metadata.QuorumMember;
+import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.WorkerRegistration;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.storage.StorageNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +37,7 @@
  * One node that is told things and whose own words go nowhere: for what it holds and what taking it
  * in costs.
  */
-final class LoneNode implements Surroundings {
+final class LoneNode implements Environment {
   private static final int FRAME_HEAD_BYTES = 4;
   private final PeerCodec codec = new PeerCodec();
   private final RandomGenerator random = new SplittableRandom(1);
@@ -52,11 +58,11 @@
 
   static LoneNode core() {
     return new LoneNode(
-        surroundings -> new CoreNode(surroundings, place("core"), Map.of(), List.of()));
+        surroundings -> new ControlPlaneNode(surroundings, place("core"), Map.of(), List.of()));
   }
 
-  private static Node.Place place(String role) {
-    return new Node.Place(
+  private static NodeIdentity place(String role) {
+    return new NodeIdentity(
         "0123456789ab",
         1,
         role + "-1",
@@ -86,28 +92,30 @@
   }
 
   static Message roster() {
-    List<CoreMember> members = new ArrayList<>();
+    List<QuorumMember> members = new ArrayList<>();
     for (int index = 1; index <= 3; index++) {
       members.add(
-          new CoreMember(
+          new QuorumMember(
               "core0000000" + index,
               "10.0.1." + index + ":7000",
               "10.0.1." + index + ":7001",
               "zone-" + index,
               "core-" + index));
     }
-    return new Message.CoreIs(1, Json.bytes(new Roster(1, members, List.of())));
+    return new Message.QuorumDiscoveryResponse(
+        1, Json.bytes(new QuorumMembership(1, members, List.of())));
   }
 
-  static Message checkpoint(List<FeedItem> items) {
-    return new FeedNews("core00000001", 1, 0, items.size(), true, false, 0, 1_000_000, items);
+  static Message checkpoint(List<MetadataRecord> items) {
+    return new ChangeFeedUpdate(
+        "core00000001", 1, 0, items.size(), true, false, 0, 1_000_000, items);
   }
 
-  static List<FeedItem> members(int count) {
-    List<FeedItem> items = new ArrayList<>();
+  static List<MetadataRecord> members(int count) {
+    List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       var member =
-          new Member(
+          new NodeRegistration(
               String.format("%012x", index),
               1,
               "edge-" + index,
@@ -116,30 +124,32 @@
               "10.1." + index / 250 + "." + index % 250 + ":7001",
               "10.1." + index / 250 + "." + index % 250 + ":7000",
               true);
-      items.add(new FeedItem("member/" + member.id(), 1, Json.bytes(member)));
+      items.add(new MetadataRecord("member/" + member.id(), 1, Json.bytes(member)));
     }
     return items;
   }
 
-  static List<FeedItem> workers(int count) {
-    List<FeedItem> items = new ArrayList<>();
+  static List<MetadataRecord> workers(int count) {
+    List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       var worker =
-          new Worker(
+          new WorkerRegistration(
               "w" + index,
               "10.2." + index / 250 + "." + index % 250 + ":8000",
               "main",
               "ready",
               "zone-1",
               0);
-      items.add(new FeedItem("worker/w" + index, 1, Json.bytes(worker)));
+      items.add(new MetadataRecord("worker/w" + index, 1, Json.bytes(worker)));
     }
     return items;
   }
 
-  static FeedItem bundle(long number, byte[] bytes) {
-    return new FeedItem(
-        "bundle", number, Json.bytes(new SignedBundle(number, bytes, "operator", new byte[64])));
+  static MetadataRecord bundle(long number, byte[] bytes) {
+    return new MetadataRecord(
+        "bundle",
+        number,
+        Json.bytes(new SignedConfiguration(number, bytes, "operator", new byte[64])));
   }
 
   // ---- ports: nothing comes back
@@ -150,7 +160,7 @@
   }
 
   @Override
-  public Schedule after(long millis, Runnable task) {
+  public ScheduledTask after(long millis, Runnable task) {
     return () -> {};
   }
 
@@ -160,7 +170,7 @@
   }
 
   @Override
-  public void write(List<DiskRecord> records, Runnable whenSynced) {
+  public void write(List<LogRecord> records, Runnable whenSynced) {
     whenSynced.run();
   }
 
@@ -170,13 +180,13 @@
   }
 
   @Override
-  public WorkerRun run(WorkerCall call, WorkerListener listener) {
+  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
     return () -> {};
   }
 
   @Override
   public void readLoad(
-      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {}
+      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
 
   @Override
   public RandomGenerator random() {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -5,22 +5,28 @@
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrame;
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.DiskRecord;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.FeedNews;
-import applespindle.corelogic.MessageNames;
-import applespindle.corelogic.Node;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Records.WorkerInput;
-import applespindle.corelogic.Response;
-import applespindle.corelogic.StorageNode;
-import applespindle.corelogic.Surroundings;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
+import applespindle.corelogic.environment.Environment.WorkerCall;
+import applespindle.corelogic.environment.Environment.WorkerCallHandle;
+import applespindle.corelogic.environment.Environment.WorkerCallListener;
+import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.WorkerInput;
+import applespindle.corelogic.node.Node;
+import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
+import applespindle.corelogic.protocol.MessageNames;
+import applespindle.corelogic.storage.StorageNode;
 import applespindle.operatortool.Signing;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
@@ -77,7 +83,7 @@
   }
 
   /** One node and the machine under it. */
-  final class Machine implements Surroundings {
+  final class Machine implements Environment {
     final String name;
     final String zone;
     final String region;
@@ -101,7 +107,7 @@
       up = true;
       life++;
       var place =
-          new Node.Place(
+          new NodeIdentity(
               name + "-" + life + "-" + Integer.toHexString(random.nextInt(1 << 20)),
               life,
               name,
@@ -112,7 +118,8 @@
               CORE);
       node =
           switch (role) {
-            case "core" -> new CoreNode(this, place, Map.of("operator", KEYS.publicKey()), CORE);
+            case "core" ->
+                new ControlPlaneNode(this, place, Map.of("operator", KEYS.publicKey()), CORE);
             case "storage" -> new StorageNode(this, place);
             default -> new EdgeNode(this, place);
           };
@@ -145,7 +152,7 @@
     }
 
     @Override
-    public Schedule after(long millis, Runnable task) {
+    public ScheduledTask after(long millis, Runnable task) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       at(
@@ -189,8 +196,8 @@
     }
 
     @Override
-    public void write(List<DiskRecord> records, Runnable whenSynced) {
-      for (DiskRecord record : records) {
+    public void write(List<LogRecord> records, Runnable whenSynced) {
+      for (LogRecord record : records) {
         meter.diskBytes += codec.encode(record).length + DISK_HEAD_BYTES;
       }
       int inLife = life;
@@ -203,7 +210,7 @@
     }
 
     @Override
-    public WorkerRun run(WorkerCall call, WorkerListener listener) {
+    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       running.merge(call.workerAddress(), 1, Integer::sum);
@@ -227,7 +234,7 @@
 
     @Override
     public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<Fault> whenFaulty) {
+        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
       meter.loadReads++;
       if (shape.reports) {
         int inLife = life;
@@ -306,16 +313,16 @@
   }
 
   static String kindOf(Message message) {
-    if (message instanceof Message.Ask ask) {
+    if (message instanceof Message.PeerRequest ask) {
       return "Ask:" + ask.duty();
     }
-    if (message instanceof FeedNews news) {
+    if (message instanceof ChangeFeedUpdate news) {
       return kindOfNews(news);
     }
     return MessageNames.of(message);
   }
 
-  private static String kindOfNews(FeedNews news) {
+  private static String kindOfNews(ChangeFeedUpdate news) {
     if (news.items().isEmpty()) {
       return "FeedNews:none";
     }
@@ -333,7 +340,7 @@
   }
 
   private int writtenBytes(byte[] frame) {
-    boolean large = frame.length >= Constants.PEER_DEFLATE_BYTES;
+    boolean large = frame.length >= PeerConnectionConstants.MIN_DEFLATE_BYTES;
     return FRAME_HEAD_BYTES + (large ? deflation.deflate(frame).length : frame.length);
   }
 
@@ -346,8 +353,8 @@
   }
 
   private void noteBundle(Machine machine, Message message) {
-    if (machine.role.equals("edge") && message instanceof FeedNews news) {
-      for (FeedItem item : news.items()) {
+    if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate news) {
+      for (MetadataRecord item : news.items()) {
         if (item.key().equals("bundle")) {
           long number = numberOf(item.value());
           bundleKnownAtUs
@@ -363,7 +370,8 @@
   private long numberOf(byte[] value) {
     return numbersByHash.computeIfAbsent(
         java.util.Arrays.hashCode(value),
-        unseen -> applespindle.corelogic.Json.read(value, SignedBundle.class).number());
+        unseen ->
+            applespindle.corelogic.common.Json.read(value, SignedConfiguration.class).number());
   }
 
   // ---- time
@@ -403,8 +411,8 @@
 
   // ---- what operators do
 
-  private CoreNode core() {
-    return (CoreNode)
+  private ControlPlaneNode core() {
+    return (ControlPlaneNode)
         machines.values().stream()
             .filter(
                 machine ->
@@ -418,7 +426,7 @@
 
   /** Sends again, as an operator does, until something certain is said. */
   private void command(String duty, String key, Object body, Consumer<Response> then) {
-    CoreNode core = core();
+    ControlPlaneNode core = core();
     Machine machine = machines.get(core.place().name());
     machine.enter(
         () ->
@@ -455,7 +463,7 @@
     command(
         "bundle",
         "bundle",
-        new SignedBundle(0, bytes, "operator", signature),
+        new SignedConfiguration(0, bytes, "operator", signature),
         response -> {
           if (!response.good()) {
             throw new IllegalStateException(
@@ -501,7 +509,7 @@
             command(
                 "worker",
                 "worker/" + input.id(),
-                CoreNode.workerListed(input),
+                ControlPlaneNode.workerListed(input),
                 response -> {
                   answered[0]++;
                   next[0].run();
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet.capacity;
 
-import static applespindle.corelogic.Json.JSON;
+import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.operatortool.HttpCaller.Result;
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/Slopes.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/Slopes.java
@@ -1,17 +1,18 @@
 package applespindle.testfleet.capacity;
 
-import static applespindle.corelogic.Json.JSON;
-
-import applespindle.corelogic.BatchInput;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.LiveDesk;
-import applespindle.corelogic.Message;
-import applespindle.corelogic.Message.FeedItem;
-import applespindle.corelogic.Message.KeyAppend;
-import applespindle.corelogic.Message.KeyPlace;
-import applespindle.corelogic.Rendezvous;
-import applespindle.corelogic.Response;
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchInput;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.live.LiveRequest;
+import applespindle.corelogic.live.LiveResponseListener;
+import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.KeyPosition;
+import applespindle.corelogic.protocol.Message.MetadataRecord;
 import applespindle.testfleet.capacity.MeasuredFleet.Change;
 import applespindle.testfleet.capacity.MeasuredFleet.Machine;
 import applespindle.testfleet.capacity.MeasuredFleet.Shape;
@@ -434,14 +435,13 @@
               .put("prompt", prompt + index)
               .put("max_tokens", 100)
               .put("stream", true);
-      var request =
-          new LiveDesk.Request(from, null, "note", Map.of(), prompt + index, body, true, "");
+      var request = new LiveRequest(from, null, "note", Map.of(), prompt + index, body, true, "");
       edge.enter(
           () ->
               ((EdgeNode) edge.node)
                   .complete(
                       request,
-                      new LiveDesk.Listener() {
+                      new LiveResponseListener() {
                         @Override
                         public void text(String text) {}
 
@@ -538,11 +538,11 @@
    */
   private void batchItems(int items, long seed) {
     MeasuredFleet fleet = opened(new Shape(3, 1, 3, true, 64, 20), seed, 4, plainBundle());
-    List<KeyAppend> appends = new ArrayList<>();
+    List<AppendRequest> appends = new ArrayList<>();
     String[] batch = new String[1];
     fleet.sentFrames =
         (from, envelope) -> {
-          if (envelope.message() instanceof KeyAppend append
+          if (envelope.message() instanceof AppendRequest append
               && append.key().startsWith("batch/")
               && !append.entries().isEmpty()) {
             batch[0] = append.key();
@@ -626,7 +626,7 @@
         "items in a batch",
         items,
         appends.stream().mapToInt(LoneNode::bytesOf).max().orElse(0));
-    List<KeyAppend> ofOneReplica = firstOfEach(appends);
+    List<AppendRequest> ofOneReplica = firstOfEach(appends);
     add(
         "batch-items",
         "storage",
@@ -643,8 +643,8 @@
             / items);
   }
 
-  private static List<KeyAppend> firstOfEach(List<KeyAppend> appends) {
-    Map<Long, KeyAppend> byLast = new LinkedHashMap<>();
+  private static List<AppendRequest> firstOfEach(List<AppendRequest> appends) {
+    Map<Long, AppendRequest> byLast = new LinkedHashMap<>();
     appends.forEach(
         append ->
             byLast.putIfAbsent(
@@ -704,7 +704,7 @@
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
   }
 
-  private void joined(String experiment, String variable, int size, List<FeedItem> items) {
+  private void joined(String experiment, String variable, int size, List<MetadataRecord> items) {
     Message checkpoint = LoneNode.checkpoint(items);
     long[] nanos = new long[1];
     double heap =
@@ -748,15 +748,17 @@
   /** What a core node keeps of what each edge says it knows, with 200 workers listed. */
   private void places(int edges, long seed) {
     int workers = 200;
-    List<KeyPlace> places =
-        IntStream.range(0, workers).mapToObj(index -> new KeyPlace("worker/w" + index, 1)).toList();
+    List<KeyPosition> places =
+        IntStream.range(0, workers)
+            .mapToObj(index -> new KeyPosition("worker/w" + index, 1))
+            .toList();
     double heap =
         heapOf(
             () -> {
               LoneNode core = LoneNode.core();
               for (int index = 0; index < edges; index++) {
                 core.tell(
-                    new Message.KeysKnown(
+                    new Message.AppliedPositions(
                         "10.1." + index / 250 + "." + index % 250 + ":7001", places));
               }
               return core;
@@ -776,7 +778,7 @@
         "B",
         "nodes (200 workers)",
         edges,
-        LoneNode.bytesOf(new Message.KeysKnown("10.1.0.1:7001", places)));
+        LoneNode.bytesOf(new Message.AppliedPositions("10.1.0.1:7001", places)));
   }
 
   /** The choice of a worker's feeder, made anew for every worker when a member comes or goes. */
@@ -786,7 +788,7 @@
     int workers = 200;
     long begun = THREADS.getCurrentThreadCpuTime();
     for (int worker = 0; worker < workers; worker++) {
-      Rendezvous.first("feeder/w" + worker, ids);
+      RendezvousHashing.first("feeder/w" + worker, ids);
     }
     add(
         "feeders",
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetSize.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetSize.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet.capacity;
 
-import applespindle.corelogic.Constants;
+import applespindle.corelogic.constants.MembershipConstants;
 import applespindle.testfleet.capacity.Measurements.Row;
 import applespindle.testfleet.capacity.Measurements.Slope;
 import applespindle.testfleet.capacity.Measurements.Unusable;
@@ -331,7 +331,7 @@
         "core",
         "striking a lost zone's nodes from the list of edges, one by one",
         "nodes lost",
-        zoneNodes * Constants.EDGES_CHANGE_MS,
+        zoneNodes * MembershipConstants.EDGE_LIST_CHANGE_INTERVAL_MS,
         "ms",
         Double.NaN,
         "the constant's pace");
@@ -379,7 +379,8 @@
   static String table(List<Term> terms) {
     StringBuilder text =
         new StringBuilder(
-            "| role | what | grows with | at the target | allowed | from |\n|---|---|---|---|---|---|\n");
+            "| role | what | grows with | at the target | allowed | from |\n"
+                + "|---|---|---|---|---|---|\n");
     for (Term term : terms) {
       text.append("| ")
           .append(
--- a/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
@@ -69,7 +69,8 @@
     refuses(
         submit(
             "a",
-            "{\"items\": [{\"id\": \"x\", \"prompt\": \"p\"}, {\"id\": \"x\", \"prompt\": \"p\"}]}"),
+            "{\"items\": [{\"id\": \"x\", \"prompt\": \"p\"}, {\"id\": \"x\", \"prompt\":"
+                + " \"p\"}]}"),
         400,
         "InvalidInput",
         "$.items[1].id");
@@ -77,8 +78,9 @@
         submit(
             "a",
             """
-        {"items": [{"id": 7, "prompt": "p"}, {"id": "y", "prompt": "", "max_tokens": -1}, {"id": "z", "prompt": "p",
-         "max_tokens": 99999999999}], "due_in_ms": 0, "more": 1}"""),
+            {"items": [{"id": 7, "prompt": "p"}, {"id": "y", "prompt": "", "max_tokens": -1}, {"id": "z", "prompt": "p",
+             "max_tokens": 99999999999}], "due_in_ms": 0, "more": 1}\
+            """),
         400,
         "InvalidInput",
         "$.due_in_ms",
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -4,12 +4,12 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.Json;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Response;
-import applespindle.corelogic.SentPatch;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationPatchRequest;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
       simulation = new Simulation(seed, Map.of(), Deployment.AUTHORITY.pace);
       simulation.outsideList = (reader, token, whenRead, whenFaulty) -> {};
       simulation.bounds =
-          new Bounds(
+          new NodeSettings(
               1, true, true, false, 0, 0, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
               1_000);
       List<String> seeds = List.of("core-0", "core-1", "core-2");
@@ -62,21 +62,22 @@
       simulation.call(
           core(core),
           (Consumer<Response> then) ->
-              ((CoreNode) core(core).node()).command(duty, "bundle", body, then),
+              ((ControlPlaneNode) core(core).node()).command(duty, "bundle", body, then),
           answer);
       return answer;
     }
 
     private SimulatedAnswer sendWhole(long number) {
       byte[] bytes = Deployment.AUTHORITY.bundle(number).strip().getBytes(UTF_8);
-      return command(0, "bundle", new SignedBundle(0, bytes, "", new byte[0], number - 1));
+      return command(0, "bundle", new SignedConfiguration(0, bytes, "", new byte[0], number - 1));
     }
 
     SimulatedAnswer patch(int core, long buildsOn, String patch) {
       return command(
           core,
           "patch-bundle",
-          new SentPatch(patch.replace('\'', '"').getBytes(UTF_8), buildsOn, "", new byte[0]));
+          new ConfigurationPatchRequest(
+              patch.replace('\'', '"').getBytes(UTF_8), buildsOn, "", new byte[0]));
     }
 
     Response await(SimulatedAnswer answer) {
--- a/test-fleet/src/test/java/applespindle/testfleet/CoreCostTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CoreCostTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.corelogic.Bounds;
+import applespindle.corelogic.environment.NodeSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -16,7 +16,7 @@
   void anIdleFleetIsQuiet() {
     Simulation simulation = new Simulation(1, Map.of(), Deployment.AUTHORITY.pace);
     simulation.bounds =
-        new Bounds(
+        new NodeSettings(
             1, true, true, false, 0, 800, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
             1_000);
     List<Simulation.Process> all = new ArrayList<>();
@@ -44,7 +44,7 @@
   void withoutTheCoreEdgesThatKnowTheSameSendNoTables() {
     Simulation simulation = new Simulation(1, Map.of(), Deployment.AUTHORITY.pace);
     simulation.bounds =
-        new Bounds(
+        new NodeSettings(
             1, true, true, false, 0, 800, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
             1_000);
     List<Simulation.Process> core = new ArrayList<>();
--- a/test-fleet/src/test/java/applespindle/testfleet/CoreOnSeedsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CoreOnSeedsTest.java
@@ -4,16 +4,16 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.Fault;
-import applespindle.corelogic.OpaqueListener;
-import applespindle.corelogic.OpaqueRequest;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Response;
-import applespindle.corelogic.Surroundings.ListedWorker;
-import applespindle.corelogic.Surroundings.WorkerPage;
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.Environment.ListedWorker;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.ProxiedRequest;
+import applespindle.corelogic.live.ProxiedResponseListener;
+import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -43,15 +43,15 @@
           int from = token.isEmpty() ? 0 : Integer.parseInt(token);
           boolean faulty = listDown || missingPages.contains(from);
           int to = Math.min(listed.size(), from + pageSize);
-          WorkerPage page =
-              new WorkerPage(
+          WorkerListPage page =
+              new WorkerListPage(
                   List.copyOf(listed.subList(from, to)),
                   to < listed.size() ? Integer.toString(to) : "");
           simulation.afterMs(
               5,
               () -> {
                 if (faulty) {
-                  whenFaulty.accept(new Fault.Overloaded("list"));
+                  whenFaulty.accept(new ApiError.Overloaded("list"));
                 } else {
                   whenRead.accept(page);
                 }
@@ -59,8 +59,8 @@
         };
   }
 
-  private static Bounds bounds(int losses) {
-    return new Bounds(
+  private static NodeSettings bounds(int losses) {
+    return new NodeSettings(
         losses,
         true,
         true,
@@ -105,8 +105,8 @@
     all.forEach(process -> simulation.atMs(simulation.random.nextLong(spreadMs), process::start));
   }
 
-  private CoreNode core(String name) {
-    return (CoreNode) simulation.processes.get(name).node();
+  private ControlPlaneNode core(String name) {
+    return (ControlPlaneNode) simulation.processes.get(name).node();
   }
 
   private JsonNode roster(String name) {
@@ -128,7 +128,7 @@
                 .command(
                     "bundle",
                     "bundle",
-                    new SignedBundle(0, content.getBytes(UTF_8), null, null, buildsOn),
+                    new SignedConfiguration(0, content.getBytes(UTF_8), null, null, buildsOn),
                     then),
         new Caller<>() {
           @Override
@@ -260,14 +260,14 @@
     assertThat(edge.node().status().path("bundle").asLong()).isEqualTo(1);
   }
 
-  private static final class Heard implements OpaqueListener {
+  private static final class Heard implements ProxiedResponseListener {
     private Response refused;
 
     @Override
-    public void head(OpaqueRequest.Head head) {}
+    public void head(ProxiedRequest.ResponseHead head) {}
 
     @Override
-    public void piece(OpaqueRequest.Piece piece) {}
+    public void piece(ProxiedRequest.ResponseChunk piece) {}
 
     @Override
     public void end() {}
@@ -278,7 +278,7 @@
     }
 
     @Override
-    public void cut(Fault fault) {}
+    public void cut(ApiError fault) {}
   }
 
   private Heard passAtStart(Process edge) {
@@ -288,7 +288,7 @@
     Heard heard = new Heard();
     ((EdgeNode) edge.node())
         .pass(
-            new OpaqueRequest(
+            new ProxiedRequest(
                 "r",
                 "POST",
                 "/none/1",
--- a/test-fleet/src/test/java/applespindle/testfleet/FoundingTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/FoundingTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.Surroundings.WorkerPage;
+import applespindle.corelogic.environment.Environment.WorkerListPage;
+import applespindle.corelogic.environment.NodeSettings;
 import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,12 +28,12 @@
   private void start(long seed, int losses, List<String> seeds) {
     simulation = new Simulation(seed, Map.of(), Deployment.AUTHORITY.pace);
     simulation.bounds =
-        new Bounds(
+        new NodeSettings(
             losses, true, true, false, 40, 800, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
             1_000);
     simulation.outsideList =
         (reader, token, whenRead, whenFaulty) ->
-            simulation.afterMs(5, () -> whenRead.accept(new WorkerPage(List.of(), "")));
+            simulation.afterMs(5, () -> whenRead.accept(new WorkerListPage(List.of(), "")));
     List<Process> all = new ArrayList<>();
     for (int index = 0; index < VOTERS; index++) {
       all.add(simulation.add("core-" + index, "zone-" + index % 3, "core", seeds, true));
--- a/test-fleet/src/test/java/applespindle/testfleet/OrderMemoryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/OrderMemoryTest.java
@@ -4,8 +4,8 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Constants;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.constants.ConfigurationConstants;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
@@ -49,8 +49,8 @@
   void whatIsForgottenGetsNoClearAnswerAndWhatIsRememberedADefiniteOne() {
     simulation.processes.values().forEach(Simulation.Process::start);
     simulation.runUntil(8_000);
-    accept(Constants.REVISIONS_REMEMBERED + FORGOTTEN);
-    long newest = 2L * (Constants.REVISIONS_REMEMBERED + FORGOTTEN);
+    accept(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + FORGOTTEN);
+    long newest = 2L * (ConfigurationConstants.MAX_REMEMBERED_REVISIONS + FORGOTTEN);
     for (int crash = 0; crash < 2; crash++) {
       assertThat(send(2, 0, "main").faultType()).isEqualTo("OutcomeUnknown");
       assertThat(send(2L * FORGOTTEN, 2L * FORGOTTEN - 2, "main").status()).isEqualTo(504);
--- a/test-fleet/src/test/java/applespindle/testfleet/OrderReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/OrderReadsTest.java
@@ -4,7 +4,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
 import applespindle.testfleet.Simulation.Process;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
--- a/test-fleet/src/test/java/applespindle/testfleet/SimulatedAnswer.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SimulatedAnswer.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
 import applespindle.testfleet.Simulation.Caller;
 
 /** What a caller got from a simulated process, if anything. */
--- a/test-fleet/src/test/java/applespindle/testfleet/SimulatedProcessorTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SimulatedProcessorTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.Json;
+import applespindle.corelogic.common.Json;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
@@ -4,13 +4,13 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.BatchSubmission;
-import applespindle.corelogic.Bounds;
-import applespindle.corelogic.CoreNode;
-import applespindle.corelogic.EdgeNode;
-import applespindle.corelogic.OpaqueBatch;
-import applespindle.corelogic.Records.SignedBundle;
-import applespindle.corelogic.Response;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.batch.ProxiedBatch;
+import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.edge.EdgeNode;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.List;
@@ -47,7 +47,7 @@
 
   private void startWith(Process process, double cores) {
     simulation.bounds =
-        new Bounds(
+        new NodeSettings(
                 1, true, true, false, 0, 0, 3_000, 3_000, GRACE_MS, 2_000, 120_000, 0.1, 64 << 20,
                 1_000)
             .onProcessor(cores);
@@ -72,11 +72,11 @@
     simulation.call(
         process("core-0"),
         (Consumer<Response> then) ->
-            ((CoreNode) process("core-0").node())
+            ((ControlPlaneNode) process("core-0").node())
                 .command(
                     "bundle",
                     "bundle",
-                    new SignedBundle(0, content.getBytes(UTF_8), null, null, number - 1),
+                    new SignedConfiguration(0, content.getBytes(UTF_8), null, null, number - 1),
                     then),
         answer);
     simulation.runUntil(simulation.nowMs() + 3_000);
@@ -86,12 +86,12 @@
   private SimulatedAnswer submit(String edge, String id, int bodyBytes) {
     byte[] body = new byte[bodyBytes];
     new Random(7).nextBytes(body);
-    OpaqueBatch batch =
-        new OpaqueBatch(
+    ProxiedBatch batch =
+        new ProxiedBatch(
             id,
             "h.example",
             "/b/" + id,
-            List.of(new OpaqueBatch.Item(id + "-1", "/b/1", List.of(), body, 10)));
+            List.of(new ProxiedBatch.Item(id + "-1", "/b/1", List.of(), body, 10)));
     SimulatedAnswer answer = new SimulatedAnswer();
     simulation.call(
         process(edge),
--- a/test-fleet/src/test/java/applespindle/testfleet/WeakeningTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/WeakeningTest.java
@@ -24,7 +24,7 @@
   private static final Path MODEL_FOLDER = FOLDER.resolve("model");
 
   private static final Path PLANS =
-      Path.of("../core-logic/src/test/java/applespindle/corelogic/ModelPlan.java");
+      Path.of("../core-logic/src/test/java/applespindle/corelogic/replication/ModelPlan.java");
 
   private static List<Path> patches() throws IOException {
     return patchesIn(FOLDER);
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.corelogic.Message.FeedNews;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
 import applespindle.testfleet.capacity.MeasuredFleet.Machine;
 import applespindle.testfleet.capacity.MeasuredFleet.Shape;
 import java.util.Set;
@@ -47,7 +47,7 @@
         .sum();
   }
 
-  private static boolean carriesBundle(FeedNews news) {
+  private static boolean carriesBundle(ChangeFeedUpdate news) {
     return news.items().stream().anyMatch(item -> item.key().equals("bundle"));
   }
 
@@ -72,7 +72,7 @@
     long[] bundlesRelayed = new long[1];
     fleet.sentFrames =
         (from, envelope) -> {
-          if (envelope.message() instanceof FeedNews news && news.relayed()) {
+          if (envelope.message() instanceof ChangeFeedUpdate news && news.relayed()) {
             bundlesRelayed[0] += carriesBundle(news) ? 1 : 0;
           }
         };
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import applespindle.adapters.PeerCodec;
-import applespindle.corelogic.Envelope;
-import applespindle.corelogic.Message.KeysAsked;
+import applespindle.corelogic.protocol.Envelope;
+import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
 import applespindle.testfleet.soak.Trouble.Kind;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -127,7 +127,9 @@
 
   @Test
   void theFirstFrameTellsWhoSends() {
-    byte[] frame = new PeerCodec().encode(new Envelope("id", "127.0.0.1:1", "", new KeysAsked(8)));
+    byte[] frame =
+        new PeerCodec()
+            .encode(new Envelope("id", "127.0.0.1:1", "", new AppliedPositionsRequest(8)));
     byte[] begun =
         ByteBuffer.allocate(Integer.BYTES + frame.length).putInt(frame.length).put(frame).array();
     PeerSender sender = new PeerSender(Map.of("127.0.0.1:1", "core-2"));
--- a/test-fleet/weakenings/run-model.sh
+++ b/test-fleet/weakenings/run-model.sh
@@ -29,7 +29,7 @@
   fi
   out="$copy/out"
   java -XX:+UseSerialGC -cp "$copy/classes:$root/core-logic/target/classes:$root/core-logic/target/test-classes:$libraries" \
-    applespindle.corelogic.RegisterModelProgram "$search" "$plan" "$seconds" 50000000 1 > "$out" 2>&1
+    applespindle.corelogic.replication.ReplicatedLogModelProgram "$search" "$plan" "$seconds" 50000000 1 > "$out" 2>&1
   broken="$(sed -n 's/^  broken: \([A-Z_]*\):.*/\1/p' "$out" | head -1)"
   figures="$(sed -n 's/^plan=.* \(states=[0-9]*\) .* \(ms=[0-9]*\)$/\1 \2/p' "$out")"
   steps="$(grep -c '^  ' "$out")"
