--- a/adapters/src/main/java/applespindle/adapters/ExchangeClient.java
+++ b/adapters/src/main/java/applespindle/adapters/ExchangeClient.java
@@ -136,10 +136,10 @@
       }
     }
 
-    void fail(ApiError fault, boolean mayHaveRun) {
+    void fail(ApiError error, boolean mayHaveRun) {
       if (!over) {
         over = true;
-        told.add(() -> listener.fault(fault, mayHaveRun));
+        told.add(() -> listener.fail(error, mayHaveRun));
         flush();
       }
     }
@@ -165,7 +165,7 @@
       }
       String type = value(headers, "Content-Type");
       if (type != null && type.toLowerCase(Locale.ROOT).startsWith("text/event-stream")) {
-        events = new EventSplitter(event -> told.add(() -> listener.piece(event)));
+        events = new EventSplitter(event -> told.add(() -> listener.chunk(event)));
       }
       ResponseHead head = new ResponseHead(status, endToEnd(headers));
       told.add(() -> listener.head(head));
@@ -188,7 +188,7 @@
         return events.take(bytes, offset, size);
       }
       ResponseChunk piece = new ResponseChunk("", Arrays.copyOfRange(bytes, offset, offset + size));
-      told.add(() -> listener.piece(piece));
+      told.add(() -> listener.chunk(piece));
       return true;
     }
 
@@ -512,11 +512,11 @@
           });
     }
 
-    private void lose(ApiError fault) {
+    private void lose(ApiError error) {
       Exchange lost = exchange;
       close();
       if (lost != null) {
-        lost.fail(fault, true);
+        lost.fail(error, true);
       }
     }
 
--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -115,14 +115,14 @@
             ask(
                 then -> {
                   ObjectNode body =
-                      JSON.createObjectNode().put("node", process.node().place().name());
+                      JSON.createObjectNode().put("node", process.node().identity().name());
                   body.set(
                       "events",
                       JSON.valueToTree(
                           process
                               .node()
-                              .journal()
-                              .about(call.query("key"), LifecycleConstants.MAX_TRACE_EVENTS)));
+                              .traceLog()
+                              .eventsFor(call.query("key"), LifecycleConstants.MAX_TRACE_EVENTS)));
                   then.accept(Response.of(200, body));
                 }));
   }
@@ -342,8 +342,8 @@
     return PeerTransport.socketAddress(address);
   }
 
-  public static Promise<HttpResponse> refuse(ApiError fault) {
-    return Promise.of(render(Response.of(fault)));
+  public static Promise<HttpResponse> refuse(ApiError error) {
+    return Promise.of(render(Response.of(error)));
   }
 
   public static HttpResponse render(Response response) {
@@ -355,8 +355,8 @@
         HttpResponse.ofCode(response.status())
             .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
             .withBody(ByteBuf.wrapForReading(response.encodedBody()));
-    if (response.comeBackSeconds() > 0) {
-      builder.withHeader(HttpHeaders.RETRY_AFTER, Integer.toString(response.comeBackSeconds()));
+    if (response.retryAfterSeconds() > 0) {
+      builder.withHeader(HttpHeaders.RETRY_AFTER, Integer.toString(response.retryAfterSeconds()));
     }
     return builder;
   }
--- a/adapters/src/main/java/applespindle/adapters/NodeProcess.java
+++ b/adapters/src/main/java/applespindle/adapters/NodeProcess.java
@@ -157,10 +157,10 @@
 
   public NodeProcess(
       Startup startup,
-      NodeSettings bounds,
+      NodeSettings settings,
       BiFunction<Environment, NodeIdentity, Node> maker,
       Outside outside) {
-    this(startup, bounds, maker, outside, Runtime.getRuntime().availableProcessors() == 1);
+    this(startup, settings, maker, outside, Runtime.getRuntime().availableProcessors() == 1);
   }
 
   /**
@@ -169,7 +169,7 @@
    */
   NodeProcess(
       Startup startup,
-      NodeSettings bounds,
+      NodeSettings settings,
       BiFunction<Environment, NodeIdentity, Node> maker,
       Outside outside,
       boolean sharedThread) {
@@ -186,13 +186,13 @@
             ? null
             : DiskLog.open(
                 Path.of(startup.data()),
-                DiskSizes.of(bounds.diskBytes()),
+                DiskSizes.of(settings.diskBytes()),
                 records::add,
                 sentence -> log("disk", sentence));
     String id =
         disk == null ? UUID.randomUUID().toString().replace("-", "").substring(0, 12) : disk.id();
     long incarnation = disk == null ? 1 : disk.incarnation();
-    var place =
+    var identity =
         new NodeIdentity(
             id,
             incarnation,
@@ -208,7 +208,7 @@
         outside.format() == null
             ? null
             : new ExchangeClient(http.loop, outside.format(), this::backToLogic);
-    node = maker.apply(this, place);
+    node = maker.apply(this, identity);
     records.forEach(node::recover);
   }
 
@@ -242,7 +242,7 @@
             + " "
             + startup.name()
             + " started, incarnation "
-            + node.place().incarnation()
+            + node.identity().incarnation()
             + ".");
   }
 
@@ -366,7 +366,7 @@
   }
 
   private void noteSpace() {
-    spaceReadAt = now();
+    spaceReadAt = nowMs();
     boolean full = disk.full();
     if (full != diskFull) {
       log("disk", full ? "The disk is full: nothing new is taken." : "The disk has room again.");
@@ -410,7 +410,7 @@
           }
         }
         write(group);
-        if (now() - spaceReadAt >= DiskConstants.FREE_SPACE_CHECK_INTERVAL_MS) {
+        if (nowMs() - spaceReadAt >= DiskConstants.FREE_SPACE_CHECK_INTERVAL_MS) {
           noteSpace();
         }
         if (!checkpointAsked && disk.wantsCheckpoint(diskFull)) {
@@ -453,13 +453,13 @@
   // ---- ports
 
   @Override
-  public long now() {
+  public long nowMs() {
     return millis();
   }
 
   @Override
-  public ScheduledTask after(long millis, Runnable task) {
-    long due = now() + Math.max(0, millis);
+  public ScheduledTask schedule(long millis, Runnable task) {
+    long due = nowMs() + Math.max(0, millis);
     if (millis >= LifecycleConstants.MIN_COALESCED_TIMER_MS) {
       due =
           (due + LifecycleConstants.TIMER_GRANULARITY_MS - 1)
@@ -487,7 +487,7 @@
   }
 
   @Override
-  public boolean takesWrites() {
+  public boolean acceptsWrites() {
     return diskRing.size() < DiskConstants.WRITE_RING_SLOTS / 2 && !diskFull && !disk.refusing();
   }
 
@@ -497,7 +497,7 @@
   }
 
   @Override
-  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+  public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     WorkerClient.Run[] run = new WorkerClient.Run[1];
     toHttp(
         () ->
@@ -516,8 +516,8 @@
                       }
 
                       @Override
-                      public void fault(ApiError fault, boolean mayHaveRun) {
-                        backToLogic(() -> listener.fault(fault, mayHaveRun));
+                      public void fail(ApiError error, boolean mayHaveRun) {
+                        backToLogic(() -> listener.fail(error, mayHaveRun));
                       }
                     }));
     return () -> toHttp(() -> run[0].cancel());
@@ -538,7 +538,7 @@
             workers.readLoad(
                 workerAddress,
                 load -> backToLogic(() -> whenRead.accept(load)),
-                fault -> backToLogic(() -> whenFaulty.accept(fault))));
+                error -> backToLogic(() -> whenFaulty.accept(error))));
   }
 
   @Override
@@ -551,11 +551,11 @@
                 .read(
                     pageToken,
                     page -> backToLogic(() -> whenRead.accept(page)),
-                    fault -> backToLogic(() -> whenFaulty.accept(fault))));
+                    error -> backToLogic(() -> whenFaulty.accept(error))));
   }
 
   @Override
-  public void rehearse(Envelope envelope) {
+  public void warmUp(Envelope envelope) {
     transport.rehearse(envelope);
   }
 
--- a/adapters/src/main/java/applespindle/adapters/PeerCodec.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerCodec.java
@@ -136,21 +136,21 @@
   }
 
   private void encode(Message message) {
-    if (message instanceof PeerRequest ask) {
+    if (message instanceof PeerRequest request) {
       AskBodyEncoder body = begin(new AskBodyEncoder());
-      body.correlation(ask.correlation())
-          .hops(ask.hops())
-          .duty(ask.duty())
-          .key(ask.key())
-          .originId(ask.originId())
-          .originAddress(ask.originAddress())
-          .putBody(ask.body(), 0, ask.body().length);
+      body.correlation(request.correlation())
+          .hops(request.hops())
+          .duty(request.operation())
+          .key(request.key())
+          .originId(request.originId())
+          .originAddress(request.originAddress())
+          .putBody(request.body(), 0, request.body().length);
       finish(body);
     } else if (message instanceof PeerResponse response) {
       AskResponseBodyEncoder body = begin(new AskResponseBodyEncoder());
       body.correlation(response.correlation())
           .status(response.status())
-          .comeBackSeconds(response.comeBackSeconds())
+          .comeBackSeconds(response.retryAfterSeconds())
           .putBody(response.body(), 0, response.body().length);
       finish(body);
     } else if (message instanceof PeerRequestProgress progress) {
@@ -158,20 +158,20 @@
     } else if (message instanceof VoteRequest promise) {
       KeyPromiseBodyEncoder body = begin(new KeyPromiseBodyEncoder());
       body.epochCounter(promise.epoch().counter())
-          .handedOver(flag(promise.handedOver()))
-          .setNumber(promise.setNumber())
-          .tailBytesMost(promise.tailBytesMost())
-          .trial(flag(promise.trial()))
+          .handedOver(flag(promise.leadershipTransferred()))
+          .setNumber(promise.configurationVersion())
+          .tailBytesMost(promise.maxTailBytes())
+          .trial(flag(promise.preVote()))
           .key(promise.key())
           .epochNode(promise.epoch().node());
       finish(body);
     } else if (message instanceof VoteResponse promised) {
       KeyPromisedBodyEncoder body = begin(new KeyPromisedBodyEncoder());
       body.verdict((short) promised.verdict().ordinal())
-          .askedCounter(promised.asked().counter())
-          .promisedCounter(promised.promised().counter())
-          .committed(promised.committed())
-          .logStart(promised.logStart());
+          .askedCounter(promised.requestedEpoch().counter())
+          .promisedCounter(promised.promisedEpoch().counter())
+          .committed(promised.committedSequence())
+          .logStart(promised.logStartSequence());
       KeyPromisedBodyEncoder.EntriesEncoder entries = body.entriesCount(promised.entries().size());
       for (LogEntry entry : promised.entries()) {
         entries
@@ -183,16 +183,16 @@
             .putEvent(entry.event(), 0, entry.event().length);
       }
       body.key(promised.key())
-          .askedNode(promised.asked().node())
-          .promisedNode(promised.promised().node())
-          .owner(promised.owner())
-          .ownerAddress(promised.ownerAddress());
+          .askedNode(promised.requestedEpoch().node())
+          .promisedNode(promised.promisedEpoch().node())
+          .owner(promised.leaderId())
+          .ownerAddress(promised.leaderAddress());
       finish(body);
     } else if (message instanceof LogFetchRequest ask) {
       KeyLogAskBodyEncoder body = begin(new KeyLogAskBodyEncoder());
       body.epochCounter(ask.epoch().counter())
-          .from(ask.from())
-          .to(ask.to())
+          .from(ask.fromSequence())
+          .to(ask.toSequence())
           .nextEpochCounter(ask.nextEpoch().counter())
           .key(ask.key())
           .epochNode(ask.epoch().node())
@@ -219,9 +219,9 @@
           .round(append.round())
           .previousSequence(append.previousSequence())
           .previousCounter(append.previousEpoch().counter())
-          .committed(append.committed())
-          .setNumber(append.setNumber())
-          .hearsMajority(flag(append.hearsMajority()));
+          .committed(append.committedSequence())
+          .setNumber(append.configurationVersion())
+          .hearsMajority(flag(append.inContactWithQuorum()));
       KeyAppendBodyEncoder.EntriesEncoder entries = body.entriesCount(append.entries().size());
       for (LogEntry entry : append.entries()) {
         entries
@@ -240,12 +240,12 @@
       KeyAppendedBodyEncoder body = begin(new KeyAppendedBodyEncoder());
       body.verdict((short) appended.verdict().ordinal())
           .epochCounter(appended.epoch().counter())
-          .promisedCounter(appended.promised().counter())
+          .promisedCounter(appended.promisedEpoch().counter())
           .round(appended.round())
-          .matched(appended.matched())
+          .matched(appended.matchedSequence())
           .key(appended.key())
           .epochNode(appended.epoch().node())
-          .promisedNode(appended.promised().node());
+          .promisedNode(appended.promisedEpoch().node());
       finish(body);
     } else if (message instanceof LeadershipTransfer handOver) {
       KeyHandOverBodyEncoder body = begin(new KeyHandOverBodyEncoder());
@@ -262,7 +262,7 @@
       finish(begin(new WhereIsCoreBodyEncoder()));
     } else if (message instanceof QuorumDiscoveryResponse told) {
       CoreIsBodyEncoder body = begin(new CoreIsBodyEncoder());
-      body.rosterNumber(told.rosterNumber()).putBody(told.body(), 0, told.body().length);
+      body.rosterNumber(told.membershipVersion()).putBody(told.body(), 0, told.body().length);
       finish(body);
     } else {
       encodeRest(message);
@@ -270,38 +270,38 @@
   }
 
   private void encodeRest(Message message) {
-    if (message instanceof ChangeFeedPoll follow) {
+    if (message instanceof ChangeFeedPoll poll) {
       FeedFollowBodyEncoder body = begin(new FeedFollowBodyEncoder());
-      body.incarnation(follow.incarnation())
-          .number(follow.number())
-          .sentAt(follow.sentAt())
-          .sharedDigest(follow.sharedDigest())
-          .bundleSequence(follow.bundleSequence())
-          .coreId(follow.coreId());
+      body.incarnation(poll.incarnation())
+          .number(poll.position())
+          .sentAt(poll.sentAt())
+          .sharedDigest(poll.sharedDigest())
+          .bundleSequence(poll.configurationSequence())
+          .coreId(poll.sourceId());
       finish(body);
-    } else if (message instanceof ChangeFeedUpdate news) {
+    } else if (message instanceof ChangeFeedUpdate update) {
       FeedNewsBodyEncoder body = begin(new FeedNewsBodyEncoder());
-      body.incarnation(news.incarnation())
-          .fromNumber(news.fromNumber())
-          .number(news.number())
-          .checkpoint(flag(news.checkpoint()))
-          .relayed(flag(news.relayed()))
-          .ageMs(news.ageMs())
-          .echoedAt(news.echoedAt());
-      FeedNewsBodyEncoder.ItemsEncoder items = body.itemsCount(news.items().size());
-      for (MetadataRecord item : news.items()) {
+      body.incarnation(update.incarnation())
+          .fromNumber(update.fromPosition())
+          .number(update.position())
+          .checkpoint(flag(update.snapshot()))
+          .relayed(flag(update.relayed()))
+          .ageMs(update.ageMs())
+          .echoedAt(update.echoedAt());
+      FeedNewsBodyEncoder.ItemsEncoder items = body.itemsCount(update.records().size());
+      for (MetadataRecord metadataRecord : update.records()) {
         items
             .next()
-            .sequence(item.sequence())
-            .key(item.key())
-            .putValue(item.value(), 0, item.value().length);
+            .sequence(metadataRecord.sequence())
+            .key(metadataRecord.key())
+            .putValue(metadataRecord.value(), 0, metadataRecord.value().length);
       }
-      body.coreId(news.coreId());
+      body.coreId(update.sourceId());
       finish(body);
     } else if (message instanceof AppliedPositions known) {
       KeysKnownBodyEncoder body = begin(new KeysKnownBodyEncoder());
-      KeysKnownBodyEncoder.PlacesEncoder places = body.placesCount(known.places().size());
-      known.places().forEach(place -> places.next().sequence(place.sequence()).key(place.key()));
+      KeysKnownBodyEncoder.PlacesEncoder places = body.placesCount(known.positions().size());
+      known.positions().forEach(place -> places.next().sequence(place.sequence()).key(place.key()));
       body.edgeAddress(known.edgeAddress());
       finish(body);
     } else if (message instanceof AppliedPositionsRequest asked) {
@@ -310,7 +310,7 @@
       finish(
           begin(new WorkOfferBodyEncoder())
               .dueInMs(offer.dueInMs())
-              .unassigned(offer.unassigned())
+              .unassigned(offer.unassignedRanges())
               .batch(offer.batch())
               .host(offer.host())
               .path(offer.path()));
@@ -326,7 +326,7 @@
           .rangeEpoch(handout.rangeEpoch())
           .none(flag(handout.none()))
           .dueInMs(handout.dueInMs())
-          .pulledAt(handout.pulledAt());
+          .pulledAt(handout.requestedAt());
       RangeHandoutBodyEncoder.ItemsEncoder items = body.itemsCount(handout.items().size());
       for (AssignedItem item : handout.items()) {
         items.next().index(item.index()).putBody(item.body(), 0, item.body().length);
@@ -339,7 +339,7 @@
           .rangeEpoch(report.rangeEpoch())
           .reportNumber(report.reportNumber())
           .rangeOffset(report.offset())
-          .giveBack(flag(report.giveBack()));
+          .giveBack(flag(report.returned()));
       RangeReportBodyEncoder.ResultsEncoder results = body.resultsCount(report.results().size());
       for (ItemOutcome item : report.results()) {
         results
@@ -359,7 +359,7 @@
               .range(reported.range())
               .rangeEpoch(reported.rangeEpoch())
               .reportNumber(reported.reportNumber())
-              .keep(flag(reported.keep()))
+              .keep(flag(reported.keepLease()))
               .batch(reported.batch())
               .worker(reported.worker()));
     } else if (message instanceof PeerLoadReport told) {
@@ -368,7 +368,11 @@
       told.loads()
           .forEach(
               load ->
-                  loads.next().running(load.running()).unread(load.unread()).worker(load.worker()));
+                  loads
+                      .next()
+                      .running(load.running())
+                      .unread(load.unreadPromptTokens())
+                      .worker(load.worker()));
       finish(body);
     } else if (message instanceof BatchEnded ended) {
       finish(begin(new BatchEndedBodyEncoder()).batch(ended.batch()));
@@ -660,7 +664,7 @@
     end = 0;
     LogRecordEncoder body = begin(new LogRecordEncoder());
     body.kind((short) record.kind().ordinal())
-        .whole(flag(record.whole()))
+        .whole(flag(record.snapshot()))
         .epochCounter(record.epoch().counter())
         .sequence(record.sequence())
         .key(record.key())
--- a/adapters/src/main/java/applespindle/adapters/PeerTransport.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerTransport.java
@@ -411,7 +411,7 @@
             toAddress, address -> new Neighbour(new Lane(address), new Lane(address)));
     boolean deflates =
         frame.length >= PeerConnectionConstants.MIN_DEFLATE_BYTES
-            && envelope.message().worthDeflating();
+            && envelope.message().shouldDeflate();
     byte[] deflated = deflates ? deflation.deflate(frame) : frame;
     boolean smaller = deflated.length < frame.length;
     byte[] written = smaller ? deflated : frame;
--- a/adapters/src/main/java/applespindle/adapters/WorkerClient.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerClient.java
@@ -240,10 +240,10 @@
       }
     }
 
-    private void fail(ApiError fault, boolean mayHaveRun) {
+    private void fail(ApiError error, boolean mayHaveRun) {
       if (!over) {
         close();
-        listener.fault(fault, mayHaveRun);
+        listener.fail(error, mayHaveRun);
       }
     }
 
--- a/adapters/src/test/java/applespindle/adapters/CommandSamples.java
+++ b/adapters/src/test/java/applespindle/adapters/CommandSamples.java
@@ -57,19 +57,20 @@
     return made.samples;
   }
 
-  private void ask(String name, String duty, String key, String body) {
-    ask(name, duty, key, bytes(body));
+  private void ask(String name, String operation, String key, String body) {
+    ask(name, operation, key, bytes(body));
   }
 
-  private void ask(String name, String duty, String key, byte[] body) {
+  private void ask(String name, String operation, String key, byte[] body) {
     correlation++;
-    PeerRequest ask = new PeerRequest(correlation, duty, key, EDGE_ID, EDGE_ADDRESS, HOPS, body);
-    samples.put(name, new Envelope(EDGE_ID, EDGE_ADDRESS, CORE_ID, ask));
+    PeerRequest request =
+        new PeerRequest(correlation, operation, key, EDGE_ID, EDGE_ADDRESS, HOPS, body);
+    samples.put(name, new Envelope(EDGE_ID, EDGE_ADDRESS, CORE_ID, request));
   }
 
   /** The response to the command added last. */
-  private void respond(String name, int status, int comeBackSeconds, String body) {
-    PeerResponse response = new PeerResponse(correlation, status, comeBackSeconds, bytes(body));
+  private void respond(String name, int status, int retryAfterSeconds, String body) {
+    PeerResponse response = new PeerResponse(correlation, status, retryAfterSeconds, bytes(body));
     samples.put(name, new Envelope(CORE_ID, CORE_ADDRESS, EDGE_ID, response));
   }
 
@@ -77,9 +78,9 @@
    * The refusal of the command added last. The sentence for a reader is given as it was written
    * then, since it may be put better at any time.
    */
-  private void refuse(String name, int comeBackSeconds, ApiError fault, String message) {
-    String body = ((ObjectNode) fault.toJson()).put("message", message).toString();
-    respond(name, fault.row().status(), comeBackSeconds, body);
+  private void refuse(String name, int retryAfterSeconds, ApiError error, String message) {
+    String body = ((ObjectNode) error.toJson()).put("message", message).toString();
+    respond(name, error.description().status(), retryAfterSeconds, body);
   }
 
   private static String summary(String batch, String state) {
--- a/adapters/src/test/java/applespindle/adapters/ExchangeClientFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ExchangeClientFuzzTest.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       body.append(new String(piece.bytes(), ISO_8859_1));
     }
 
@@ -96,7 +96,7 @@
     public void load(WorkerLoad load) {}
 
     @Override
-    public void fault(ApiError fault, boolean mayHaveRun) {
+    public void fail(ApiError error, boolean mayHaveRun) {
       assertThat(end.complete(mayHaveRun ? "uncertain" : "not run")).isTrue();
     }
 
--- a/adapters/src/test/java/applespindle/adapters/ExchangeClientTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ExchangeClientTest.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       lines.add("piece " + piece.eventId() + "|" + new String(piece.bytes(), ISO_8859_1));
     }
 
@@ -98,8 +98,8 @@
     }
 
     @Override
-    public void fault(ApiError fault, boolean mayHaveRun) {
-      lines.add(fault.type() + " " + mayHaveRun);
+    public void fail(ApiError error, boolean mayHaveRun) {
+      lines.add(error.type() + " " + mayHaveRun);
     }
 
     String next() throws InterruptedException {
--- a/adapters/src/test/java/applespindle/adapters/FrameSamples.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameSamples.java
@@ -120,9 +120,13 @@
     add(
         "promise-trial-answered",
         new VoteResponse(
-            OPAQUE_BATCH_KEY, EPOCH, Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()));
+            OPAQUE_BATCH_KEY, EPOCH, Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()));
     for (Verdict verdict :
-        List.of(Verdict.REFUSED, Verdict.BUSY, Verdict.BEHIND, Verdict.OLD_SET)) {
+        List.of(
+            Verdict.STALE_EPOCH,
+            Verdict.LEADER_ALIVE,
+            Verdict.LOG_MISMATCH,
+            Verdict.STALE_CONFIGURATION)) {
       add(
           "promise-verdict-" + verdict.ordinal(),
           new VoteResponse(
@@ -140,7 +144,7 @@
     add("log-part", new LogFetchResponse(PROMPT_BATCH_KEY, EPOCH, Verdict.OK, ENTRIES));
     add(
         "log-part-refused",
-        new LogFetchResponse(PROMPT_BATCH_KEY, EPOCH, Verdict.REFUSED, List.of()));
+        new LogFetchResponse(PROMPT_BATCH_KEY, EPOCH, Verdict.STALE_EPOCH, List.of()));
     add("handed-over", new LeadershipTransfer(PROMPT_BATCH_KEY, EPOCH, 34));
   }
 
@@ -169,13 +173,13 @@
     add("appended", new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OK, EPOCH, 10));
     add(
         "appended-refused",
-        new AppendResponse(PROMPT_BATCH_KEY, FORMER_EPOCH, 19, Verdict.REFUSED, EPOCH, 0));
+        new AppendResponse(PROMPT_BATCH_KEY, FORMER_EPOCH, 19, Verdict.STALE_EPOCH, EPOCH, 0));
     add(
         "appended-behind",
-        new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.BEHIND, EPOCH, 4));
+        new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.LOG_MISMATCH, EPOCH, 4));
     add(
         "appended-old-set",
-        new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.OLD_SET, EPOCH, 4));
+        new AppendResponse(PROMPT_BATCH_KEY, EPOCH, 19, Verdict.STALE_CONFIGURATION, EPOCH, 4));
   }
 
   private void addCoreMessages() {
--- a/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
+++ b/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
@@ -101,7 +101,7 @@
     older.putShort(6, (short) (PeerCodec.VERSION - 1));
     VoteRequest told = (VoteRequest) codec.decode(older.array()).message();
     assertThat(told.epoch()).isEqualTo(promise.epoch());
-    assertThat(told.tailBytesMost()).isAtMost(0);
-    assertThat(told.trial()).isFalse();
+    assertThat(told.maxTailBytes()).isAtMost(0);
+    assertThat(told.preVote()).isFalse();
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
@@ -94,7 +94,7 @@
     assertThat(entry.key()).isEqualTo("batch/b-1");
     assertThat(entry.epoch()).isEqualTo(new Epoch(7, "0123456789ab"));
     assertThat(entry.sequence()).isEqualTo(1);
-    assertThat(entry.whole()).isTrue();
+    assertThat(entry.snapshot()).isTrue();
     assertThat(entry.payload()).isEqualTo(new byte[] {0, 1, -1});
   }
 
@@ -188,13 +188,13 @@
     assertThat(keyId).isEqualTo(StoredDataGenerator.KEY_ID);
     Map<String, String> keys = Map.of(keyId, operatorKey());
     byte[] signature = stored.get("signature").binaryValue();
-    assertThat(RoutingConfiguration.check(bytes, keyId, signature, keys).fault()).isNull();
-    RoutingConfiguration bundle =
-        RoutingConfiguration.check(bytes, keyId, signature, keys).bundle();
-    assertThat(bundle.number()).isEqualTo(number);
-    assertThat(bundle.pools()).containsKey("main");
-    assertThat(bundle.rules().get(0).way().expiryMs()).isEqualTo(10_000);
-    assertThat(bundle.routes().get(0).waitingTokensMost()).isEqualTo(30_000);
+    assertThat(RoutingConfiguration.validate(bytes, keyId, signature, keys).error()).isNull();
+    RoutingConfiguration configuration =
+        RoutingConfiguration.validate(bytes, keyId, signature, keys).configuration();
+    assertThat(configuration.number()).isEqualTo(number);
+    assertThat(configuration.pools()).containsKey("main");
+    assertThat(configuration.rules().get(0).way().expiryMs()).isEqualTo(10_000);
+    assertThat(configuration.routes().get(0).waitingTokensMost()).isEqualTo(30_000);
   }
 
   static String operatorKey() throws IOException {
--- a/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
@@ -145,7 +145,7 @@
     for (String name : List.of("core-1", "storage-1", "storage-2")) {
       fleet.checkpoint(name);
     }
-    good(then -> core.emptyStorage("storage-1", 0, then));
+    good(then -> core.drainStorageNode("storage-1", 0, then));
     fleet.runFor(30_000);
     edge.unclaimOnce("given-back", "token-2");
     submit("ended", "answered prompt", "hold this prompt");
@@ -153,7 +153,7 @@
     submitExpiring("expired", "answered prompt", "hold this prompt");
     fleet.runFor(10_000);
     good(then -> edge.endBatch(BatchKeys.batchId(SENDER, "ended"), then));
-    good(then -> edge.endOpaque("ended", then));
+    good(then -> edge.endProxiedBatch("ended", then));
     command(core, "bundle", "bundle", signed(configuration(2)));
     submit("open", "answered prompt", "hold this prompt");
     submitOpaque("open", "answered body", "hold this body");
@@ -162,13 +162,13 @@
 
   private void good(Consumer<Consumer<Response>> question) {
     Response response = fleet.answerTo(question);
-    if (!response.good()) {
+    if (!response.isSuccess()) {
       throw new IllegalStateException(response.toString());
     }
   }
 
-  private void command(ControlPlaneNode core, String duty, String key, Object body) {
-    good(then -> core.command(duty, key, body, then));
+  private void command(ControlPlaneNode core, String operation, String key, Object body) {
+    good(then -> core.command(operation, key, body, then));
   }
 
   private SignedConfiguration signed(String configuration) throws GeneralSecurityException {
@@ -206,7 +206,7 @@
           new ProxiedBatch.Item("item-" + items.size(), target, headers, body.getBytes(UTF_8), 50));
     }
     ProxiedBatch batch = new ProxiedBatch(id, HOST, "/jobs/" + id, items);
-    good(then -> fleet.edge().submitOpaque(BatchSubmission.of(batch), then));
+    good(then -> fleet.edge().submitProxiedBatch(BatchSubmission.of(batch), then));
   }
 
   private void claim(String id, String token) {
--- a/adapters/src/test/java/applespindle/adapters/StoredFleet.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleet.java
@@ -173,7 +173,7 @@
                     throw new IllegalStateException(name + ": " + sentence);
                   })
               : null;
-      NodeIdentity place =
+      NodeIdentity identity =
           new NodeIdentity(
               log == null ? diskless : log.id(),
               log == null ? 1 : log.incarnation(),
@@ -183,15 +183,15 @@
               address,
               address.replace(":7000", ":7001"),
               seeds());
-      this.node = nodeOf(role, place);
+      this.node = nodeOf(role, identity);
       records.forEach(node::recover);
     }
 
-    private Node nodeOf(String role, NodeIdentity place) {
+    private Node nodeOf(String role, NodeIdentity identity) {
       return switch (role) {
-        case "core" -> new ControlPlaneNode(this, place, operatorKeys, List.of());
-        case "storage" -> new StorageNode(this, place, NodeSettings.DEFAULT);
-        default -> new EdgeNode(this, place, NodeSettings.DEFAULT);
+        case "core" -> new ControlPlaneNode(this, identity, operatorKeys, List.of());
+        case "storage" -> new StorageNode(this, identity, NodeSettings.DEFAULT);
+        default -> new EdgeNode(this, identity, NodeSettings.DEFAULT);
       };
     }
 
@@ -200,14 +200,14 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return now;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       boolean[] cancelled = new boolean[1];
-      schedule(
+      StoredFleet.this.schedule(
           millis,
           () -> {
             if (!cancelled[0]) {
@@ -244,12 +244,12 @@
     }
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return true;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       JsonNode body = Json.tree(call.body());
       String prompt = body.path("prompt").asText();
       schedule(NETWORK_MS, () -> answer(prompt, listener));
@@ -262,7 +262,7 @@
       }
       listener.text("answer to ");
       if (prompt.contains(CUT)) {
-        listener.fault(new ApiError.WorkerStreamTruncated(WORKER), true);
+        listener.fail(new ApiError.WorkerStreamTruncated(WORKER), true);
         return;
       }
       listener.text(prompt);
@@ -289,7 +289,7 @@
       var type = new ProxiedRequest.Header("Content-Type", "text/event-stream");
       listener.head(new ProxiedRequest.ResponseHead(body.contains(CUT) ? 500 : 200, List.of(type)));
       String event = "id: 1\ndata: answer to " + body + "\n\n";
-      listener.piece(new ProxiedRequest.ResponseChunk("1", event.getBytes(StandardCharsets.UTF_8)));
+      listener.chunk(new ProxiedRequest.ResponseChunk("1", event.getBytes(StandardCharsets.UTF_8)));
       listener.end();
     }
 
--- a/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
@@ -147,7 +147,7 @@
   }
 
   private JsonNode opaqueResults(String id) {
-    return ok(then -> fleet.edge().opaqueResults(id, 0, 0, then));
+    return ok(then -> fleet.edge().readProxiedResults(id, 0, 0, then));
   }
 
   @Test
@@ -168,7 +168,7 @@
 
   @Test
   void servesTheBodyOfAnOpaqueItem() throws IOException {
-    JsonNode item = ok(then -> fleet.edge().opaqueItem("ended", "item-1", then));
+    JsonNode item = ok(then -> fleet.edge().readProxiedItem("ended", "item-1", then));
     assertThat(new String(item.get("body").binaryValue(), UTF_8)).isEqualTo("hold this body");
   }
 
@@ -191,7 +191,7 @@
     assertThat(bundle.get("keyId").asText()).isEqualTo(StoredDataGenerator.KEY_ID);
     assertThat(bundle.at("/accepted/packed").asText())
         .isEqualTo("AAAAAAAAAAFOjGh03febHAAAAAAAAAAC4OdjBMh9sCc=");
-    assertThat(fleet.edge().bundle().number()).isEqualTo(2);
+    assertThat(fleet.edge().configuration().number()).isEqualTo(2);
     assertThat(fleet.edge().route(StoredDataGenerator.HOST, "/jobs/any").name())
         .isEqualTo("batches");
   }
@@ -226,9 +226,9 @@
 
   @Test
   void knowsThatAStorageNodeWasEmptied() {
-    JsonNode place = ok(then -> fleet.core("core-2").storagePlace("storage-1", then));
+    JsonNode place = ok(then -> fleet.core("core-2").isStorageNodeDrained("storage-1", then));
     assertThat(place.get("complete").asBoolean()).isTrue();
-    JsonNode other = ok(then -> fleet.core("core-2").storagePlace("storage-2", then));
+    JsonNode other = ok(then -> fleet.core("core-2").isStorageNodeDrained("storage-2", then));
     assertThat(other.get("complete").asBoolean()).isFalse();
   }
 
--- a/adapters/src/test/java/applespindle/adapters/StoredRecordText.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredRecordText.java
@@ -24,7 +24,7 @@
         "key=" + record.key(),
         "epoch=" + record.epoch().counter() + "/" + record.epoch().node(),
         "sequence=" + record.sequence(),
-        "whole=" + record.whole(),
+        "whole=" + record.snapshot(),
         "payload=" + payload(record.payload()));
   }
 
--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
@@ -13,8 +13,8 @@
         "core",
         arguments,
         startup ->
-            (surroundings, place) ->
-                new ControlPlaneNode(surroundings, place, startup.keys(), startup.coreFounders()),
+            (environment, identity) ->
+                new ControlPlaneNode(environment, identity, startup.keys(), startup.coreFounders()),
         ControlPlane::open);
   }
 
--- a/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
@@ -64,8 +64,7 @@
             http.ask(
                 then ->
                     then.accept(
-                        Response.of(
-                            200, core.planEmptying(core.storageId(call.parts().get("id")))))));
+                        Response.of(200, core.planDrain(core.storageId(call.parts().get("id")))))));
     http.post(
         "/v1/storage/{id}/empty",
         call -> http.ask(then -> storage(call, StorageNodeState.EMPTYING, then)));
@@ -117,7 +116,7 @@
   }
 
   private static Response readBundle(Response response) {
-    if (!response.good()) {
+    if (!response.isSuccess()) {
       return response;
     }
     if (response.body().isNull()) {
@@ -187,7 +186,7 @@
                 MetadataKeys.WORKER_LIST_VERSION,
                 check,
                 response -> {
-                  if (response.good()) {
+                  if (response.isSuccess()) {
                     putAll(input.value(), response.body().path("version").asLong(), then);
                   } else {
                     then.accept(response);
@@ -203,7 +202,7 @@
     Response[] firstFault = new Response[1];
     Consumer<Response> each =
         response -> {
-          if (!response.good() && firstFault[0] == null) {
+          if (!response.isSuccess() && firstFault[0] == null) {
             firstFault[0] = response;
           }
           if (--open[0] == 0) {
--- a/core-logic/src/main/java/applespindle/corelogic/api/ApiError.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/ApiError.java
@@ -157,7 +157,7 @@
    * and when to come back where nothing tells better.
    */
   record Description(
-      String type, int status, boolean retryable, String message, int comeBackSeconds) {
+      String type, int status, boolean retryable, String message, int retryAfterSeconds) {
     Description(String type, int status, boolean retryable, String message) {
       this(type, status, retryable, message, status == 429 || status == 503 ? 1 : 0);
     }
@@ -165,16 +165,18 @@
 
   /** The name by which clients and other processes know this error; it never changes. */
   default String type() {
-    return row().type();
+    return description().type();
   }
 
-  default Description row() {
+  default Description description() {
     return TABLE.get(getClass());
   }
 
   default JsonNode toJson() {
     var body = JSON.createObjectNode();
-    body.put("type", type()).put("message", row().message()).put("retryable", row().retryable());
+    body.put("type", type())
+        .put("message", description().message())
+        .put("retryable", description().retryable());
     body.set("detail", JSON.valueToTree(this));
     return body;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/api/Response.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/Response.java
@@ -13,51 +13,51 @@
  */
 public final class Response {
   private final int status;
-  private final long comeBackMs;
+  private final long retryAfterMs;
 
   /** Exactly one of body and encoded is set. */
   private JsonNode body;
 
   private byte[] encoded;
 
-  public Response(int status, JsonNode body, long comeBackMs) {
-    this(status, Objects.requireNonNull(body), null, comeBackMs);
+  public Response(int status, JsonNode body, long retryAfterMs) {
+    this(status, Objects.requireNonNull(body), null, retryAfterMs);
   }
 
-  private Response(int status, JsonNode body, byte[] encoded, long comeBackMs) {
+  private Response(int status, JsonNode body, byte[] encoded, long retryAfterMs) {
     this.status = status;
     this.body = body;
     this.encoded = encoded;
-    this.comeBackMs = comeBackMs;
+    this.retryAfterMs = retryAfterMs;
   }
 
   public static Response of(int status, Object body) {
     return new Response(status, body instanceof JsonNode node ? node : JSON.valueToTree(body), 0);
   }
 
-  public static Response of(ApiError fault) {
-    return of(fault, fault.row().comeBackSeconds());
+  public static Response of(ApiError error) {
+    return of(error, error.description().retryAfterSeconds());
   }
 
-  public static Response of(ApiError fault, int comeBackSeconds) {
-    return comeBackInMs(fault, comeBackSeconds * 1_000L);
+  public static Response of(ApiError error, int retryAfterSeconds) {
+    return ofRetryAfterMs(error, retryAfterSeconds * 1_000L);
   }
 
-  public static Response comeBackInMs(ApiError fault, long comeBackMs) {
-    return new Response(fault.row().status(), fault.toJson(), comeBackMs);
+  public static Response ofRetryAfterMs(ApiError error, long retryAfterMs) {
+    return new Response(error.description().status(), error.toJson(), retryAfterMs);
   }
 
   /** A response whose body is JSON already; the bytes are not copied. */
-  public static Response encoded(int status, byte[] body, long comeBackMs) {
-    return new Response(status, null, Objects.requireNonNull(body), comeBackMs);
+  public static Response encoded(int status, byte[] body, long retryAfterMs) {
+    return new Response(status, null, Objects.requireNonNull(body), retryAfterMs);
   }
 
   public int status() {
     return status;
   }
 
-  public long comeBackMs() {
-    return comeBackMs;
+  public long retryAfterMs() {
+    return retryAfterMs;
   }
 
   /** The body to look into; decoded at the first call. */
@@ -77,42 +77,42 @@
 
   /** The same body under another status. */
   public Response withStatus(int newStatus) {
-    return new Response(newStatus, body, encoded, comeBackMs);
+    return new Response(newStatus, body, encoded, retryAfterMs);
   }
 
   /** The same response, but for when to come back. */
-  public Response withComeBackMs(long newComeBackMs) {
+  public Response withRetryAfterMs(long newComeBackMs) {
     return new Response(status, body, encoded, newComeBackMs);
   }
 
   /** Whole seconds, rounded up. */
-  public int comeBackSeconds() {
-    return (int) ((comeBackMs + 999) / 1_000);
+  public int retryAfterSeconds() {
+    return (int) ((retryAfterMs + 999) / 1_000);
   }
 
-  public boolean good() {
+  public boolean isSuccess() {
     return status < 300;
   }
 
-  public String faultType() {
-    return good() ? "" : body().path("type").asText();
+  public String errorType() {
+    return isSuccess() ? "" : body().path("type").asText();
   }
 
   @Override
   public boolean equals(Object other) {
     return other instanceof Response that
         && status == that.status
-        && comeBackMs == that.comeBackMs
+        && retryAfterMs == that.retryAfterMs
         && body().equals(that.body());
   }
 
   @Override
   public int hashCode() {
-    return Objects.hash(status, comeBackMs, body());
+    return Objects.hash(status, retryAfterMs, body());
   }
 
   @Override
   public String toString() {
-    return "Response[status=" + status + ", body=" + body() + ", comeBackMs=" + comeBackMs + "]";
+    return "Response[status=" + status + ", body=" + body() + ", comeBackMs=" + retryAfterMs + "]";
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
@@ -107,7 +107,7 @@
     this.leader = leader;
     this.dueAt = now + assignment.dueInMs();
     this.assignedAt = now;
-    this.leaseEndsAt = assignment.pulledAt() + BatchConstants.RANGE_LEASE_MS;
+    this.leaseEndsAt = assignment.requestedAt() + BatchConstants.RANGE_LEASE_MS;
     unsent.addAll(assignment.items());
     assignment.items().forEach(item -> lacking.add(item.index()));
     this.end = lacking.isEmpty() ? 0 : lacking.last() + 1;
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -31,22 +31,22 @@
   public interface Context {
     void send(String toAddress, String toId, Message message);
 
-    boolean feeds(String worker);
+    boolean dispatchesTo(String worker);
 
     /** Null when work may begin now; asked right before each item is sent. */
-    ApiError mayBegin();
+    ApiError rejectionOfNewWork();
 
-    RoutingConfiguration bundle();
+    RoutingConfiguration configuration();
 
     /** What that bundle says of opaque requests; empty while there is none. */
     RouteTable routes();
 
-    boolean stopping();
+    boolean isStopping();
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final Context edge;
-  private final WorkerRegistry book;
+  private final WorkerRegistry registry;
   private final RangeRequester puller;
   private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
@@ -61,21 +61,21 @@
   private boolean looksAgain;
 
   public BatchDispatcher(
-      Environment surroundings, String nodeId, Context edge, WorkerRegistry book) {
-    this.surroundings = surroundings;
+      Environment environment, String nodeId, Context edge, WorkerRegistry registry) {
+    this.environment = environment;
     this.edge = edge;
-    this.book = book;
-    this.puller = new RangeRequester(surroundings, edge);
-    this.capacity = new WorkerBatchCapacity(surroundings, edge, book, this::starting);
-    this.reporter = new RangeReporter(surroundings, edge);
-    this.runner = new ItemRunner(surroundings, nodeId, edge, book, capacity, reporter, this);
+    this.registry = registry;
+    this.puller = new RangeRequester(environment, edge);
+    this.capacity = new WorkerBatchCapacity(environment, edge, registry, this::starting);
+    this.reporter = new RangeReporter(environment, edge);
+    this.runner = new ItemRunner(environment, nodeId, edge, registry, capacity, reporter, this);
   }
 
   // ---- what leaders say
 
-  public void offered(BatchOffer offer, String fromId, String fromAddress) {
+  public void handleOffer(BatchOffer offer, String fromId, String fromAddress) {
     leaderMoved(offer.batch(), fromId, fromAddress);
-    if (offer.unassigned() > 0) {
+    if (offer.unassignedRanges() > 0) {
       puller.offered(offer, new NodeAddress(fromId, fromAddress));
       pump();
     }
@@ -88,30 +88,30 @@
         .forEach(range -> range.moveTo(leader));
   }
 
-  public void handedOut(RangeAssignment assignment, String fromId, String fromAddress) {
+  public void handleAssignment(RangeAssignment assignment, String fromId, String fromAddress) {
     puller.answered(assignment.batch(), assignment.worker());
     if (assignment.none()) {
       puller.exhausted(assignment.batch());
     } else {
       NodeAddress leader = new NodeAddress(fromId, fromAddress);
-      AssignedRange range = new AssignedRange(assignment, leader, surroundings.now());
+      AssignedRange range = new AssignedRange(assignment, leader, environment.nowMs());
       held.put(range.name(), range);
     }
     pump();
   }
 
-  public void answered(RangeReportResponse answer) {
+  public void handleReportResponse(RangeReportResponse answer) {
     AssignedRange range =
         held.get(AssignedRange.name(answer.batch(), answer.range(), answer.rangeEpoch()));
     if (range == null) {
       return;
     }
-    range.answered(answer.reportNumber(), answer.keep());
+    range.answered(answer.reportNumber(), answer.keepLease());
     forgetIfDone(range);
     pump();
   }
 
-  public void ended(String batch) {
+  public void batchEnded(String batch) {
     puller.exhausted(batch);
     List.copyOf(held.values()).stream()
         .filter(range -> range.batch.equals(batch))
@@ -136,7 +136,7 @@
 
   @Override
   public void pump() {
-    for (WorkerState worker : List.copyOf(book.all())) {
+    for (WorkerState worker : List.copyOf(registry.all())) {
       pump(worker);
     }
   }
@@ -144,11 +144,12 @@
   @Override
   public void pump(WorkerState worker) {
     String workerId = worker.worker.id();
-    boolean feeds = edge.feeds(workerId) && !edge.stopping();
-    DeadlineOrder order = new DeadlineOrder(surroundings.now(), capacity.itemMs());
+    boolean feeds = edge.dispatchesTo(workerId) && !edge.isStopping();
+    DeadlineOrder order = new DeadlineOrder(environment.nowMs(), capacity.itemMs());
     List<AssignedRange> ranges = rangesAt(workerId, order);
     if (!feeds
-        || !book.comesBackBy(worker, surroundings.now() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
+        || !registry.comesBackBy(
+            worker, environment.nowMs() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
       ranges.forEach(reporter::giveBack);
       capacity.feedsNoMore(workerId);
       return;
@@ -190,7 +191,7 @@
         lookAgain();
         return freeNow;
       }
-      if (range.rests(item.index(), surroundings.now())) {
+      if (range.rests(item.index(), environment.nowMs())) {
         range.unsent.add(range.unsent.poll());
       } else if (runner.begin(range, worker)) {
         freeNow--;
@@ -205,7 +206,7 @@
   private void lookAgain() {
     if (!looksAgain) {
       looksAgain = true;
-      surroundings.after(
+      environment.schedule(
           BatchConstants.ITEM_CHECK_INTERVAL_MS,
           () -> {
             looksAgain = false;
@@ -220,7 +221,7 @@
       fullSince.remove(workerId);
       return;
     }
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long since = fullSince.computeIfAbsent(workerId, unseen -> now);
     if (now - since > BatchConstants.RANGE_LEASE_MS) {
       ranges.stream().filter(range -> !range.unsent.isEmpty()).forEach(reporter::giveBack);
@@ -235,7 +236,7 @@
     if (worker.worker.slots() != 0 || worker.free() > 0 || free >= 0) {
       return;
     }
-    RoutingConfiguration.BatchLimits limits = edge.bundle().limits().batch();
+    RoutingConfiguration.BatchLimits limits = edge.configuration().limits().batch();
     if (limits.cancelForLive()) {
       cancelNewest(worker, Math.min(-free, limits.liveReserve()));
     }
@@ -277,9 +278,9 @@
   public void tick() {
     giveUpLostRuns();
     List.copyOf(held.values()).stream()
-        .filter(range -> book.get(range.worker) == null)
+        .filter(range -> registry.get(range.worker) == null)
         .forEach(reporter::giveBack);
-    long now = surroundings.now();
+    long now = environment.nowMs();
     for (AssignedRange range : List.copyOf(held.values())) {
       if (range.isReportDue(now)) {
         reporter.report(range);
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
@@ -12,10 +12,10 @@
   int SAMPLE_BODY_BYTES = 1_000;
 
   /** Either the batch or the fault that hindered its reading. */
-  record ParsedBatch(ProxiedBatch batch, ApiError fault) {}
+  record ParsedBatch(ProxiedBatch batch, ApiError error) {}
 
   /** Reads and checks a body whole; a fault names all that is wrong with it. */
-  ParsedBatch read(BatchSubmission submission);
+  ParsedBatch parse(BatchSubmission submission);
 
   /** A made-up batch as a client might write it. */
   BatchSubmission sample(String id, String host, String path, int items);
@@ -24,7 +24,7 @@
   BatchFormat OWN =
       new BatchFormat() {
         @Override
-        public ParsedBatch read(BatchSubmission submission) {
+        public ParsedBatch parse(BatchSubmission submission) {
           InputReader.Input<ProxiedBatch> input =
               InputReader.read(submission.body(), ProxiedBatch.class);
           return input.good()
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchKeys.java
@@ -21,12 +21,12 @@
   }
 
   /** The id of an opaque batch by its client's id for it; never that of a batch of prompts. */
-  public static String opaqueId(String clientId) {
+  public static String proxiedBatchId(String clientId) {
     return PROXIED_ID_PREFIX + shortDigest(clientId);
   }
 
   /** Whether this is the key of an opaque batch. */
-  public static boolean isOpaque(String key) {
+  public static boolean isProxied(String key) {
     return key.startsWith(MetadataKeys.BATCH_PREFIX + PROXIED_ID_PREFIX);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -59,36 +59,36 @@
     void send(String toAddress, String toId, Message message);
 
     /** To every live edge, this one included. */
-    void toAllEdges(Message message);
+    void broadcastToEdges(Message message);
 
     /**
      * Tells the ledger what the batch still takes; then gets how much waits there in all, if it
      * answered.
      */
-    void reportRoom(String batch, long room, LongConsumer then);
+    void reportCapacity(String batch, long room, LongConsumer then);
 
     /** The bundle this edge works by, or null. */
-    RoutingConfiguration bundle();
+    RoutingConfiguration configuration();
 
     /** What that bundle says of opaque requests; empty while there is none. */
     RouteTable routes();
 
     /** Whether that bundle is known to be the newest, or nearly. */
-    boolean newsFresh();
+    boolean isMetadataFresh();
 
     void log(String sentence);
 
     /** When a batch is due on our clock as an earlier leader told it, or null if none did. */
-    Long heardDueAt(String batch);
+    Long lastKnownDueAt(String batch);
 
     /**
      * A report moves the offset beyond what is recorded here yet; the results it carries must make
      * up for it.
      */
-    void offsetAhead(String batch);
+    void recordOffsetAhead(String batch);
 
     /** Something that must always hold does not. */
-    void violated(Invariant invariant, String detail);
+    void reportViolation(Invariant invariant, String detail);
   }
 
   /**
@@ -98,14 +98,14 @@
   static final String PART = new ApiError.WorkerStreamTruncated("").type();
 
   private static final String IMPOSSIBLE = new ApiError.ItemNotExecutable().type();
-  private static final Consumer<ApiError> NO_CALLER = fault -> {};
+  private static final Consumer<ApiError> NO_CALLER = error -> {};
   private static final Runnable NOTHING_MORE = () -> {};
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final Context edge;
   public final String batch;
-  public final ReplicatedLogLeader key;
-  public final BatchState view = new BatchState();
+  public final ReplicatedLogLeader leader;
+  public final BatchState batchState = new BatchState();
   private final long bornAt;
   private final long ageAtBirthMs;
 
@@ -113,7 +113,7 @@
    * Range to when its grant ends on our clock; in memory only: a new leader gives each range a full
    * one.
    */
-  private final Map<Integer, Long> grants = new HashMap<>();
+  private final Map<Integer, Long> rangeLeases = new HashMap<>();
 
   /** Ranges with an event on its way to the disks. */
   private final Set<Integer> busyRanges = new HashSet<>();
@@ -153,56 +153,55 @@
   /** A read of results that came before there was one at its place. */
   private record WaitingRead(long from, Consumer<Response> then) {}
 
-  public BatchLeader(
-      Environment surroundings, Context edge, String batch, ReplicatedLogLeader key) {
-    this.surroundings = surroundings;
+  public BatchLeader(Environment environment, Context edge, String batch, ReplicatedLogLeader key) {
+    this.environment = environment;
     this.edge = edge;
     this.batch = batch;
-    this.key = key;
+    this.leader = key;
     for (LogEntry entry : key.entries()) {
       if (!entry.isTakeover()) {
-        view.fold(entry.event());
+        batchState.apply(entry.event());
       }
     }
     checkAcceptedOnce();
-    bornAt = surroundings.now();
+    bornAt = environment.nowMs();
     lastUsedAt = bornAt;
-    Long heardDueAt = edge.heardDueAt(batch);
+    Long heardDueAt = edge.lastKnownDueAt(batch);
     ageAtBirthMs =
-        heardDueAt == null || view.accepted == null
-            ? view.ageMs
-            : Math.max(view.ageMs, view.accepted.dueInMs() - (heardDueAt - bornAt));
-    highestRangeEpoch = view.highestRangeEpoch;
-    for (int range = 0; range < view.ranges.size(); range++) {
-      if (view.ranges.get(range).state == RangeState.ASSIGNED) {
-        grants.put(range, bornAt + BatchConstants.RANGE_LEASE_MS);
+        heardDueAt == null || batchState.accepted == null
+            ? batchState.ageMs
+            : Math.max(batchState.ageMs, batchState.accepted.dueInMs() - (heardDueAt - bornAt));
+    highestRangeEpoch = batchState.highestRangeEpoch;
+    for (int range = 0; range < batchState.ranges.size(); range++) {
+      if (batchState.ranges.get(range).state == RangeState.ASSIGNED) {
+        rangeLeases.put(range, bornAt + BatchConstants.RANGE_LEASE_MS);
       }
     }
-    if (view.open() && view.ranges.isEmpty()) {
+    if (batchState.isOpen() && batchState.ranges.isEmpty()) {
       layOut();
     }
-    if (view.open()) {
-      edge.toAllEdges(workOffer(0));
+    if (batchState.isOpen()) {
+      edge.broadcastToEdges(workOffer(0));
       offer();
     }
   }
 
   private long ageMs() {
-    return ageAtBirthMs + surroundings.now() - bornAt;
+    return ageAtBirthMs + environment.nowMs() - bornAt;
   }
 
   /**
    * Appends an event to the batch's log. Once it is committed it is folded into the view, then
-   * whenCommitted runs; this has no time limit, so that the view holds every committed entry in log
-   * order, as the next leader's will. Only the answer to a caller has a time limit.
+   * commitListener runs; this has no time limit, so that the view holds every committed entry in
+   * log order, as the next leader's will. Only the answer to a caller has a time limit.
    */
   private void append(BatchEvent event, Runnable whenCommitted, Consumer<ApiError> answer) {
     byte[] bytes = BatchEventCodec.encode(event);
-    key.append(
+    leader.append(
         event.kind().equals(BatchEvent.REMOVED),
         bytes,
         () -> {
-          view.fold(event);
+          batchState.apply(event);
           checkAcceptedOnce();
           whenCommitted.run();
         },
@@ -210,8 +209,8 @@
   }
 
   private void checkAcceptedOnce() {
-    if (view.acceptedAgain) {
-      edge.violated(Invariant.BATCH_ACCEPTED_ONCE, batch);
+    if (batchState.acceptedAgain) {
+      edge.reportViolation(Invariant.BATCH_ACCEPTED_ONCE, batch);
     }
   }
 
@@ -223,22 +222,22 @@
   // ---- acceptance and end
 
   public void submit(Accepted accepted, Consumer<Response> then) {
-    lastUsedAt = surroundings.now();
-    if (view.accepted != null || accepting) {
-      key.confirm(
-          fault ->
+    lastUsedAt = environment.nowMs();
+    if (batchState.accepted != null || accepting) {
+      leader.confirmLeadership(
+          error ->
               then.accept(
-                  fault != null
-                      ? unknown(fault)
-                      : view.accepted == null
+                  error != null
+                      ? unknown(error)
+                      : batchState.accepted == null
                           ? Response.of(new ApiError.OutcomeUnknown(batch))
-                          : SubmissionReader.differ(view.accepted.digest(), accepted.digest())
+                          : SubmissionReader.differ(batchState.accepted.digest(), accepted.digest())
                               ? Response.of(new ApiError.IdempotencyKeyConflict(batch))
                               : Response.of(201, summary())));
       return;
     }
     accepting = true;
-    StageTimer trace = new StageTimer(surroundings);
+    StageTimer trace = new StageTimer(environment);
     append(
         BatchEvent.accepted(accepted),
         () -> {
@@ -253,17 +252,17 @@
                   + trace
                   + ".");
         },
-        fault -> then.accept(fault == null ? Response.of(201, summary()) : unknown(fault)));
+        error -> then.accept(error == null ? Response.of(201, summary()) : unknown(error)));
     layOut(accepted.items().size());
   }
 
-  private Response unknown(ApiError fault) {
+  private Response unknown(ApiError error) {
     return Response.of(
-        fault instanceof ApiError.NotLeader ? fault : new ApiError.OutcomeUnknown(batch));
+        error instanceof ApiError.NotLeader ? error : new ApiError.OutcomeUnknown(batch));
   }
 
   private void layOut() {
-    layOut(view.accepted.items().size());
+    layOut(batchState.accepted.items().size());
   }
 
   /**
@@ -273,7 +272,7 @@
   private void layOut(int items) {
     int ranges = (items + BatchConstants.ITEMS_PER_RANGE - 1) / BatchConstants.ITEMS_PER_RANGE;
     List<Integer> order = IntStream.range(0, ranges).boxed().collect(Collectors.toList());
-    Collections.shuffle(order, new Random(surroundings.random().nextLong()));
+    Collections.shuffle(order, new Random(environment.random().nextLong()));
     append(BatchEvent.ordered(order, BatchConstants.ITEMS_PER_RANGE), this::offer);
   }
 
@@ -282,11 +281,11 @@
    * record. A fault if the batch was accepted, or may be.
    */
   public void refuse(Consumer<ApiError> then) {
-    if (view.accepted != null || accepting) {
+    if (batchState.accepted != null || accepting) {
       then.accept(new ApiError.OutcomeUnknown(batch));
       return;
     }
-    if (view.refused) {
+    if (batchState.refused) {
       then.accept(null);
       return;
     }
@@ -298,27 +297,27 @@
    * after that.
    */
   public void remove(Consumer<Response> then) {
-    if (view.accepted != null && !view.open()) {
+    if (batchState.accepted != null && !batchState.isOpen()) {
       append(
           BatchEvent.plain(BatchEvent.REMOVED, 0),
           NOTHING_MORE,
-          fault -> then.accept(fault == null ? Response.of(200, summary()) : unknown(fault)));
+          error -> then.accept(error == null ? Response.of(200, summary()) : unknown(error)));
     } else {
       then.accept(Response.of(200, summary()));
     }
   }
 
   public void end(Consumer<Response> then) {
-    lastUsedAt = surroundings.now();
-    if (view.accepted == null) {
-      key.confirm(
-          fault ->
-              then.accept(Response.of(fault != null ? fault : new ApiError.NoSuchBatch(batch))));
+    lastUsedAt = environment.nowMs();
+    if (batchState.accepted == null) {
+      leader.confirmLeadership(
+          error ->
+              then.accept(Response.of(error != null ? error : new ApiError.NoSuchBatch(batch))));
       return;
     }
-    if (view.ended || view.finished || ending || view.unfinishedItems() == 0) {
-      key.confirm(
-          fault -> then.accept(fault != null ? unknown(fault) : Response.of(200, summary())));
+    if (batchState.ended || batchState.finished || ending || batchState.unfinishedItems() == 0) {
+      leader.confirmLeadership(
+          error -> then.accept(error != null ? unknown(error) : Response.of(200, summary())));
       return;
     }
     ending = true;
@@ -326,60 +325,60 @@
         BatchEvent.plain(BatchEvent.ENDED, ageMs()),
         () -> {
           ending = false;
-          grants.clear();
-          edge.toAllEdges(new Message.BatchEnded(batch));
+          rangeLeases.clear();
+          edge.broadcastToEdges(new Message.BatchEnded(batch));
           edge.log("Batch ended: " + batch + ".");
           reportRoom(true);
           answerReads();
         },
-        fault -> then.accept(fault == null ? Response.of(200, summary()) : unknown(fault)));
+        error -> then.accept(error == null ? Response.of(200, summary()) : unknown(error)));
   }
 
   // ---- reading
 
   public void read(Consumer<Response> then) {
-    lastUsedAt = surroundings.now();
-    key.confirm(
-        fault ->
+    lastUsedAt = environment.nowMs();
+    leader.confirmLeadership(
+        error ->
             then.accept(
-                fault != null
-                    ? Response.of(fault)
-                    : view.accepted == null
+                error != null
+                    ? Response.of(error)
+                    : batchState.accepted == null
                         ? Response.of(new ApiError.NoSuchBatch(batch))
                         : Response.of(200, summary())));
   }
 
-  public void results(long after, int limit, Consumer<Response> then) {
-    lastUsedAt = surroundings.now();
-    key.confirm(
-        fault ->
+  public void readPromptResults(long after, int limit, Consumer<Response> then) {
+    lastUsedAt = environment.nowMs();
+    leader.confirmLeadership(
+        error ->
             then.accept(
-                fault != null
-                    ? Response.of(fault)
-                    : view.accepted == null
+                error != null
+                    ? Response.of(error)
+                    : batchState.accepted == null
                         ? Response.of(new ApiError.NoSuchBatch(batch))
-                        : Response.of(200, page(after, limit))));
+                        : Response.of(200, promptResultsPage(after, limit))));
   }
 
   /** Held until there is a result at that place, no more can come, or holdMs have passed. */
-  public void opaqueResults(long from, long holdMs, Consumer<Response> then) {
-    lastUsedAt = surroundings.now();
-    key.confirm(
-        fault -> {
-          if (fault != null) {
-            then.accept(Response.of(fault));
-          } else if (view.accepted == null) {
+  public void readProxiedResults(long from, long holdMs, Consumer<Response> then) {
+    lastUsedAt = environment.nowMs();
+    leader.confirmLeadership(
+        error -> {
+          if (error != null) {
+            then.accept(Response.of(error));
+          } else if (batchState.accepted == null) {
             then.accept(Response.of(new ApiError.NoSuchBatch(batch)));
-          } else if (from < view.results.size() || !view.open() || holdMs <= 0) {
-            then.accept(Response.of(200, opaquePage(from)));
+          } else if (from < batchState.results.size() || !batchState.isOpen() || holdMs <= 0) {
+            then.accept(Response.of(200, proxiedResultsPage(from)));
           } else {
             WaitingRead read = new WaitingRead(from, then);
             waitingReads.add(read);
-            surroundings.after(
+            environment.schedule(
                 holdMs,
                 () -> {
                   if (waitingReads.remove(read)) {
-                    opaqueResults(from, 0, then);
+                    readProxiedResults(from, 0, then);
                   }
                 });
           }
@@ -392,50 +391,50 @@
    */
   private void answerReads() {
     for (WaitingRead read : List.copyOf(waitingReads)) {
-      if (read.from() < view.results.size() || !view.open()) {
+      if (read.from() < batchState.results.size() || !batchState.isOpen()) {
         waitingReads.remove(read);
-        read.then().accept(Response.of(200, opaquePage(read.from())));
+        read.then().accept(Response.of(200, proxiedResultsPage(read.from())));
       }
     }
   }
 
   /** At least one result if there is one at that place, and then as many as fit into a page. */
-  private ObjectNode opaquePage(long from) {
-    ObjectNode page = JSON.createObjectNode().put("total", view.items());
+  private ObjectNode proxiedResultsPage(long from) {
+    ObjectNode page = JSON.createObjectNode().put("total", batchState.items());
     ArrayNode rows = page.putArray("results");
     int number = (int) Math.min(from, Integer.MAX_VALUE);
     for (long bytes = 0;
-        number < view.results.size() && bytes < BatchConstants.MAX_RESULTS_PAGE_BYTES;
+        number < batchState.results.size() && bytes < BatchConstants.MAX_RESULTS_PAGE_BYTES;
         number++) {
-      Result result = view.results.get(number);
+      Result result = batchState.results.get(number);
       String output = result.output() == null ? "" : result.output();
       bytes += Json.bytes(output).length + 200;
       if (!rows.isEmpty() && bytes > BatchConstants.MAX_RESULTS_PAGE_BYTES) {
         break;
       }
       rows.addObject()
-          .put("id", view.accepted.items().get(result.index()).path("id").asText())
+          .put("id", batchState.accepted.items().get(result.index()).path("id").asText())
           .put("state", result.fault() == null ? "complete" : "expired")
           .put("output", output);
     }
     return page.put("next", number);
   }
 
-  public void opaqueItem(String item, Consumer<Response> then) {
-    lastUsedAt = surroundings.now();
-    key.confirm(
-        fault -> {
+  public void readProxiedItem(String item, Consumer<Response> then) {
+    lastUsedAt = environment.nowMs();
+    leader.confirmLeadership(
+        error -> {
           JsonNode body =
-              fault != null || view.accepted == null
+              error != null || batchState.accepted == null
                   ? null
-                  : view.accepted.items().stream()
+                  : batchState.accepted.items().stream()
                       .filter(each -> each.path("id").asText().equals(item))
                       .map(each -> each.path("body"))
                       .findFirst()
                       .orElse(null);
           then.accept(
-              fault != null
-                  ? Response.of(fault)
+              error != null
+                  ? Response.of(error)
                   : body == null
                       ? Response.of(new ApiError.NoSuchBatch(batch))
                       : Response.of(200, JSON.createObjectNode().set("body", body)));
@@ -444,23 +443,23 @@
 
   private ObjectNode summary() {
     ObjectNode summary = JSON.createObjectNode();
-    long failed = view.results.stream().filter(result -> result.fault() != null).count();
+    long failed = batchState.results.stream().filter(result -> result.fault() != null).count();
     return summary
         .put("batch", batch)
-        .put("state", view.state())
-        .put("items", view.items())
-        .put("recorded", view.results.size())
+        .put("state", batchState.state())
+        .put("items", batchState.items())
+        .put("recorded", batchState.results.size())
         .put("failed", failed)
         .put("ageMs", ageMs());
   }
 
-  private ObjectNode page(long after, int limit) {
+  private ObjectNode promptResultsPage(long after, int limit) {
     ObjectNode page = summary();
     ArrayNode rows = page.putArray("results");
-    int last = (int) Math.min(view.results.size(), after + limit);
+    int last = (int) Math.min(batchState.results.size(), after + limit);
     for (int number = (int) Math.min(after, last); number < last; number++) {
-      Result result = view.results.get(number);
-      JsonNode item = view.accepted.items().get(result.index());
+      Result result = batchState.results.get(number);
+      JsonNode item = batchState.accepted.items().get(result.index());
       ObjectNode row =
           rows.addObject()
               .put("n", number + 1)
@@ -473,7 +472,7 @@
       }
       row.put("run", result.run()).put("worker", result.worker());
     }
-    return page.put("next", Math.max(last, Math.min(after, view.results.size())));
+    return page.put("next", Math.max(last, Math.min(after, batchState.results.size())));
   }
 
   // ---- ranges
@@ -482,11 +481,12 @@
    * Next range in the batch's order for whoever pulls; the pull itself says that a buffer ran
    * empty.
    */
-  public void pulled(RangeRequest pull, String fromId, String fromAddress) {
+  public void handleRangeRequest(RangeRequest pull, String fromId, String fromAddress) {
     int chosenRange = -1;
-    if (view.open() && !ending) {
-      for (int range : view.order) {
-        if (view.ranges.get(range).state == RangeState.UNASSIGNED && !busyRanges.contains(range)) {
+    if (batchState.isOpen() && !ending) {
+      for (int range : batchState.order) {
+        if (batchState.ranges.get(range).state == RangeState.UNASSIGNED
+            && !busyRanges.contains(range)) {
           chosenRange = range;
           break;
         }
@@ -502,28 +502,28 @@
     int range = chosenRange;
     long rangeEpoch = ++highestRangeEpoch;
     busyRanges.add(range);
-    grants.put(
+    rangeLeases.put(
         range,
-        surroundings.now()
+        environment.nowMs()
             + ReplicationConstants.COMMIT_TIMEOUT_MS
             + BatchConstants.RANGE_LEASE_MS);
     append(
         BatchEvent.assigned(ageMs(), new Assigned(range, rangeEpoch, fromId, pull.worker())),
         () -> {
           busyRanges.remove(range);
-          if (!view.open()) {
+          if (!batchState.isOpen()) {
             return;
           }
-          grants.put(range, surroundings.now() + BatchConstants.RANGE_LEASE_MS);
+          rangeLeases.put(range, environment.nowMs() + BatchConstants.RANGE_LEASE_MS);
           edge.send(fromAddress, fromId, handout(pull, range, rangeEpoch));
         });
   }
 
   private RangeAssignment handout(RangeRequest pull, int range, long rangeEpoch) {
-    Range handed = view.ranges.get(range);
+    Range handed = batchState.ranges.get(range);
     List<AssignedItem> items = new ArrayList<>();
     for (int index = handed.first + handed.offset; index < handed.first + handed.length; index++) {
-      if (!view.has(index) && !itemsBeingRecorded.contains(index)) {
+      if (!batchState.hasResult(index) && !itemsBeingRecorded.contains(index)) {
         items.add(new AssignedItem(index, handedItem(index)));
       }
     }
@@ -532,41 +532,41 @@
   }
 
   private byte[] handedItem(int index) {
-    JsonNode item = view.accepted.items().get(index);
-    ProxiedRoute opaque = view.accepted.opaque();
+    JsonNode item = batchState.accepted.items().get(index);
+    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
     ItemOutcome part = partsOfStreams.get(index);
     return Json.bytes(
-        opaque == null
+        proxiedRoute == null
             ? item
             : new ProxiedItemAssignment(
-                opaque.host(),
-                opaque.path(),
-                view.accepted.expiresInMs() - ageMs(),
+                proxiedRoute.host(),
+                proxiedRoute.path(),
+                batchState.accepted.expiresInMs() - ageMs(),
                 JSON.convertValue(item, ProxiedBatch.Item.class),
                 part == null ? "" : part.finishReason(),
                 part == null ? "" : new String(part.output(), StandardCharsets.UTF_8)));
   }
 
   private long dueInMs() {
-    return view.accepted.dueInMs() - ageMs();
+    return batchState.accepted.dueInMs() - ageMs();
   }
 
   /**
    * Results first to the disks, then the answer; only then may the feeder move its offset and
    * forget.
    */
-  public void reported(RangeReport report, String fromId, String fromAddress) {
-    if (!view.open() || ending || report.range() >= view.ranges.size()) {
-      key.confirm(fault -> answer(report, fromId, fromAddress, false));
+  public void handleRangeReport(RangeReport report, String fromId, String fromAddress) {
+    if (!batchState.isOpen() || ending || report.range() >= batchState.ranges.size()) {
+      leader.confirmLeadership(error -> answer(report, fromId, fromAddress, false));
       return;
     }
-    Range range = view.ranges.get(report.range());
+    Range range = batchState.ranges.get(report.range());
     if (report.offset() > range.first + range.offset) {
-      edge.offsetAhead(batch);
+      edge.recordOffsetAhead(batch);
     }
     boolean current = range.epoch == report.rangeEpoch() && range.state != RangeState.UNASSIGNED;
-    if (current && !report.giveBack()) {
-      grants.put(report.range(), surroundings.now() + BatchConstants.RANGE_LEASE_MS);
+    if (current && !report.returned()) {
+      rangeLeases.put(report.range(), environment.nowMs() + BatchConstants.RANGE_LEASE_MS);
     }
     List<Result> results = new ArrayList<>();
     List<Attempt> attempts = new ArrayList<>();
@@ -582,30 +582,30 @@
             finishIfDone();
           });
     }
-    if (report.giveBack() && current) {
+    if (report.returned() && current) {
       append(
           BatchEvent.returned(ageMs(), new Returned(report.range(), report.rangeEpoch())),
           () -> {
-            grants.remove(report.range());
+            rangeLeases.remove(report.range());
             offer();
           });
     }
-    boolean onlyRenews = results.isEmpty() && attempts.isEmpty() && !report.giveBack();
+    boolean onlyRenews = results.isEmpty() && attempts.isEmpty() && !report.returned();
     Consumer<ApiError> answering =
-        fault -> {
-          if (fault == null) {
+        error -> {
+          if (error == null) {
             boolean keep =
-                view.open()
-                    && !report.giveBack()
+                batchState.isOpen()
+                    && !report.returned()
                     && range.epoch == report.rangeEpoch()
                     && range.state == RangeState.ASSIGNED;
             answer(report, fromId, fromAddress, keep);
           }
         };
     if (onlyRenews) {
-      key.confirmAtBeat(answering);
+      leader.confirmAtBeat(answering);
     } else {
-      key.confirm(answering);
+      leader.confirmLeadership(answering);
     }
   }
 
@@ -625,12 +625,12 @@
   private void sort(RangeReport report, List<Result> results, List<Attempt> attempts) {
     for (ItemOutcome item : report.results()) {
       if (item.index() < 0
-          || item.index() >= view.items()
-          || view.has(item.index())
+          || item.index() >= batchState.items()
+          || batchState.hasResult(item.index())
           || itemsBeingRecorded.contains(item.index())) {
         continue;
       }
-      if (view.accepted.opaque() != null && item.faultType().equals(PART)) {
+      if (batchState.accepted.opaque() != null && item.faultType().equals(PART)) {
         partsOfStreams.merge(
             item.index(),
             item,
@@ -648,9 +648,9 @@
       } else if (item.faultType().equals(IMPOSSIBLE)) {
         results.add(
             new Result(item.index(), item.run(), item.worker(), null, item.faultType(), null));
-      } else if (!view.hasFailed(item.run())) {
+      } else if (!batchState.hasFailed(item.run())) {
         attempts.add(new Attempt(item.index(), item.run(), item.faultType()));
-        if (view.attempts(item.index()) + 1 >= attemptsMost()) {
+        if (batchState.attempts(item.index()) + 1 >= attemptsMost()) {
           results.add(
               new Result(item.index(), item.run(), item.worker(), null, item.faultType(), null));
         }
@@ -663,16 +663,17 @@
    * taken with.
    */
   private int attemptsMost() {
-    ProxiedRoute opaque = view.accepted.opaque();
-    if (opaque == null) {
+    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
+    if (proxiedRoute == null) {
       return BatchConstants.MAX_ITEM_ATTEMPTS;
     }
     RoutingConfiguration.Route route = route();
-    return Math.max(1, Math.max(opaque.attempts(), route == null ? 0 : route.attempts()));
+    return Math.max(1, Math.max(proxiedRoute.attempts(), route == null ? 0 : route.attempts()));
   }
 
   private RoutingConfiguration.Route route() {
-    return edge.routes().findBatch(view.accepted.opaque().host(), view.accepted.opaque().path());
+    return edge.routes()
+        .findBatch(batchState.accepted.opaque().host(), batchState.accepted.opaque().path());
   }
 
   /**
@@ -680,24 +681,24 @@
    * a while. Older news, as an edge may have that takes the batch over, proves nothing.
    */
   private boolean routeless() {
-    ProxiedRoute opaque = view.accepted.opaque();
-    RoutingConfiguration bundle = edge.bundle();
+    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
+    RoutingConfiguration configuration = edge.configuration();
     boolean gone =
-        opaque != null
-            && bundle != null
-            && bundle.number() >= opaque.bundleNumber()
-            && edge.newsFresh()
+        proxiedRoute != null
+            && configuration != null
+            && configuration.number() >= proxiedRoute.bundleNumber()
+            && edge.isMetadataFresh()
             && route() == null;
-    routelessSince = gone ? Math.min(routelessSince, surroundings.now()) : Long.MAX_VALUE;
-    return gone && surroundings.now() - routelessSince >= BatchConstants.ROUTE_REMOVED_GRACE_MS;
+    routelessSince = gone ? Math.min(routelessSince, environment.nowMs()) : Long.MAX_VALUE;
+    return gone && environment.nowMs() - routelessSince >= BatchConstants.ROUTE_REMOVED_GRACE_MS;
   }
 
   private void finishIfDone() {
-    if (view.accepted == null
-        || view.ended
-        || view.finished
+    if (batchState.accepted == null
+        || batchState.ended
+        || batchState.finished
         || finishing
-        || view.unfinishedItems() > 0) {
+        || batchState.unfinishedItems() > 0) {
       return;
     }
     finishing = true;
@@ -717,16 +718,16 @@
    * True once nothing is left to do here and nobody has asked for a while: the key may be let go.
    */
   public boolean tick() {
-    long now = surroundings.now();
-    if (!key.owned()) {
+    long now = environment.nowMs();
+    if (!leader.isLeading()) {
       return true;
     }
-    if (!view.open()) {
+    if (!batchState.isOpen()) {
       reportRoom(false);
       return now - lastUsedAt > BatchConstants.LEADER_IDLE_TIMEOUT_MS && !accepting;
     }
     finishIfDone();
-    if (ageMs() > view.accepted.expiresInMs() || routeless()) {
+    if (ageMs() > batchState.accepted.expiresInMs() || routeless()) {
       expireItems();
     }
     takeBackSilentRanges(now);
@@ -738,11 +739,11 @@
   }
 
   private void takeBackSilentRanges(long now) {
-    for (int range = 0; range < view.ranges.size(); range++) {
-      Range each = view.ranges.get(range);
+    for (int range = 0; range < batchState.ranges.size(); range++) {
+      Range each = batchState.ranges.get(range);
       if (each.state == RangeState.ASSIGNED
           && !busyRanges.contains(range)
-          && now >= grants.getOrDefault(range, Long.MIN_VALUE)) {
+          && now >= rangeLeases.getOrDefault(range, Long.MIN_VALUE)) {
         int silentRange = range;
         busyRanges.add(range);
         append(
@@ -757,8 +758,8 @@
 
   private void expireItems() {
     List<Result> results = new ArrayList<>();
-    for (int index = 0; index < view.items(); index++) {
-      if (!view.has(index) && itemsBeingRecorded.add(index)) {
+    for (int index = 0; index < batchState.items(); index++) {
+      if (!batchState.hasResult(index) && itemsBeingRecorded.add(index)) {
         results.add(new Result(index, "", "", null, new ApiError.ItemExpired().type(), null));
       }
     }
@@ -767,7 +768,7 @@
           BatchEvent.recorded(ageMs(), new Recorded(-1, 0, results, List.of())),
           () -> {
             results.forEach(result -> itemsBeingRecorded.remove(result.index()));
-            edge.toAllEdges(new Message.BatchEnded(batch));
+            edge.broadcastToEdges(new Message.BatchEnded(batch));
             answerReads();
             finishIfDone();
           });
@@ -775,36 +776,39 @@
   }
 
   private BatchOffer workOffer(int unassigned) {
-    ProxiedRoute opaque = view.accepted.opaque();
+    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
     return new BatchOffer(
         batch,
         dueInMs(),
         unassigned,
-        opaque == null ? "" : opaque.host(),
-        opaque == null ? "" : opaque.path());
+        proxiedRoute == null ? "" : proxiedRoute.host(),
+        proxiedRoute == null ? "" : proxiedRoute.path());
   }
 
   private void offer() {
-    lastOfferAt = surroundings.now();
-    if (!view.open() || ending) {
+    lastOfferAt = environment.nowMs();
+    if (!batchState.isOpen() || ending) {
       return;
     }
     int unassigned =
-        (int) view.ranges.stream().filter(range -> range.state == RangeState.UNASSIGNED).count();
+        (int)
+            batchState.ranges.stream()
+                .filter(range -> range.state == RangeState.UNASSIGNED)
+                .count();
     if (unassigned > 0) {
-      edge.toAllEdges(workOffer(unassigned));
+      edge.broadcastToEdges(workOffer(unassigned));
     }
   }
 
   private void reportRoom(boolean atOnce) {
-    long now = surroundings.now();
-    long waiting = view.waitingRoom();
+    long now = environment.nowMs();
+    long waiting = batchState.remainingCapacity();
     boolean scarce =
-        view.accepted == null
-            || view.accepted.opaque() == null
+        batchState.accepted == null
+            || batchState.accepted.opaque() == null
             || roomTaken > BatchConstants.CAPACITY_SCARCE_SHARE;
     if ((waiting != lastReportedRoom || waiting == 0)
-        && view.accepted != null
+        && batchState.accepted != null
         && (atOnce
             || now - lastRoomReportAt
                 >= (scarce
@@ -812,21 +816,21 @@
                     : BatchConstants.CAPACITY_REPORT_SLOW_INTERVAL_MS))) {
       lastRoomReportAt = now;
       lastReportedRoom = waiting;
-      edge.reportRoom(batch, waiting, this::roomToldOf);
+      edge.reportCapacity(batch, waiting, this::roomToldOf);
     }
   }
 
   private void roomToldOf(long waitingInAll) {
-    if (view.accepted != null && view.accepted.opaque() != null) {
-      long ceiling = view.accepted.opaque().ceiling();
+    if (batchState.accepted != null && batchState.accepted.opaque() != null) {
+      long ceiling = batchState.accepted.opaque().ceiling();
       roomTaken = ceiling == 0 ? 0 : waitingInAll / (double) ceiling;
     }
   }
 
   /** The key is not ours any more: whoever waits here is told to ask again. */
-  public void lost() {
+  public void leadershipLost() {
     List<WaitingRead> reads = List.copyOf(waitingReads);
     waitingReads.clear();
-    reads.forEach(read -> read.then().accept(Response.of(new ApiError.NotLeader(key.key))));
+    reads.forEach(read -> read.then().accept(Response.of(new ApiError.NotLeader(leader.key))));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
@@ -80,12 +80,12 @@
 
   long highestRangeEpoch;
 
-  void fold(byte[] bytes) {
-    fold(BatchEventCodec.decode(bytes));
+  void apply(byte[] bytes) {
+    apply(BatchEventCodec.decode(bytes));
   }
 
   /** The same for an event that need not be read again, as it was written here. */
-  void fold(BatchEvent event) {
+  void apply(BatchEvent event) {
     ageMs = Math.max(ageMs, event.ageMs() == null ? 0 : event.ageMs());
     switch (event.kind()) {
       case BatchEvent.ACCEPTED -> accept(event.accepted());
@@ -171,7 +171,7 @@
     }
   }
 
-  boolean has(int item) {
+  boolean hasResult(int item) {
     return byItem[item] != null;
   }
 
@@ -192,11 +192,11 @@
   }
 
   /** Of the room for waiting work, what this batch still takes. */
-  long waitingRoom() {
+  long remainingCapacity() {
     return accepted == null || ended ? 0 : waitingRoom;
   }
 
-  public boolean open() {
+  public boolean isOpen() {
     return accepted != null && !ended && !finished;
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -36,27 +36,27 @@
     void pump(WorkerState worker);
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final String nodeId;
   private final BatchDispatcher.Context edge;
-  private final WorkerRegistry book;
+  private final WorkerRegistry registry;
   private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
   private final Feeding feeding;
   private long runs;
 
   ItemRunner(
-      Environment surroundings,
+      Environment environment,
       String nodeId,
       BatchDispatcher.Context edge,
-      WorkerRegistry book,
+      WorkerRegistry registry,
       WorkerBatchCapacity capacity,
       RangeReporter reporter,
       Feeding feeding) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.nodeId = nodeId;
     this.edge = edge;
-    this.book = book;
+    this.registry = registry;
     this.capacity = capacity;
     this.reporter = reporter;
     this.feeding = feeding;
@@ -71,9 +71,9 @@
   boolean begin(AssignedRange range, WorkerState worker) {
     if (range.givingBack
         || range.dropped
-        || surroundings.now() >= range.leaseEndsAt
-        || edge.mayBegin() != null
-        || !book.usable(worker)) {
+        || environment.nowMs() >= range.leaseEndsAt
+        || edge.rejectionOfNewWork() != null
+        || !registry.isUsable(worker)) {
       return false;
     }
     AssignedItem item = range.unsent.peek();
@@ -86,13 +86,13 @@
       return false;
     }
     range.unsent.poll();
-    ItemRun run = new ItemRun(range, item, nodeId + "-" + ++runs, worker, surroundings.now());
+    ItemRun run = new ItemRun(range, item, nodeId + "-" + ++runs, worker, environment.nowMs());
     range.running.put(item.index(), run);
     if (opaque != null) {
       run.reading = opaque.item().tokens() * BatchConstants.MAX_UNREAD_PROMPT_SHARE;
-      worker.reading += run.reading;
+      worker.unreadPromptTokens += run.reading;
     }
-    book.began(worker, true);
+    registry.recordCallStart(worker, true);
     if (opaque == null) {
       sendPrompt(run, body);
     } else {
@@ -112,9 +112,9 @@
             });
     body.put("stream", true)
         .put("applespindle_item", run.range.batch + "/" + item.path("id").asText());
-    long timeoutMs = edge.bundle().limits().batch().itemExpiryMs();
+    long timeoutMs = edge.configuration().limits().batch().itemExpiryMs();
     run.exchange =
-        surroundings.run(
+        environment.callWorker(
             new WorkerCall(run.worker.worker.address(), Json.bytes(body), timeoutMs),
             new PromptListener(run));
   }
@@ -128,7 +128,7 @@
     run.route = route;
     ProxiedBatch.Item item = assignment.item();
     long timeoutMs =
-        Math.max(1, assignment.expiresInMs() - (surroundings.now() - run.range.assignedAt));
+        Math.max(1, assignment.expiresInMs() - (environment.nowMs() - run.range.assignedAt));
     var request =
         new ProxiedRequest(
             item.id(),
@@ -144,7 +144,7 @@
             List.of(),
             "");
     run.exchange =
-        surroundings.exchange(
+        environment.exchange(
             new WorkerExchange(
                 run.worker.worker.address(),
                 run.worker.worker.id(),
@@ -171,13 +171,13 @@
       run.status = head.status();
       run.streams = streams(head);
       if (first && run.succeeds()) {
-        capacity.noteFirst(surroundings.now() - run.sentAt);
+        capacity.noteFirst(environment.nowMs() - run.sentAt);
       }
       feeding.pump(run.worker);
     }
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       heard(run);
       if (!run.over && run.succeeds() && run.streams) {
         run.text.add(piece);
@@ -192,12 +192,12 @@
 
     @Override
     public void load(WorkerLoad load) {
-      book.told(run.worker, load);
+      registry.recordLoad(run.worker, load);
     }
 
     @Override
-    public void fault(ApiError fault, boolean mayHaveRun) {
-      faulted(run, fault);
+    public void fail(ApiError error, boolean mayHaveRun) {
+      faulted(run, error);
     }
   }
 
@@ -210,22 +210,22 @@
 
     @Override
     public void text(String text) {
-      run.lastTextAt = surroundings.now();
+      run.lastTextAt = environment.nowMs();
       run.output.append(text);
     }
 
     @Override
     public void end(String finishReason) {
       if (leave(run)) {
-        book.served(run.worker);
+        registry.recordSuccess(run.worker);
         run.range.finished(run.item.index());
         outcome(run, finishReason, "", run.output.toString());
       }
     }
 
     @Override
-    public void fault(ApiError fault, boolean mayHaveRun) {
-      faulted(run, fault);
+    public void fail(ApiError error, boolean mayHaveRun) {
+      faulted(run, error);
     }
   }
 
@@ -239,8 +239,8 @@
 
   private void heard(ItemRun run) {
     run.hasRead();
-    run.lastTextAt = surroundings.now();
-    book.heard(run.worker);
+    run.lastTextAt = environment.nowMs();
+    registry.recordActivity(run.worker);
   }
 
   // ---- ends
@@ -255,33 +255,33 @@
     }
     leave(run);
     if (run.succeeds() && run.streams) {
-      book.served(run.worker);
-      capacity.noteWhole(surroundings.now() - run.sentAt);
+      registry.recordSuccess(run.worker);
+      capacity.noteWhole(environment.nowMs() - run.sentAt);
       run.range.finished(run.item.index());
       outcome(run, "", "", run.text.text());
     } else if (run.status == 422) {
-      book.served(run.worker);
+      registry.recordSuccess(run.worker);
       run.range.finished(run.item.index());
       outcome(run, "", new ApiError.ItemNotExecutable().type(), "");
     } else if (run.status == 500) {
-      book.served(run.worker);
+      registry.recordSuccess(run.worker);
       outcome(run, "", new ApiError.ItemFailed(run.status).type(), "");
       reporter.giveBack(run.range);
     } else {
-      book.failed(run.worker);
+      registry.recordErrorResponse(run.worker);
       putBackLater(run);
     }
   }
 
-  private void faulted(ItemRun run, ApiError fault) {
+  private void faulted(ItemRun run, ApiError error) {
     if (!leave(run)) {
       return;
     }
-    boolean full = WorkerRegistry.saysFull(fault);
+    boolean full = WorkerRegistry.isCapacityRejection(error);
     if (full) {
-      book.refused(run.worker);
+      registry.recordRejection(run.worker);
     } else {
-      book.faulted(run.worker);
+      registry.recordConnectionFailure(run.worker);
     }
     if (run.isOpaque()) {
       putBackLater(run);
@@ -291,7 +291,7 @@
       run.range.putBack(run);
       return;
     }
-    outcome(run, "", fault.type(), "");
+    outcome(run, "", error.type(), "");
     reporter.giveBack(run.range);
   }
 
@@ -301,7 +301,7 @@
    */
   private void putBackLater(ItemRun run) {
     reporter.giveBackText(run);
-    run.range.interrupted(run.item.index(), surroundings.now());
+    run.range.interrupted(run.item.index(), environment.nowMs());
     run.range.putBack(run);
     feeding.pump();
   }
@@ -318,7 +318,7 @@
     }
     run.over = true;
     run.hasRead();
-    book.ended(run.worker, true);
+    registry.recordCallEnd(run.worker, true);
     run.range.running.remove(run.item.index());
     return true;
   }
@@ -334,7 +334,7 @@
    * sooner.
    */
   void giveUpIfLost(ItemRun run) {
-    boolean lost = run.isOpaque() ? silent(run) : book.lost(run.worker, run.lastTextAt);
+    boolean lost = run.isOpaque() ? silent(run) : registry.lost(run.worker, run.lastTextAt);
     if (lost) {
       run.exchange.cancel();
       faulted(run, new ApiError.WorkerTimeout(run.range.worker));
@@ -346,12 +346,12 @@
    * longer.
    */
   private boolean silent(ItemRun run) {
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long limit =
         Math.max(
             BatchConstants.MIN_SILENCE_TIMEOUT_MS,
             BatchConstants.SILENCE_TIMEOUT_GAPS * run.route.gapTargetMs());
-    long workerSilentFor = now - run.worker.heardAt;
+    long workerSilentFor = now - run.worker.lastHeardAt;
     return now - run.lastTextAt > limit
         && (workerSilentFor > limit || now - run.lastTextAt > 4 * limit);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
@@ -12,11 +12,11 @@
  * range's lease and carries the outcomes that were not answered in time.
  */
 final class RangeReporter {
-  private final Environment surroundings;
+  private final Environment environment;
   private final BatchDispatcher.Context edge;
 
-  RangeReporter(Environment surroundings, BatchDispatcher.Context edge) {
-    this.surroundings = surroundings;
+  RangeReporter(Environment environment, BatchDispatcher.Context edge) {
+    this.environment = environment;
     this.edge = edge;
   }
 
@@ -67,7 +67,7 @@
   }
 
   void report(AssignedRange range) {
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long number = range.nextReport(now);
     boolean handsBack = range.givingBack && range.running.isEmpty();
     List<ItemOutcome> carried = range.carry(number, handsBack && !range.handedBack, now);
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
@@ -26,15 +26,15 @@
     long heardAt;
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final BatchDispatcher.Context edge;
   private final Map<String, Offer> offers = new LinkedHashMap<>();
 
   /** Pulls on their way, by batch and worker, with when they were sent. */
   private final Map<String, Long> pulls = new HashMap<>();
 
-  RangeRequester(Environment surroundings, BatchDispatcher.Context edge) {
-    this.surroundings = surroundings;
+  RangeRequester(Environment environment, BatchDispatcher.Context edge) {
+    this.environment = environment;
     this.edge = edge;
   }
 
@@ -43,8 +43,8 @@
     known.leader = leader;
     known.host = offer.host();
     known.path = offer.path();
-    known.heardAt = surroundings.now();
-    known.dueAt = surroundings.now() + offer.dueInMs();
+    known.heardAt = environment.nowMs();
+    known.dueAt = environment.nowMs() + offer.dueInMs();
   }
 
   /** The leader has answered a pull. */
@@ -64,12 +64,12 @@
   /** Pulls ranges of the batches that come first, for so many items that are wanted. */
   void pull(WorkerRegistration worker, int wanted, DeadlineOrder order) {
     String workerId = worker.id();
-    long now = surroundings.now();
+    long now = environment.nowMs();
     offers.values().removeIf(offer -> now - offer.heardAt > BatchConstants.OFFER_EXPIRY_MS);
     pulls.values().removeIf(sentAt -> now - sentAt > BatchConstants.OFFER_EXPIRY_MS);
     long underWay = pulls.keySet().stream().filter(name -> name.endsWith(" " + workerId)).count();
     int missing = wanted - BatchConstants.ITEMS_PER_RANGE * (int) underWay;
-    if (missing <= 0 || edge.mayBegin() != null) {
+    if (missing <= 0 || edge.rejectionOfNewWork() != null) {
       return;
     }
     for (String batch : inOrder(worker, order)) {
@@ -94,7 +94,7 @@
 
   private boolean mayRunAt(WorkerRegistration worker, Offer offer) {
     if (offer.host.isEmpty()) {
-      return worker.pool().equals(edge.bundle().limits().batch().pool());
+      return worker.pool().equals(edge.configuration().limits().batch().pool());
     }
     Route route = edge.routes().findBatch(offer.host, offer.path);
     return route != null && route.sendsTo(worker.pool());
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
@@ -27,9 +27,9 @@
  */
 public final class SubmissionReader {
   /** Either the event or the fault for which the batch is refused. */
-  public record ReadResult(Accepted accepted, ApiError fault) {
-    static ReadResult refused(ApiError fault) {
-      return new ReadResult(null, fault);
+  public record ReadResult(Accepted accepted, ApiError error) {
+    static ReadResult refused(ApiError error) {
+      return new ReadResult(null, error);
     }
   }
 
@@ -42,14 +42,14 @@
   /**
    * Reads the body of an ask to submit.
    *
-   * @param bundle the configuration this edge works by, or null
+   * @param configuration the configuration this edge works by, or null
    */
-  public ReadResult take(byte[] body, RoutingConfiguration bundle, RouteTable routes) {
+  public ReadResult read(byte[] body, RoutingConfiguration configuration, RouteTable routes) {
     BatchSubmission.Forwarded sent = BatchSubmission.Forwarded.decode(body);
     if (sent == null) {
       return new ReadResult(Json.read(body, Accepted.class), null);
     }
-    if (bundle == null || bundle.number() < sent.bundleNumber()) {
+    if (configuration == null || configuration.number() < sent.bundleNumber()) {
       return ReadResult.refused(new ApiError.NotReady("an older configuration than the sender's"));
     }
     BatchSubmission submission = sent.submission();
@@ -57,25 +57,26 @@
     if (route == null) {
       return ReadResult.refused(new ApiError.NoMatchingRule());
     }
-    BatchFormat.ParsedBatch read = format.read(submission);
-    return read.fault() != null
-        ? ReadResult.refused(read.fault())
-        : new ReadResult(accepted(read.batch(), bundle, route), null);
+    BatchFormat.ParsedBatch read = format.parse(submission);
+    return read.error() != null
+        ? ReadResult.refused(read.error())
+        : new ReadResult(accepted(read.batch(), configuration, route), null);
   }
 
-  private static Accepted accepted(ProxiedBatch batch, RoutingConfiguration bundle, Route route) {
-    var opaque =
+  private static Accepted accepted(
+      ProxiedBatch batch, RoutingConfiguration configuration, Route route) {
+    var proxiedRoute =
         new ProxiedRoute(
             batch.host(),
             batch.path(),
             route.name(),
-            bundle.number(),
+            configuration.number(),
             route.attempts(),
             route.waitingTokensMost());
     long retentionMs =
         route.retentionMs() == 0 ? BatchConstants.DEFAULT_RETENTION_MS : route.retentionMs();
     return new Accepted(
-        "", digest(batch), route.completionTargetMs(), retentionMs, items(batch), opaque);
+        "", digest(batch), route.completionTargetMs(), retentionMs, items(batch), proxiedRoute);
   }
 
   /** The same trees that {@link ProxiedBatch.Item} has as JSON, without the way over text. */
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
@@ -32,18 +32,21 @@
 
   private static final String BATCH = "warm-up";
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
+  private final Environment environment;
+  private final NodeIdentity identity;
   private final BatchFormat format;
-  private final SubmissionReader intake;
+  private final SubmissionReader submissionReader;
   private int rounds;
 
   public SubmissionWarmUp(
-      Environment surroundings, NodeIdentity place, BatchFormat format, SubmissionReader intake) {
-    this.surroundings = surroundings;
-    this.place = place;
+      Environment environment,
+      NodeIdentity identity,
+      BatchFormat format,
+      SubmissionReader submissionReader) {
+    this.environment = environment;
+    this.identity = identity;
     this.format = format;
-    this.intake = intake;
+    this.submissionReader = submissionReader;
   }
 
   public boolean done(boolean leads) {
@@ -53,48 +56,49 @@
   /**
    * Runs the next round.
    *
-   * @param bundle a configuration in force; without a batch route in it there is nothing to do
+   * @param configuration a configuration in force; without a batch route in it there is nothing to
+   *     do
    */
-  public void round(RoutingConfiguration bundle, boolean leads) {
-    bundle.routes().stream()
+  public void round(RoutingConfiguration configuration, boolean leads) {
+    configuration.routes().stream()
         .filter(each -> each.type() == RoutingConfiguration.RouteType.BATCH)
         .findFirst()
-        .ifPresent(route -> round(bundle, route, leads));
+        .ifPresent(route -> round(configuration, route, leads));
   }
 
-  private void round(RoutingConfiguration bundle, Route route, boolean leads) {
+  private void round(RoutingConfiguration configuration, Route route, boolean leads) {
     rounds++;
     BatchSubmission submission =
         format.sample(BATCH, route.host(), route.pathPrefix() + BATCH, ITEMS);
-    byte[] body = new BatchSubmission.Forwarded(submission, bundle.number()).encode();
+    byte[] body = new BatchSubmission.Forwarded(submission, configuration.number()).encode();
     rehearse(
         new PeerRequest(
             0,
             PeerRequest.SUBMIT,
             BATCH,
-            place.id(),
-            place.peerAddress(),
+            identity.id(),
+            identity.peerAddress(),
             PeerRequestConstants.MAX_FORWARDS,
             body));
     if (leads) {
-      lead(intake.take(body, bundle, RouteTable.compile(List.of(route))));
+      lead(submissionReader.read(body, configuration, RouteTable.compile(List.of(route))));
     }
   }
 
   private void lead(SubmissionReader.ReadResult taken) {
-    if (taken.fault() != null) {
+    if (taken.error() != null) {
       return;
     }
     Accepted accepted = taken.accepted();
     byte[] event = BatchEventCodec.encode(BatchEvent.accepted(accepted));
-    BatchState view = new BatchState();
-    view.fold(event);
-    Epoch epoch = new Epoch(1, place.id());
+    BatchState batchState = new BatchState();
+    batchState.apply(event);
+    Epoch epoch = new Epoch(1, identity.id());
     LogEntry entry = new LogEntry(1, epoch, false, event);
     rehearse(new AppendRequest(BATCH, epoch, 0, 1, 0, Epoch.NONE, 0, true, List.of(entry)));
   }
 
   private void rehearse(Message message) {
-    surroundings.rehearse(new Envelope(place.id(), place.peerAddress(), place.id(), message));
+    environment.warmUp(new Envelope(identity.id(), identity.peerAddress(), identity.id(), message));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -21,41 +21,41 @@
   /**
    * Whether the ask is one of a batch already at work, with the same body; it then waits for it.
    */
-  public boolean join(PeerRequest ask) {
-    Work work = byKey.get(ask.key());
-    if (work == null || !Arrays.equals(work.ask.body(), ask.body())) {
+  public boolean join(PeerRequest request) {
+    Work work = byKey.get(request.key());
+    if (work == null || !Arrays.equals(work.ask.body(), request.body())) {
       return false;
     }
-    work.joined.add(ask);
+    work.joined.add(request);
     return true;
   }
 
   /** Work on an ask begins. Of one with another body under the same key nothing is kept. */
-  public void begin(PeerRequest ask) {
-    if (byKey.putIfAbsent(ask.key(), new Work(ask, new ArrayList<>())) == null) {
-      bytes += ask.body().length;
+  public void begin(PeerRequest request) {
+    if (byKey.putIfAbsent(request.key(), new Work(request, new ArrayList<>())) == null) {
+      bytes += request.body().length;
     }
   }
 
   /** The ask and those that joined it while it is at work; none otherwise. */
-  public List<PeerRequest> waitingFor(PeerRequest ask) {
-    Work work = byKey.get(ask.key());
-    if (work == null || work.ask != ask) {
+  public List<PeerRequest> waitingFor(PeerRequest request) {
+    Work work = byKey.get(request.key());
+    if (work == null || work.ask != request) {
       return List.of();
     }
     List<PeerRequest> waiting = new ArrayList<>(work.joined);
-    waiting.add(ask);
+    waiting.add(request);
     return waiting;
   }
 
   /** Work on an ask is over: those that joined it, which are to be told the same. */
-  public List<PeerRequest> end(PeerRequest ask) {
-    Work work = byKey.get(ask.key());
-    if (work == null || work.ask != ask) {
+  public List<PeerRequest> end(PeerRequest request) {
+    Work work = byKey.get(request.key());
+    if (work == null || work.ask != request) {
       return List.of();
     }
-    byKey.remove(ask.key());
-    bytes -= ask.body().length;
+    byKey.remove(request.key());
+    bytes -= request.body().length;
     return work.joined;
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -15,9 +15,9 @@
  * and no stream there pauses for long.
  */
 final class WorkerBatchCapacity {
-  private final Environment surroundings;
+  private final Environment environment;
   private final BatchDispatcher.Context edge;
-  private final WorkerRegistry book;
+  private final WorkerRegistry registry;
 
   /** Runs of opaque items at a worker from which nothing has come yet. */
   private final ToIntFunction<WorkerState> starting;
@@ -31,18 +31,18 @@
   private double wholeMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
 
   WorkerBatchCapacity(
-      Environment surroundings,
+      Environment environment,
       BatchDispatcher.Context edge,
-      WorkerRegistry book,
+      WorkerRegistry registry,
       ToIntFunction<WorkerState> starting) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.edge = edge;
-    this.book = book;
+    this.registry = registry;
     this.starting = starting;
   }
 
   void feeds(String workerId) {
-    feedsSince.putIfAbsent(workerId, surroundings.now());
+    feedsSince.putIfAbsent(workerId, environment.nowMs());
   }
 
   void feedsNoMore(String workerId) {
@@ -59,29 +59,29 @@
 
   /** Items that may be begun there now; negative if more run there than should. */
   int free(WorkerState worker) {
-    RoutingConfiguration bundle = edge.bundle();
-    if (bundle == null || !book.usable(worker)) {
+    RoutingConfiguration configuration = edge.configuration();
+    if (configuration == null || !registry.isUsable(worker)) {
       return 0;
     }
     if (worker.worker.slots() > 0) {
       return freeSlots(worker);
     }
-    RoutingConfiguration.BatchLimits limits = bundle.limits().batch();
+    RoutingConfiguration.BatchLimits limits = configuration.limits().batch();
     if (!worker.worker.pool().equals(limits.pool())) {
       return 0;
     }
-    int live = Math.max(worker.liveRunning(), (int) worker.livePeak);
+    int live = Math.max(worker.liveRunning(), (int) worker.peakLiveCalls);
     int left = worker.load.capacity() - limits.liveReserve() - live;
-    return Math.min(limits.perWorkerMost(), left) - worker.batch;
+    return Math.min(limits.perWorkerMost(), left) - worker.batchCalls;
   }
 
   private int freeSlots(WorkerState worker) {
     int slots = worker.worker.slots();
     int reserve = Math.max(1, slots / BatchConstants.LIVE_RESERVE_ONE_IN);
-    long liveNow = Math.round(worker.runningNow(surroundings.now())) - worker.batch;
+    long liveNow = Math.round(worker.runningCallsNow(environment.nowMs())) - worker.batchCalls;
     int live = (int) Math.min(liveNow, slots / 2);
     int share = (int) Math.ceil((slots - reserve) * ramp(worker));
-    int free = Math.min(share, slots - reserve - live) - worker.batch;
+    int free = Math.min(share, slots - reserve - live) - worker.batchCalls;
     return Math.min(free, startsMost(slots) - starting.applyAsInt(worker));
   }
 
@@ -96,7 +96,7 @@
     if (since == null) {
       return WorkerConstants.MIN_SLOW_START_WEIGHT;
     }
-    double grown = (surroundings.now() - since) / (double) BatchConstants.DISPATCH_SLOW_START_MS;
+    double grown = (environment.nowMs() - since) / (double) BatchConstants.DISPATCH_SLOW_START_MS;
     return Math.max(WorkerConstants.MIN_SLOW_START_WEIGHT, Math.min(1, grown));
   }
 
@@ -114,6 +114,7 @@
   boolean hasMuchToRead(WorkerState worker) {
     long gapMs = edge.routes().gapTargetMs(worker.worker.pool());
     return gapMs > 0
-        && worker.pauseMs(surroundings.now(), 0) > BatchConstants.MAX_STREAM_PAUSE_SHARE * gapMs;
+        && worker.streamPauseMs(environment.nowMs(), 0)
+            > BatchConstants.MAX_STREAM_PAUSE_SHARE * gapMs;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeed.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeed.java
@@ -18,17 +18,17 @@
   private long number;
 
   /** The number of the last change; 0 before the first. */
-  long number() {
+  long position() {
     return number;
   }
 
-  void add(MetadataRecord item) {
+  void add(MetadataRecord metadataRecord) {
     number++;
-    Long superseded = numberOfKey.put(item.key(), number);
+    Long superseded = numberOfKey.put(metadataRecord.key(), number);
     if (superseded != null) {
       lastChanges.remove(superseded);
     }
-    lastChanges.put(number, item);
+    lastChanges.put(number, metadataRecord);
   }
 
   /** The newest value of each key that changed after the given number. */
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedExchange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedExchange.java
@@ -21,18 +21,18 @@
   private final ChangeFeedFollower follower;
 
   public ChangeFeedExchange(
-      Environment surroundings,
-      NodeIdentity place,
-      QuorumView membership,
+      Environment environment,
+      NodeIdentity identity,
+      QuorumView quorum,
       LogReplicas replicas,
       MetadataTable table,
-      TraceLog journal,
+      TraceLog traceLog,
       MessageSender sender,
       Consumer<MetadataRecord> learn) {
-    this.freshness = new MetadataFreshness(surroundings, place, membership, replicas);
+    this.freshness = new MetadataFreshness(environment, identity, quorum, replicas);
     this.publisher =
-        new ChangeFeedPublisher(surroundings, place, membership, table, journal, freshness, sender);
-    this.follower = new ChangeFeedFollower(surroundings, place, membership, table, sender, learn);
+        new ChangeFeedPublisher(environment, identity, quorum, table, traceLog, freshness, sender);
+    this.follower = new ChangeFeedFollower(environment, identity, quorum, table, sender, learn);
   }
 
   public MetadataFreshness freshness() {
@@ -40,16 +40,16 @@
   }
 
   /** The number of the last change published here. */
-  public long number() {
-    return publisher.number();
+  public long position() {
+    return publisher.position();
   }
 
-  public void publish(MetadataRecord item) {
-    publisher.publish(item);
+  public void publish(MetadataRecord metadataRecord) {
+    publisher.publish(metadataRecord);
   }
 
-  public void follow(ChangeFeedPoll follow, String fromId, String fromAddress) {
-    publisher.follow(follow, fromId, fromAddress);
+  public void handlePoll(ChangeFeedPoll poll, String fromId, String fromAddress) {
+    publisher.handlePoll(poll, fromId, fromAddress);
   }
 
   public void pollAll() {
@@ -60,14 +60,14 @@
     follower.poll(address);
   }
 
-  public void receive(ChangeFeedUpdate updates, String fromAddress) {
-    if (follower.receive(updates, fromAddress)) {
-      publisher.respondToUnsurePolls();
+  public void handleUpdate(ChangeFeedUpdate update, String fromAddress) {
+    if (follower.handleUpdate(update, fromAddress)) {
+      publisher.respondToDeferredPolls();
     }
   }
 
   /** To be called whenever this node's view may have become fresh. */
-  public void respondToUnsurePolls() {
-    publisher.respondToUnsurePolls();
+  public void respondToDeferredPolls() {
+    publisher.respondToDeferredPolls();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
@@ -18,41 +18,42 @@
  * snapshot.
  */
 final class ChangeFeedFollower {
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final QuorumView quorum;
   private final MetadataTable table;
   private final MessageSender sender;
   private final Consumer<MetadataRecord> learn;
 
   ChangeFeedFollower(
-      Environment surroundings,
-      NodeIdentity place,
-      QuorumView membership,
+      Environment environment,
+      NodeIdentity identity,
+      QuorumView quorum,
       MetadataTable table,
       MessageSender sender,
       Consumer<MetadataRecord> learn) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.membership = membership;
+    this.environment = environment;
+    this.identity = identity;
+    this.quorum = quorum;
     this.table = table;
     this.sender = sender;
     this.learn = learn;
   }
 
   void pollAll() {
-    membership.membersAndNewcomers().forEach(member -> poll(member.peerAddress()));
+    quorum.membersAndJoining().forEach(member -> poll(member.peerAddress()));
   }
 
   /** Polls the members and newcomers at this address, this node excepted. */
   void poll(String address) {
-    membership.membersAndNewcomers().stream()
-        .filter(member -> member.peerAddress().equals(address) && !member.id().equals(place.id()))
+    quorum.membersAndJoining().stream()
+        .filter(
+            member -> member.peerAddress().equals(address) && !member.id().equals(identity.id()))
         .forEach(this::poll);
   }
 
   private void poll(QuorumMember member) {
-    QuorumPeer peer = membership.peer(member.peerAddress());
+    QuorumPeer peer = quorum.peer(member.peerAddress());
     long bundleSequence =
         table.has(MetadataKeys.CONFIGURATION)
             ? table.get(MetadataKeys.CONFIGURATION).sequence()
@@ -63,32 +64,32 @@
         new ChangeFeedPoll(
             peer.feedId,
             peer.feedIncarnation,
-            peer.feedNumber,
-            surroundings.now(),
+            peer.feedPosition,
+            environment.nowMs(),
             table.sharedDigest(),
             bundleSequence));
   }
 
   /** Takes a peer's updates; false if they do not follow on what is known of its feed. */
-  boolean receive(ChangeFeedUpdate updates, String fromAddress) {
-    QuorumPeer peer = membership.peers().get(fromAddress);
-    if (peer == null || !continues(updates, peer)) {
+  boolean handleUpdate(ChangeFeedUpdate update, String fromAddress) {
+    QuorumPeer peer = quorum.peers().get(fromAddress);
+    if (peer == null || !continues(update, peer)) {
       return false;
     }
-    if (updates.echoedAt() != 0) {
-      peer.newsAt = Math.max(peer.newsAt, updates.echoedAt());
+    if (update.echoedAt() != 0) {
+      peer.updatedAt = Math.max(peer.updatedAt, update.echoedAt());
     }
-    peer.feedId = updates.coreId();
-    peer.feedIncarnation = updates.incarnation();
-    peer.feedNumber = updates.number();
-    updates.items().forEach(learn);
+    peer.feedId = update.sourceId();
+    peer.feedIncarnation = update.incarnation();
+    peer.feedPosition = update.position();
+    update.records().forEach(learn);
     return true;
   }
 
-  private static boolean continues(ChangeFeedUpdate updates, QuorumPeer peer) {
-    return updates.checkpoint()
-        || updates.coreId().equals(peer.feedId)
-            && updates.incarnation() == peer.feedIncarnation
-            && updates.fromNumber() <= peer.feedNumber;
+  private static boolean continues(ChangeFeedUpdate update, QuorumPeer peer) {
+    return update.snapshot()
+        || update.sourceId().equals(peer.feedId)
+            && update.incarnation() == peer.feedIncarnation
+            && update.fromPosition() <= peer.feedPosition;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
@@ -24,11 +24,11 @@
   /** A poll that came while this node's own view was too old to say that it is fresh. */
   private record UnsurePoll(ChangeFeedPoll follow, String fromId) {}
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final QuorumView quorum;
   private final MetadataTable table;
-  private final TraceLog journal;
+  private final TraceLog traceLog;
   private final MetadataFreshness freshness;
   private final MessageSender sender;
   private final ChangeFeed feed = new ChangeFeed();
@@ -43,85 +43,85 @@
   private final Map<String, Long> snapshotSentAt = new HashMap<>();
 
   ChangeFeedPublisher(
-      Environment surroundings,
-      NodeIdentity place,
-      QuorumView membership,
+      Environment environment,
+      NodeIdentity identity,
+      QuorumView quorum,
       MetadataTable table,
-      TraceLog journal,
+      TraceLog traceLog,
       MetadataFreshness freshness,
       MessageSender sender) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.membership = membership;
+    this.environment = environment;
+    this.identity = identity;
+    this.quorum = quorum;
     this.table = table;
-    this.journal = journal;
+    this.traceLog = traceLog;
     this.freshness = freshness;
     this.sender = sender;
   }
 
   /** The number of the last change. */
-  long number() {
-    return feed.number();
+  long position() {
+    return feed.position();
   }
 
   /** Adds a committed change to the feed and pushes it to the present followers. */
-  void publish(MetadataRecord item) {
-    feed.add(item);
-    journal.add("committed", item.key(), "sequence " + item.sequence());
-    long now = surroundings.now();
+  void publish(MetadataRecord metadataRecord) {
+    feed.add(metadataRecord);
+    traceLog.add("committed", metadataRecord.key(), "sequence " + metadataRecord.sequence());
+    long now = environment.nowMs();
     followers.values().removeIf(follower -> follower.until() < now);
-    followers.values().forEach(follower -> push(follower, item));
+    followers.values().forEach(follower -> push(follower, metadataRecord));
   }
 
-  private void push(Follower follower, MetadataRecord item) {
+  private void push(Follower follower, MetadataRecord metadataRecord) {
     sender.send(
         follower.address(),
         follower.id(),
         new ChangeFeedUpdate(
-            place.id(),
-            place.incarnation(),
-            feed.number() - 1,
-            feed.number(),
+            identity.id(),
+            identity.incarnation(),
+            feed.position() - 1,
+            feed.position(),
             false,
             false,
             freshness.ageMs(),
             0,
-            List.of(item)));
+            List.of(metadataRecord)));
   }
 
   /** Responds to a poll with the changes since its position, or with what its table may lack. */
-  void follow(ChangeFeedPoll follow, String fromId, String fromAddress) {
+  void handlePoll(ChangeFeedPoll poll, String fromId, String fromAddress) {
     followers.put(
         fromAddress,
         new Follower(
-            fromId, fromAddress, surroundings.now() + 3 * ChangeFeedConstants.POLL_INTERVAL_MS));
+            fromId, fromAddress, environment.nowMs() + 3 * ChangeFeedConstants.POLL_INTERVAL_MS));
     if (freshness.isFresh()) {
       unsurePolls.remove(fromAddress);
     } else {
-      unsurePolls.put(fromAddress, new UnsurePoll(follow, fromId));
+      unsurePolls.put(fromAddress, new UnsurePoll(poll, fromId));
     }
     boolean known =
-        follow.coreId().equals(place.id())
-            && follow.incarnation() == place.incarnation()
-            && follow.number() <= feed.number();
-    List<MetadataRecord> updates = known ? feed.after(follow.number()) : table.lackedBy(follow);
+        poll.sourceId().equals(identity.id())
+            && poll.incarnation() == identity.incarnation()
+            && poll.position() <= feed.position();
+    List<MetadataRecord> updates = known ? feed.after(poll.position()) : table.missingFrom(poll);
     if (!known && snapshotUnderWay(fromId, updates)) {
       return;
     }
     // A member that lacks a decision must not count towards the freshness of another one's view.
-    boolean confirms = !membership.includes(fromAddress) || !freshness.lacksDecision();
+    boolean confirms = !quorum.includes(fromAddress) || !freshness.hasUndecidedEntries();
     sender.send(
         fromAddress,
         fromId,
         new ChangeFeedUpdate(
-            place.id(),
-            place.incarnation(),
-            known ? follow.number() : 0,
-            feed.number(),
+            identity.id(),
+            identity.incarnation(),
+            known ? poll.position() : 0,
+            feed.position(),
             !known,
             false,
             freshness.ageMs(),
-            confirms ? follow.sentAt() : 0,
+            confirms ? poll.sentAt() : 0,
             updates));
   }
 
@@ -130,8 +130,8 @@
    * one has arrived over a slow link would be sent it over and over. Small ones are always sent.
    */
   private boolean snapshotUnderWay(String followerId, List<MetadataRecord> updates) {
-    long now = surroundings.now();
-    long bytes = updates.stream().mapToLong(item -> item.value().length).sum();
+    long now = environment.nowMs();
+    long bytes = updates.stream().mapToLong(metadataRecord -> metadataRecord.value().length).sum();
     long transferMs =
         Math.min(
             ChangeFeedConstants.MAX_SNAPSHOT_TRANSFER_MS,
@@ -148,12 +148,12 @@
   }
 
   /** Responds again to the polls that came while this node's view was not fresh, if it is now. */
-  void respondToUnsurePolls() {
+  void respondToDeferredPolls() {
     if (unsurePolls.isEmpty() || !freshness.isFresh()) {
       return;
     }
     Map<String, UnsurePoll> polls = new LinkedHashMap<>(unsurePolls);
     unsurePolls.clear();
-    polls.forEach((address, poll) -> follow(poll.follow(), poll.fromId(), address));
+    polls.forEach((address, poll) -> handlePoll(poll.follow(), poll.fromId(), address));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
@@ -19,16 +19,16 @@
   /** The age of a view that no update has confirmed. */
   private static final long UNKNOWN_AGE_MS = Long.MAX_VALUE / 4;
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final QuorumView quorum;
   private final LogReplicas replicas;
 
   MetadataFreshness(
-      Environment surroundings, NodeIdentity place, QuorumView membership, LogReplicas replicas) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.membership = membership;
+      Environment environment, NodeIdentity identity, QuorumView quorum, LogReplicas replicas) {
+    this.environment = environment;
+    this.identity = identity;
+    this.quorum = quorum;
     this.replicas = replicas;
   }
 
@@ -41,11 +41,11 @@
    * majority of the next ones too: the change may be done without this node having heard so.
    */
   public long ageMs() {
-    if (!membership.isMember()) {
+    if (!quorum.isMember()) {
       return UNKNOWN_AGE_MS;
     }
-    long ofMembers = ageMs(membership.current().members());
-    List<QuorumMember> next = membership.current().next();
+    long ofMembers = ageMs(quorum.current().members());
+    List<QuorumMember> next = quorum.current().next();
     return next.isEmpty() ? ofMembers : Math.max(ofMembers, ageMs(next));
   }
 
@@ -55,21 +55,21 @@
   }
 
   private long ageMs(QuorumMember member) {
-    if (member.id().equals(place.id())) {
-      return lacksDecision() ? UNKNOWN_AGE_MS : 0;
+    if (member.id().equals(identity.id())) {
+      return hasUndecidedEntries() ? UNKNOWN_AGE_MS : 0;
     }
-    QuorumPeer peer = membership.peers().get(member.peerAddress());
+    QuorumPeer peer = quorum.peers().get(member.peerAddress());
     return peer == null
         ? UNKNOWN_AGE_MS
-        : Math.min(surroundings.now() - peer.newsAt, UNKNOWN_AGE_MS);
+        : Math.min(environment.nowMs() - peer.updatedAt, UNKNOWN_AGE_MS);
   }
 
   /**
    * Whether a value that edges work by was on this disk at the start and is not yet known to be
    * committed or not: it may have been acknowledged.
    */
-  boolean lacksDecision() {
-    return replicas.anyUndecided(
+  boolean hasUndecidedEntries() {
+    return replicas.anyUncommittedEntries(
         key ->
             !key.equals(MetadataKeys.BATCH_CAPACITY)
                 && !key.startsWith(MetadataKeys.MEMBER_PREFIX));
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataTable.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataTable.java
@@ -37,24 +37,24 @@
   private List<NodeRegistration> live;
 
   /** False if this or a newer value is known. */
-  public boolean put(MetadataRecord item) {
-    MetadataRecord known = items.get(item.key());
-    if (known != null && known.sequence() >= item.sequence()) {
+  public boolean put(MetadataRecord metadataRecord) {
+    MetadataRecord known = items.get(metadataRecord.key());
+    if (known != null && known.sequence() >= metadataRecord.sequence()) {
       return false;
     }
-    items.put(item.key(), item);
-    sharedDigest.replaced(known, item);
-    String key = item.key();
+    items.put(metadataRecord.key(), metadataRecord);
+    sharedDigest.update(known, metadataRecord);
+    String key = metadataRecord.key();
     if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
-      fold(Json.read(item.value(), NodeRegistration.class));
+      fold(Json.read(metadataRecord.value(), NodeRegistration.class));
     } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
-      shards.put(key, Json.read(item.value(), ShardAssignment.class));
+      shards.put(key, Json.read(metadataRecord.value(), ShardAssignment.class));
     } else if (key.startsWith(MetadataKeys.STORAGE_PREFIX)) {
       storageStates.put(
           key.substring(MetadataKeys.STORAGE_PREFIX.length()),
-          Json.read(item.value(), StorageNodeState.class));
+          Json.read(metadataRecord.value(), StorageNodeState.class));
     } else if (key.equals(MetadataKeys.EDGE_LIST)) {
-      edges = Json.read(item.value(), EdgeList.class);
+      edges = Json.read(metadataRecord.value(), EdgeList.class);
     }
     return true;
   }
@@ -89,16 +89,19 @@
   }
 
   /** What a follower whose place in the feed is not known here may lack. */
-  List<MetadataRecord> lackedBy(ChangeFeedPoll follow) {
-    boolean sameShared = follow.sharedDigest() == sharedDigest.value();
+  List<MetadataRecord> missingFrom(ChangeFeedPoll poll) {
+    boolean sameShared = poll.sharedDigest() == sharedDigest.value();
     return items.values().stream()
         .filter(
-            item -> !(sameShared && SharedMetadataDigest.covers(item.key())) && !follow.holds(item))
+            metadataRecord ->
+                !(sameShared && SharedMetadataDigest.covers(metadataRecord.key()))
+                    && !poll.holds(metadataRecord))
         .toList();
   }
 
-  public Stream<MetadataRecord> under(String prefix) {
-    return items.values().stream().filter(item -> item.key().startsWith(prefix));
+  public Stream<MetadataRecord> withPrefix(String prefix) {
+    return items.values().stream()
+        .filter(metadataRecord -> metadataRecord.key().startsWith(prefix));
   }
 
   NodeRegistration member(String id) {
@@ -113,7 +116,7 @@
     if (live == null) {
       live =
           members.values().stream()
-              .filter(member -> member.live() && !displaced(member.id()))
+              .filter(member -> member.live() && !isSuperseded(member.id()))
               .toList();
     }
     return live;
@@ -124,7 +127,7 @@
   }
 
   /** Another member has joined at this one's address since. */
-  public boolean displaced(String id) {
+  public boolean isSuperseded(String id) {
     NodeRegistration member = members.get(id);
     return member != null && !id.equals(newestAt.getOrDefault(member.peerAddress(), id));
   }
@@ -142,7 +145,7 @@
     return storageStates.getOrDefault(id, new StorageNodeState(id, "", StorageNodeState.ACTIVE));
   }
 
-  public boolean active(String id) {
+  public boolean isActive(String id) {
     return storageState(id).state().equals(StorageNodeState.ACTIVE);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/SharedMetadataDigest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/SharedMetadataDigest.java
@@ -18,7 +18,7 @@
   }
 
   /** A value took the place of an older one; known is null where the key is new. */
-  public void replaced(MetadataRecord known, MetadataRecord newer) {
+  public void update(MetadataRecord known, MetadataRecord newer) {
     if (covers(newer.key())) {
       sum += mixOf(newer) - (known == null ? 0 : mixOf(known));
     }
@@ -28,7 +28,7 @@
     return sum;
   }
 
-  private static long mixOf(MetadataRecord item) {
-    return RendezvousHashing.hash(item.key() + " " + item.sequence());
+  private static long mixOf(MetadataRecord metadataRecord) {
+    return RendezvousHashing.hash(metadataRecord.key() + " " + metadataRecord.sequence());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
@@ -41,7 +41,7 @@
   private record PendingAcknowledgement(
       String key, long sequence, long begunAt, ObjectNode body, Consumer<Response> then) {}
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final Supplier<KnownEdges> edges;
 
   /**
@@ -67,22 +67,22 @@
   private final boolean edgesConfirm;
 
   public UpdateAcknowledgements(
-      Environment surroundings,
+      Environment environment,
       boolean edgesConfirm,
       Supplier<KnownEdges> edges,
       BooleanSupplier hearsCore,
       Consumer<String> askEdge) {
     this.edgesConfirm = edgesConfirm;
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.edges = edges;
     this.hearsCore = hearsCore;
     this.askEdge = askEdge;
   }
 
-  public void known(AppliedPositions known) {
+  public void handleAppliedPositions(AppliedPositions known) {
     Map<String, Long> places =
         knownPlaces.computeIfAbsent(known.edgeAddress(), unseen -> new HashMap<>());
-    known.places().forEach(place -> places.merge(place.key(), place.sequence(), Math::max));
+    known.positions().forEach(place -> places.merge(place.key(), place.sequence(), Math::max));
     settle();
   }
 
@@ -90,7 +90,7 @@
     return knownPlaces.getOrDefault(address, Map.of()).getOrDefault(key, 0L) >= sequence;
   }
 
-  public boolean knownToMost(String key, long sequence) {
+  public boolean isAppliedByMajority(String key, long sequence) {
     return mostKnow(edges.get(), key, sequence);
   }
 
@@ -100,7 +100,7 @@
   }
 
   public void await(String key, long sequence, ObjectNode body, Consumer<Response> then) {
-    waiting.add(new PendingAcknowledgement(key, sequence, surroundings.now(), body, then));
+    waiting.add(new PendingAcknowledgement(key, sequence, environment.nowMs(), body, then));
     tick();
   }
 
@@ -148,7 +148,7 @@
     waiting.removeIf(
         each -> {
           Set<String> missing = missing(present, each);
-          long waited = surroundings.now() - each.begunAt();
+          long waited = environment.nowMs() - each.begunAt();
           boolean waitedLong = waited >= ChangeFeedConstants.ALL_EDGES_WAIT_MS;
           boolean enough =
               missing.isEmpty()
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
@@ -38,9 +38,9 @@
 
   private final List<Instruction> program = new ArrayList<>();
 
-  public static CompiledRules compile(RoutingConfiguration bundle) {
+  public static CompiledRules compile(RoutingConfiguration configuration) {
     CompiledRules compiled = new CompiledRules();
-    for (RoutingConfiguration.Rule rule : bundle.rules()) {
+    for (RoutingConfiguration.Rule rule : configuration.rules()) {
       List<Instruction> tests = compiled.tests(rule);
       int nextRule = compiled.program.size() + tests.size() + 1;
       tests.forEach(
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
@@ -15,7 +15,7 @@
   }
 
   /** Either the bytes of the bundle that a configuration stands for, or what is wrong with it. */
-  record ParsedConfiguration(byte[] bundle, List<ApiError.Field> faults) {}
+  record ParsedConfiguration(byte[] configuration, List<ApiError.Field> errors) {}
 
   /** The field that holds the revision. */
   String revisionField();
@@ -26,12 +26,12 @@
   /**
    * The configuration as its operator wrote it; null if the bundle does not tell.
    *
-   * @param bundle the exact bytes that are in force
+   * @param configuration the exact bytes that are in force
    */
-  ObjectNode written(byte[] bundle);
+  ObjectNode sourceOf(byte[] bundle);
 
   /** Reads and checks a configuration whole. */
-  ParsedConfiguration read(ObjectNode whole);
+  ParsedConfiguration parse(ObjectNode whole);
 
   /** The product's own: a {@link RoutingConfiguration} as JSON. */
   ConfigurationFormat OWN =
@@ -48,14 +48,14 @@
         }
 
         @Override
-        public ObjectNode written(byte[] bundle) {
+        public ObjectNode sourceOf(byte[] bundle) {
           return (ObjectNode) Json.tree(bundle);
         }
 
         @Override
-        public ParsedConfiguration read(ObjectNode whole) {
+        public ParsedConfiguration parse(ObjectNode whole) {
           byte[] bytes = Json.bytes(whole);
-          return RoutingConfiguration.check(bytes).fault()
+          return RoutingConfiguration.validate(bytes).error()
                   instanceof ApiError.InvalidConfiguration invalid
               ? new ParsedConfiguration(null, invalid.fields())
               : new ParsedConfiguration(bytes, List.of());
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationPatch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationPatch.java
@@ -25,10 +25,10 @@
   private static final String NAME = "name";
 
   /** Either a patch and no faults, or faults and no patch. */
-  public record ParsedPatch(ConfigurationPatch patch, List<ApiError.Field> faults) {}
+  public record ParsedPatch(ConfigurationPatch patch, List<ApiError.Field> errors) {}
 
   /** Either the whole configuration that results and no faults, or faults and no configuration. */
-  public record PatchResult(ObjectNode whole, List<ApiError.Field> faults) {}
+  public record PatchResult(ObjectNode configuration, List<ApiError.Field> errors) {}
 
   private final ConfigurationFormat format;
   private final JsonNode tree;
@@ -40,7 +40,7 @@
   }
 
   /** Reads a patch and names all that is wrong with it by itself, by JSON path. */
-  public static ParsedPatch read(ConfigurationFormat format, byte[] bytes) {
+  public static ParsedPatch parse(ConfigurationFormat format, byte[] bytes) {
     JsonNode tree;
     try {
       tree = Json.JSON.readTree(bytes);
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RouteTable.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RouteTable.java
@@ -21,8 +21,8 @@
   /** By pool, the shortest pause between events that any route demands there. */
   private final Map<String, Long> gapTargets = new HashMap<>();
 
-  public static RouteTable compile(RoutingConfiguration bundle) {
-    return compile(bundle.routes());
+  public static RouteTable compile(RoutingConfiguration configuration) {
+    return compile(configuration.routes());
   }
 
   public static RouteTable compile(List<Route> routes) {
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -103,7 +103,7 @@
   /**
    * A named set of workers; each worker names its pool when it is listed. Where known: slots, how
    * many requests a worker works on at once; connectionsMost, from all callers together;
-   * keptTokensMost, its memory for prompts.
+   * cacheTokensPerWorker, its memory for prompts.
    */
   public record Pool(
       @Min(16) @Max(100_000) int prefixBlockChars,
@@ -157,7 +157,7 @@
       boolean cancelForLive,
       @Min(1) @Max(3_600_000) long itemExpiryMs,
       @Min(1_000) Long retentionMs) {
-    public long keptMs() {
+    public long effectiveRetentionMs() {
       return retentionMs == null ? BatchConstants.DEFAULT_RETENTION_MS : retentionMs;
     }
   }
@@ -166,9 +166,9 @@
       new ApiError.Field("$.rules", "must not be empty where there are no routes");
 
   /** What the checks in order came to: a bundle, or the one fault that ended them. */
-  public record ValidationResult(RoutingConfiguration bundle, ApiError fault) {}
+  public record ValidationResult(RoutingConfiguration configuration, ApiError error) {}
 
-  public static ValidationResult check(
+  public static ValidationResult validate(
       byte[] bytes, String signerKeyId, byte[] signature, Map<String, String> operatorKeys) {
     if (bytes.length > SizeLimits.MAX_BODY_BYTES) {
       return new ValidationResult(null, new ApiError.InputTooLarge(SizeLimits.MAX_BODY_BYTES));
@@ -181,11 +181,11 @@
       return new ValidationResult(
           null, new ApiError.SignatureRejected("the signature does not fit the bytes"));
     }
-    return check(bytes);
+    return validate(bytes);
   }
 
   /** The checks without the signature: JSON, field rules, then what only the whole shows. */
-  public static ValidationResult check(byte[] bytes) {
+  public static ValidationResult validate(byte[] bytes) {
     RoutingConfiguration written = writtenByThisProgram(bytes);
     if (written != null && ConstraintChecker.passes(written)) {
       return whole(new InputReader.Input<>(written, List.of()));
@@ -220,11 +220,11 @@
    * program may not know. Every edge does this with each new bundle on a part of a processor, so
    * one that can be read whole is compared with nothing field by field.
    */
-  public static ValidationResult kept(byte[] bytes) {
-    RoutingConfiguration bundle = readWhole(bytes);
-    return bundle == null
+  public static ValidationResult readCommitted(byte[] bytes) {
+    RoutingConfiguration configuration = readWhole(bytes);
+    return configuration == null
         ? whole(InputReader.readKept(bytes, RoutingConfiguration.class))
-        : whole(new InputReader.Input<>(bundle, List.of()));
+        : whole(new InputReader.Input<>(configuration, List.of()));
   }
 
   /**
@@ -232,22 +232,28 @@
    * then no field is missing, unknown or of another type. Else null.
    */
   private static RoutingConfiguration writtenByThisProgram(byte[] bytes) {
-    RoutingConfiguration bundle = readWhole(bytes);
-    return bundle != null && Arrays.equals(Json.bytes(bundle), bytes) ? bundle : null;
+    RoutingConfiguration configuration = readWhole(bytes);
+    return configuration != null && Arrays.equals(Json.bytes(configuration), bytes)
+        ? configuration
+        : null;
   }
 
   /** Null unless all that stands there is understood and all that a bundle must have is there. */
   private static RoutingConfiguration readWhole(byte[] bytes) {
     try {
-      RoutingConfiguration bundle = Json.JSON.readValue(bytes, RoutingConfiguration.class);
-      return bundle.pools == null || bundle.rules == null || bundle.limits == null ? null : bundle;
+      RoutingConfiguration configuration = Json.JSON.readValue(bytes, RoutingConfiguration.class);
+      return configuration.pools == null
+              || configuration.rules == null
+              || configuration.limits == null
+          ? null
+          : configuration;
     } catch (IOException notUnderstood) {
       return null;
     }
   }
 
   private static ValidationResult whole(InputReader.Input<RoutingConfiguration> input) {
-    List<ApiError.Field> faults = input.good() ? input.value().wholeFaults() : input.faults();
+    List<ApiError.Field> faults = input.good() ? input.value().crossFieldErrors() : input.faults();
     return faults.isEmpty()
         ? new ValidationResult(input.value(), null)
         : new ValidationResult(null, new ApiError.InvalidConfiguration(faults));
@@ -267,7 +273,7 @@
     }
   }
 
-  private List<ApiError.Field> wholeFaults() {
+  private List<ApiError.Field> crossFieldErrors() {
     List<ApiError.Field> faults = new ArrayList<>();
     if (rules.isEmpty() && routes().isEmpty()) {
       faults.add(LEADS_NOWHERE);
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
@@ -39,57 +39,61 @@
     }
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final MetadataTable table;
-  private final CommandResponder replies;
+  private final CommandResponder responder;
   private final MessageSender sender;
   private final CapacityReleaseRate pace;
 
   BatchCapacityManager(
-      Environment surroundings,
+      Environment environment,
       MetadataTable table,
-      CommandResponder replies,
+      CommandResponder responder,
       MessageSender sender) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.table = table;
-    this.replies = replies;
+    this.responder = responder;
     this.sender = sender;
-    this.pace = new CapacityReleaseRate(surroundings);
+    this.pace = new CapacityReleaseRate(environment);
   }
 
   /** Sets a batch's unfinished items and responds with the items that wait in its group. */
-  void set(PeerRequest ask, LedKey state, JsonNode body) {
-    BatchCapacityLedger ledger = state.room;
-    RoomRequest request = RoomRequest.parse(body, ledger);
-    long present = ledger.itemsOf(request.batch());
-    ledger.touch(request.batch(), surroundings.now());
-    if (request.reserves() && present == 0 && !request.unbounded()) {
-      Response refusal = refusal(request, ledger);
+  void set(PeerRequest request, LedKey ledKey, JsonNode body) {
+    BatchCapacityLedger ledger = ledKey.capacityLedger;
+    RoomRequest capacityRequest = RoomRequest.parse(body, ledger);
+    long present = ledger.itemsOf(capacityRequest.batch());
+    ledger.touch(capacityRequest.batch(), environment.nowMs());
+    if (capacityRequest.reserves() && present == 0 && !capacityRequest.unbounded()) {
+      Response refusal = refusal(capacityRequest, ledger);
       if (refusal != null) {
-        replies.respond(ask, refusal);
+        responder.respond(request, refusal);
         return;
       }
     }
-    boolean known = request.reserves() ? present > 0 : present == 0 || present == request.items();
+    boolean known =
+        capacityRequest.reserves()
+            ? present > 0
+            : present == 0 || present == capacityRequest.items();
     if (known) {
-      state.key.confirm(fault -> respondWaiting(ask, ledger, request.group(), fault));
+      ledKey.leader.confirmLeadership(
+          error -> respondWaiting(request, ledger, capacityRequest.group(), error));
       return;
     }
-    pace.freed(Math.max(0, present - request.items()));
+    pace.freed(Math.max(0, present - capacityRequest.items()));
     BatchCapacityLedger.LedgerEvent event =
-        ledger.set(request.batch(), request.items(), request.group());
-    state.key.append(
+        ledger.set(capacityRequest.batch(), capacityRequest.items(), capacityRequest.group());
+    ledKey.leader.append(
         event.whole(),
         event.content(),
-        fault -> respondWaiting(ask, ledger, request.group(), fault));
+        error -> respondWaiting(request, ledger, capacityRequest.group(), error));
   }
 
   /** Null if the reservation fits. */
-  private Response refusal(RoomRequest request, BatchCapacityLedger ledger) {
-    long waiting = ledger.waitingOf(request.group());
-    long items = request.items();
-    long ceiling = request.ceiling();
-    if (items > ceiling && request.group().isEmpty()) {
+  private Response refusal(RoomRequest capacityRequest, BatchCapacityLedger ledger) {
+    long waiting = ledger.waitingOf(capacityRequest.group());
+    long items = capacityRequest.items();
+    long ceiling = capacityRequest.ceiling();
+    if (items > ceiling && capacityRequest.group().isEmpty()) {
       return Response.of(new ApiError.BatchTooLarge((int) items, ceiling));
     }
     long excess = waiting + items - ceiling;
@@ -99,22 +103,22 @@
   }
 
   private void respondWaiting(
-      PeerRequest ask, BatchCapacityLedger ledger, String group, ApiError fault) {
-    replies.respond(
-        ask, fault, () -> JSON.createObjectNode().put("waiting", ledger.waitingOf(group)));
+      PeerRequest request, BatchCapacityLedger ledger, String group, ApiError error) {
+    responder.respond(
+        request, error, () -> JSON.createObjectNode().put("waiting", ledger.waitingOf(group)));
   }
 
   /** Has an edge look whether a batch still exists of which nobody has spoken for long. */
-  void audit(LedKey state) {
+  void audit(LedKey ledKey) {
     List<NodeRegistration> edges = table.live("edge");
-    long now = surroundings.now();
-    List<String> untouched = state.room.untouched(now);
+    long now = environment.nowMs();
+    List<String> untouched = ledKey.capacityLedger.untouched(now);
     if (edges.isEmpty()) {
       return;
     }
     List<String> edgeIds = edges.stream().map(NodeRegistration::id).toList();
     for (String batch : untouched) {
-      state.room.touch(batch, now);
+      ledKey.capacityLedger.touch(batch, now);
       String chosenId = RendezvousHashing.first(batch, edgeIds);
       edges.stream()
           .filter(member -> member.id().equals(chosenId))
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CapacityReleaseRate.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CapacityReleaseRate.java
@@ -11,20 +11,20 @@
 final class CapacityReleaseRate {
   private record Freed(long atMs, long items) {}
 
-  private final Environment surroundings;
+  private final Environment environment;
 
   /** Not older than the time measured over, in order of time. */
   private final ArrayDeque<Freed> freed = new ArrayDeque<>();
 
   private long sum;
 
-  CapacityReleaseRate(Environment surroundings) {
-    this.surroundings = surroundings;
+  CapacityReleaseRate(Environment environment) {
+    this.environment = environment;
   }
 
   void freed(long items) {
     if (items > 0) {
-      freed.add(new Freed(surroundings.now(), items));
+      freed.add(new Freed(environment.nowMs(), items));
       sum += items;
     }
     forgetOld();
@@ -32,7 +32,7 @@
 
   private void forgetOld() {
     while (!freed.isEmpty()
-        && surroundings.now() - freed.peek().atMs() > BatchConstants.CAPACITY_RELEASE_WINDOW_MS) {
+        && environment.nowMs() - freed.peek().atMs() > BatchConstants.CAPACITY_RELEASE_WINDOW_MS) {
       sum -= freed.poll().items();
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandResponder.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandResponder.java
@@ -15,50 +15,50 @@
  */
 final class CommandResponder {
   private final BiConsumer<PeerRequest, Response> responder;
-  private final UpdateAcknowledgements inForce;
-  private final TraceLog journal;
+  private final UpdateAcknowledgements updateAcknowledgements;
+  private final TraceLog traceLog;
 
   CommandResponder(
       BiConsumer<PeerRequest, Response> responder,
-      UpdateAcknowledgements inForce,
-      TraceLog journal) {
+      UpdateAcknowledgements updateAcknowledgements,
+      TraceLog traceLog) {
     this.responder = responder;
-    this.inForce = inForce;
-    this.journal = journal;
+    this.updateAcknowledgements = updateAcknowledgements;
+    this.traceLog = traceLog;
   }
 
-  void respond(PeerRequest ask, Response response) {
-    responder.accept(ask, response);
+  void respond(PeerRequest request, Response response) {
+    responder.accept(request, response);
   }
 
-  void refuse(PeerRequest ask, ApiError fault) {
-    responder.accept(ask, Response.of(fault));
+  void reject(PeerRequest request, ApiError error) {
+    responder.accept(request, Response.of(error));
   }
 
   /** Responds with the body, or with the fault if there is one. */
-  void respond(PeerRequest ask, ApiError fault, Supplier<Object> body) {
-    responder.accept(ask, fault == null ? Response.of(200, body.get()) : Response.of(fault));
+  void respond(PeerRequest request, ApiError error, Supplier<Object> body) {
+    responder.accept(request, error == null ? Response.of(200, body.get()) : Response.of(error));
   }
 
   /**
    * Responds with the fault if there is one, else with the body once the key's value is in force.
    */
-  void respondInForce(PeerRequest ask, LedKey state, ObjectNode body, ApiError fault) {
-    if (fault != null) {
-      refuse(ask, fault);
+  void respondOnceInForce(PeerRequest request, LedKey ledKey, ObjectNode body, ApiError error) {
+    if (error != null) {
+      reject(request, error);
       return;
     }
-    String key = state.key.key;
-    inForce.await(
+    String key = ledKey.leader.key;
+    updateAcknowledgements.await(
         key,
-        state.valueSequence,
+        ledKey.valueSequence,
         body,
         response -> {
-          journal.add(
-              response.good() ? "acknowledged" : "not-acknowledged",
+          traceLog.add(
+              response.isSuccess() ? "acknowledged" : "not-acknowledged",
               key,
-              "sequence " + state.valueSequence);
-          respond(ask, response);
+              "sequence " + ledKey.valueSequence);
+          respond(request, response);
         });
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
@@ -22,40 +22,40 @@
   static final byte[] NO_BODY = {'{', '}'};
 
   private final Node node;
-  private final QuorumView membership;
+  private final QuorumView quorum;
 
-  CommandSender(Node node, QuorumView membership) {
+  CommandSender(Node node, QuorumView quorum) {
     this.node = node;
-    this.membership = membership;
+    this.quorum = quorum;
   }
 
-  void send(String duty, String key, Object body, Consumer<Response> then) {
+  void send(String operation, String key, Object body, Consumer<Response> then) {
     if (node.stopping) {
       then.accept(Response.of(new ApiError.NodeStopping()));
       return;
     }
-    if (membership.cutOff()) {
+    if (quorum.isIsolated()) {
       then.accept(Response.of(new ApiError.NoQuorum(key)));
       return;
     }
-    boolean cutOffSoFar = membership.isMember() && !membership.hearsMajority();
+    boolean cutOffSoFar = quorum.isMember() && !quorum.isInContactWithMajority();
     long expiryMs =
         cutOffSoFar
             ? MembershipConstants.QUORUM_PEER_TIMEOUT_MS
             : PeerRequestConstants.REQUEST_TIMEOUT_MS;
-    node.ask(this::target, duty, key, body, expiryMs, then);
+    node.sendRequest(this::target, operation, key, body, expiryMs, then);
   }
 
   private NodeAddress target(int attempt) {
-    List<QuorumMember> members = membership.current().members();
-    if (membership.isMember() || members.isEmpty()) {
-      return new NodeAddress(node.place().id(), node.place().peerAddress());
+    List<QuorumMember> members = quorum.current().members();
+    if (quorum.isMember() || members.isEmpty()) {
+      return new NodeAddress(node.identity().id(), node.identity().peerAddress());
     }
     QuorumMember member = members.get(attempt % members.size());
     return new NodeAddress(member.id(), member.peerAddress());
   }
 
-  void emptyStorage(String name, Consumer<Response> then) {
+  void drainStorageNode(String name, Consumer<Response> then) {
     withStorageId(
         name,
         then,
@@ -65,7 +65,7 @@
         });
   }
 
-  void storagePlace(String name, Consumer<Response> then) {
+  void isStorageNodeDrained(String name, Consumer<Response> then) {
     withStorageId(
         name, then, id -> send("storage-place", MetadataKeys.STORAGE_PREFIX + id, NO_BODY, then));
   }
@@ -76,7 +76,7 @@
         name,
         NO_BODY,
         response -> {
-          if (response.good()) {
+          if (response.isSuccess()) {
             next.accept(response.body().path("id").asText());
           } else {
             then.accept(response);
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -28,36 +28,36 @@
   private static final ApiError.Field NOT_FROM_TEXT =
       new ApiError.Field("$", "what is in force was not sent in this format: send a whole one");
 
-  private final NodeSettings bounds;
+  private final NodeSettings settings;
   private final Map<String, String> operatorKeys;
   private final ConfigurationFormat format;
   private final LedKeys keys;
-  private final CommandResponder replies;
+  private final CommandResponder responder;
 
   ConfigurationManager(
-      NodeSettings bounds,
+      NodeSettings settings,
       Map<String, String> operatorKeys,
       ConfigurationFormat format,
       LedKeys keys,
-      CommandResponder replies) {
-    this.bounds = bounds;
+      CommandResponder responder) {
+    this.settings = settings;
     this.operatorKeys = operatorKeys;
     this.format = format;
     this.keys = keys;
-    this.replies = replies;
+    this.responder = responder;
   }
 
   /** Accepts a bundle and responds once it is in force, or refuses it. */
-  void set(PeerRequest ask, LedKey state, SignedConfiguration sent) {
+  void set(PeerRequest request, LedKey ledKey, SignedConfiguration sent) {
     RoutingConfiguration.ValidationResult checked = check(sent);
-    if (checked.fault() != null) {
-      replies.refuse(ask, checked.fault());
+    if (checked.error() != null) {
+      responder.reject(request, checked.error());
       return;
     }
-    long number = checked.bundle().number();
-    byte[] content = content(checked.bundle(), sent);
-    if (mayBeTaken(ask, state, number, content, sent.buildsOn())) {
-      take(ask, state, number, content, sent);
+    long number = checked.configuration().number();
+    byte[] content = content(checked.configuration(), sent);
+    if (mayBeTaken(request, ledKey, number, content, sent.buildsOn())) {
+      take(request, ledKey, number, content, sent);
     }
   }
 
@@ -65,51 +65,51 @@
    * Changes the bundle in force by a patch, or refuses it. It is folded here, where the version
    * that it builds on is compared: what results is checked, signed off and kept as a whole bundle.
    */
-  void patch(PeerRequest ask, LedKey state, ConfigurationPatchRequest sent) {
-    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.read(format, sent.bytes());
+  void patch(PeerRequest request, LedKey ledKey, ConfigurationPatchRequest sent) {
+    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.parse(format, sent.bytes());
     if (read.patch() == null) {
-      replies.refuse(ask, new ApiError.InvalidConfiguration(read.faults()));
+      responder.reject(request, new ApiError.InvalidConfiguration(read.errors()));
       return;
     }
     long number = read.patch().revision();
     byte[] content = patchContent(sent.bytes());
-    if (!mayBeTaken(ask, state, number, content, sent.buildsOn())) {
+    if (!mayBeTaken(request, ledKey, number, content, sent.buildsOn())) {
       return;
     }
     ConfigurationFormat.ParsedConfiguration whole =
-        fold(read.patch(), state.as(SignedConfiguration.class));
-    if (!whole.faults().isEmpty()) {
-      replies.refuse(ask, new ApiError.InvalidConfiguration(whole.faults()));
+        fold(read.patch(), ledKey.as(SignedConfiguration.class));
+    if (!whole.errors().isEmpty()) {
+      responder.reject(request, new ApiError.InvalidConfiguration(whole.errors()));
       return;
     }
     var result =
         new SignedConfiguration(
-            number, whole.bundle(), sent.keyId(), sent.signature(), sent.buildsOn());
+            number, whole.configuration(), sent.keyId(), sent.signature(), sent.buildsOn());
     RoutingConfiguration.ValidationResult checked = check(result);
-    if (checked.fault() != null) {
-      replies.refuse(ask, checked.fault());
+    if (checked.error() != null) {
+      responder.reject(request, checked.error());
       return;
     }
-    take(ask, state, number, content, result);
+    take(request, ledKey, number, content, result);
   }
 
   private ConfigurationFormat.ParsedConfiguration fold(
       ConfigurationPatch patch, SignedConfiguration inForce) {
     ObjectNode written =
-        inForce == null ? JSON.createObjectNode() : format.written(inForce.bytes());
+        inForce == null ? JSON.createObjectNode() : format.sourceOf(inForce.bytes());
     if (written == null) {
       return new ConfigurationFormat.ParsedConfiguration(null, List.of(NOT_FROM_TEXT));
     }
     ConfigurationPatch.PatchResult applied = patch.applyTo(written);
-    return applied.whole() == null
-        ? new ConfigurationFormat.ParsedConfiguration(null, applied.faults())
-        : format.read(applied.whole());
+    return applied.configuration() == null
+        ? new ConfigurationFormat.ParsedConfiguration(null, applied.errors())
+        : format.parse(applied.configuration());
   }
 
   private RoutingConfiguration.ValidationResult check(SignedConfiguration sent) {
-    return bounds.signedBundles()
-        ? RoutingConfiguration.check(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
-        : RoutingConfiguration.check(sent.bytes());
+    return settings.signedConfigurations()
+        ? RoutingConfiguration.validate(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
+        : RoutingConfiguration.validate(sent.bytes());
   }
 
   /**
@@ -117,26 +117,27 @@
    * confirmed that this node still leads.
    */
   private boolean mayBeTaken(
-      PeerRequest ask, LedKey state, long number, byte[] content, Long buildsOn) {
-    SignedConfiguration inForce = state.as(SignedConfiguration.class);
+      PeerRequest request, LedKey ledKey, long number, byte[] content, Long buildsOn) {
+    SignedConfiguration inForce = ledKey.as(SignedConfiguration.class);
     RevisionStatus standing = acceptedSoFar(inForce).standing(number, content);
     if (standing == RevisionStatus.ACCEPTED) {
-      state.key.confirm(fault -> acknowledge(ask, state, number, fault));
+      ledKey.leader.confirmLeadership(error -> acknowledge(request, ledKey, number, error));
       return false;
     }
-    ApiError refusal = refusal(state.key.key, buildsOn, number, inForce, standing);
+    ApiError refusal = refusal(ledKey.leader.key, buildsOn, number, inForce, standing);
     if (refusal != null) {
-      state.key.confirm(fault -> replies.refuse(ask, fault == null ? refusal : fault));
+      ledKey.leader.confirmLeadership(
+          error -> responder.reject(request, error == null ? refusal : error));
       return false;
     }
     return true;
   }
 
   private void take(
-      PeerRequest ask, LedKey state, long number, byte[] content, SignedConfiguration sent) {
-    AcceptedRevisions accepted = acceptedSoFar(state.as(SignedConfiguration.class));
+      PeerRequest request, LedKey ledKey, long number, byte[] content, SignedConfiguration sent) {
+    AcceptedRevisions accepted = acceptedSoFar(ledKey.as(SignedConfiguration.class));
     keys.put(
-        state,
+        ledKey,
         new SignedConfiguration(
             number,
             sent.bytes(),
@@ -144,7 +145,7 @@
             sent.signature(),
             sent.buildsOn(),
             accepted.with(number, content)),
-        fault -> acknowledge(ask, state, number, fault));
+        error -> acknowledge(request, ledKey, number, error));
   }
 
   /** Apart from the content of every whole bundle, which does not begin so. */
@@ -154,17 +155,18 @@
     return content;
   }
 
-  private void acknowledge(PeerRequest ask, LedKey state, long number, ApiError fault) {
-    replies.respondInForce(ask, state, JSON.createObjectNode().put("number", number), fault);
+  private void acknowledge(PeerRequest request, LedKey ledKey, long number, ApiError error) {
+    responder.respondOnceInForce(
+        request, ledKey, JSON.createObjectNode().put("number", number), error);
   }
 
   /**
    * What makes two sent bundles the same: the operator's own text where the bundle was made from
    * it, so that it does not matter which release made it.
    */
-  private byte[] content(RoutingConfiguration bundle, SignedConfiguration sent) {
-    boolean madeHere = !bounds.signedBundles() && bundle.origin() != null;
-    return madeHere ? bundle.origin().getBytes(UTF_8) : sent.bytes();
+  private byte[] content(RoutingConfiguration configuration, SignedConfiguration sent) {
+    boolean madeHere = !settings.signedConfigurations() && configuration.origin() != null;
+    return madeHere ? configuration.origin().getBytes(UTF_8) : sent.bytes();
   }
 
   private AcceptedRevisions acceptedSoFar(SignedConfiguration inForce) {
@@ -174,8 +176,9 @@
     if (inForce.accepted() != null) {
       return inForce.accepted();
     }
-    RoutingConfiguration bundle = RoutingConfiguration.check(inForce.bytes()).bundle();
-    byte[] content = bundle == null ? inForce.bytes() : content(bundle, inForce);
+    RoutingConfiguration configuration =
+        RoutingConfiguration.validate(inForce.bytes()).configuration();
+    byte[] content = configuration == null ? inForce.bytes() : content(configuration, inForce);
     return AcceptedRevisions.startingWith(inForce.number(), content);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -26,11 +26,11 @@
  * a majority, and every command gets one response.
  */
 final class ControlManagers {
-  private final Environment surroundings;
-  private final NodeSettings bounds;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeSettings settings;
+  private final QuorumView quorum;
   private final LedKeys keys;
-  private final CommandResponder replies;
+  private final CommandResponder responder;
   private final QuorumMembershipManager membershipChange;
   private final MemberLeaseManager leases;
   private final ConfigurationManager bundles;
@@ -39,50 +39,51 @@
   private final BatchCapacityManager batchRoom;
   private final EdgeListManager edgeList;
   private final ShardReplicaManager storage;
-  private final FaultToleranceMonitor lossMargin;
+  private final FaultToleranceMonitor faultTolerance;
 
   /** A core of fewer than wantedMembers is grown; 0 if it is to stay as it was founded. */
   ControlManagers(
-      Environment surroundings,
+      Environment environment,
       ControlPlaneNode core,
-      NodeSettings bounds,
+      NodeSettings settings,
       Map<String, String> operatorKeys,
       ConfigurationFormat format,
       int wantedMembers,
-      UpdateAcknowledgements inForce,
-      CommandResponder replies,
+      UpdateAcknowledgements updateAcknowledgements,
+      CommandResponder responder,
       CommandSender commands) {
-    this.surroundings = surroundings;
-    this.bounds = bounds;
-    this.membership = core.membership;
+    this.environment = environment;
+    this.settings = settings;
+    this.quorum = core.quorum;
     this.keys = core.keys;
-    this.replies = replies;
+    this.responder = responder;
     this.membershipChange =
-        new QuorumMembershipManager(surroundings, core.place(), membership, keys, wantedMembers);
+        new QuorumMembershipManager(environment, core.identity(), quorum, keys, wantedMembers);
     this.leases =
         new MemberLeaseManager(
-            surroundings,
+            environment,
             core.table,
             keys,
-            replies,
+            responder,
             key -> commands.send("leave", key, CommandSender.NO_BODY, response -> {}));
-    this.bundles = new ConfigurationManager(bounds, operatorKeys, format, keys, replies);
-    this.workerCommands = new WorkerRegistrationManager(keys, replies);
+    this.bundles = new ConfigurationManager(settings, operatorKeys, format, keys, responder);
+    this.workerCommands = new WorkerRegistrationManager(keys, responder);
     this.workerList =
         new WorkerListSynchronizer(
-            surroundings,
-            bounds,
-            state -> core.keys.get(MetadataKeys.WORKER_LIST) == state,
+            environment,
+            settings,
+            ledKey -> core.keys.get(MetadataKeys.WORKER_LIST) == ledKey,
             keys::put,
             () -> core.keys.transfer(MetadataKeys.WORKER_LIST));
-    this.batchRoom = new BatchCapacityManager(surroundings, core.table, replies, core::send);
-    this.edgeList = new EdgeListManager(surroundings, core.table, membership, keys, inForce);
-    this.storage = new ShardReplicaManager(surroundings, core, bounds);
-    this.lossMargin = new FaultToleranceMonitor(bounds.lossesToBear());
+    this.batchRoom = new BatchCapacityManager(environment, core.table, responder, core::send);
+    this.edgeList =
+        new EdgeListManager(environment, core.table, quorum, keys, updateAcknowledgements);
+    this.storage = new ShardReplicaManager(environment, core, settings);
+    this.faultTolerance = new FaultToleranceMonitor(settings.faultTolerance());
   }
 
-  void boundsChanged(NodeSettings newer) {
-    workerList.boundsChanged(newer);
+  void settingsChanged(NodeSettings newer) {
+    workerList.settingsChanged(newer);
   }
 
   ShardReplicaManager storage() {
@@ -90,9 +91,9 @@
   }
 
   /** Called when this node has just taken the leadership of a key. */
-  void begin(LedKey state) {
-    if (state.key.key.equals(MetadataKeys.WORKER_LIST) && bounds.listCallsPerS() > 0) {
-      workerList.begin(state);
+  void leadershipTaken(LedKey ledKey) {
+    if (ledKey.leader.key.equals(MetadataKeys.WORKER_LIST) && settings.listCallsPerS() > 0) {
+      workerList.begin(ledKey);
     }
   }
 
@@ -100,61 +101,66 @@
 
   /** Claims the keys that are this node's to lead, and takes the next step for those it leads. */
   void tick() {
-    keys.claimOrphans();
+    keys.electForLeaderlessKeys();
     membershipChange.advance();
     leases.expire();
     edgeList.tick();
     claimWorkerList();
     storage.tick();
     auditBatchRoom();
-    lossMargin.look(
-        FaultToleranceMonitor.bearable(
-            membership.replicaSets(), membership.liveMembers()::contains),
-        storage.lossesBearable(),
-        surroundings.now());
+    faultTolerance.update(
+        FaultToleranceMonitor.remainingTolerableFailures(
+            quorum.replicaSets(), quorum.liveMembers()::contains),
+        storage.remainingTolerableFailures(),
+        environment.nowMs());
   }
 
   /** Somebody always reads the list, also before its key has a first value. */
   private void claimWorkerList() {
-    if (bounds.listCallsPerS() > 0 && keys.get(MetadataKeys.WORKER_LIST) == null) {
-      keys.claimIfVacant(MetadataKeys.WORKER_LIST);
+    if (settings.listCallsPerS() > 0 && keys.get(MetadataKeys.WORKER_LIST) == null) {
+      keys.electIfVacant(MetadataKeys.WORKER_LIST);
     }
   }
 
   private void auditBatchRoom() {
-    LedKey state = keys.get(MetadataKeys.BATCH_CAPACITY);
-    if (state != null) {
-      batchRoom.audit(state);
+    LedKey ledKey = keys.get(MetadataKeys.BATCH_CAPACITY);
+    if (ledKey != null) {
+      batchRoom.audit(ledKey);
     }
   }
 
   // ---- commands
 
   /** Runs a command; the state is null if the leadership was lost since the command was taken. */
-  void run(PeerRequest ask, LedKey state) {
-    if (state == null) {
-      replies.refuse(ask, new ApiError.NotLeader(ask.key()));
+  void run(PeerRequest request, LedKey ledKey) {
+    if (ledKey == null) {
+      responder.reject(request, new ApiError.NotLeader(request.key()));
       return;
     }
-    if (!state.key.hearsMajority()) {
-      replies.refuse(ask, new ApiError.NoQuorum(ask.key()));
+    if (!ledKey.leader.isInContactWithQuorum()) {
+      responder.reject(request, new ApiError.NoQuorum(request.key()));
       return;
     }
-    switch (ask.duty()) {
-      case "grant" -> leases.grant(ask, state, Json.read(ask.body(), NodeRegistration.class));
-      case "leave" -> leases.leave(ask, state);
-      case "bundle" -> bundles.set(ask, state, Json.read(ask.body(), SignedConfiguration.class));
+    switch (request.operation()) {
+      case "grant" ->
+          leases.renew(request, ledKey, Json.read(request.body(), NodeRegistration.class));
+      case "leave" -> leases.leave(request, ledKey);
+      case "bundle" ->
+          bundles.set(request, ledKey, Json.read(request.body(), SignedConfiguration.class));
       case "patch-bundle" ->
-          bundles.patch(ask, state, Json.read(ask.body(), ConfigurationPatchRequest.class));
+          bundles.patch(
+              request, ledKey, Json.read(request.body(), ConfigurationPatchRequest.class));
       case "worker" ->
-          workerCommands.set(ask, state, Json.read(ask.body(), WorkerRegistration.class));
-      case "list-version" -> workerCommands.raiseListVersion(ask, state, Json.tree(ask.body()));
-      case "room" -> batchRoom.set(ask, state, Json.tree(ask.body()));
-      case "copied" -> copied(ask, state, Json.tree(ask.body()));
-      case "storage" -> storage.mark(ask, state, Json.read(ask.body(), StorageNodeState.class));
-      case "storage-place" -> storage.place(ask, state);
-      case "read" -> read(ask, state);
-      default -> replies.refuse(ask, new ApiError.UnknownRequest(ask.duty()));
+          workerCommands.set(request, ledKey, Json.read(request.body(), WorkerRegistration.class));
+      case "list-version" ->
+          workerCommands.raiseListVersion(request, ledKey, Json.tree(request.body()));
+      case "room" -> batchRoom.set(request, ledKey, Json.tree(request.body()));
+      case "copied" -> copied(request, ledKey, Json.tree(request.body()));
+      case "storage" ->
+          storage.mark(request, ledKey, Json.read(request.body(), StorageNodeState.class));
+      case "storage-place" -> storage.respondWhetherDrained(request, ledKey);
+      case "read" -> read(request, ledKey);
+      default -> responder.reject(request, new ApiError.UnknownRequest(request.operation()));
     }
   }
 
@@ -162,19 +168,19 @@
    * Responds with the value as it was when the command came: all of it is committed once that is
    * confirmed, which can't be said of what is appended meanwhile.
    */
-  private void read(PeerRequest ask, LedKey state) {
-    JsonNode value = state.value;
-    state.key.confirm(fault -> replies.respond(ask, fault, () -> value));
+  private void read(PeerRequest request, LedKey ledKey) {
+    JsonNode value = ledKey.value;
+    ledKey.leader.confirmLeadership(error -> responder.respond(request, error, () -> value));
   }
 
   /** A newcomer of a replica set reports that it has copied. */
-  private void copied(PeerRequest ask, LedKey state, JsonNode body) {
-    state.copied.put(body.path("id").asText(), body.path("number").asLong());
-    replies.respond(ask, Response.of(200, body));
-    if (state.key.key.equals(MetadataKeys.MEMBERSHIP)) {
+  private void copied(PeerRequest request, LedKey ledKey, JsonNode body) {
+    ledKey.caughtUpVersions.put(body.path("id").asText(), body.path("number").asLong());
+    responder.respond(request, Response.of(200, body));
+    if (ledKey.leader.key.equals(MetadataKeys.MEMBERSHIP)) {
       membershipChange.advance();
     } else {
-      storage.lookSoon();
+      storage.checkSoon();
     }
   }
 
@@ -183,12 +189,12 @@
   /** Adds the storage nodes, how many losses can be borne, and the waiting batch items. */
   void describe(ObjectNode status) {
     status.set("storage", storage.nodes());
-    status.put("replicas", bounds.replicas());
+    status.put("replicas", settings.replicas());
     status.put("shardsWithReducedRedundancy", storage.reduced());
-    lossMargin.show(status, surroundings.now());
+    faultTolerance.describe(status, environment.nowMs());
     LedKey room = keys.get(MetadataKeys.BATCH_CAPACITY);
     if (room != null) {
-      status.put("waitingBatchItems", room.room.waiting());
+      status.put("waitingBatchItems", room.capacityLedger.waiting());
     }
   }
 }
