--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -66,140 +66,145 @@
  * them; each duty is a class of its own.
  */
 public final class ControlPlaneNode extends Node {
-  private final NodeSettings bounds;
+  private final NodeSettings settings;
 
   /** The committed values known here. */
   final MetadataTable table = new MetadataTable();
 
-  final QuorumView membership;
+  final QuorumView quorum;
   private final HeartbeatExchange heartbeat;
   private final QuorumDiscovery discovery;
-  private final QuorumBootstrap founding;
-  private final StaticBootstrap listedFounders;
-  private final JoiningMember newcomer;
+  private final QuorumBootstrap bootstrap;
+  private final StaticBootstrap staticBootstrap;
+  private final JoiningMember joiningMember;
 
   private final LogReplicas replicas;
-  private final ReplicaCatchUp copier;
+  private final ReplicaCatchUp catchUp;
 
   /** The core keys that this node leads. */
   final LedKeys keys;
 
   private final ChangeFeedExchange feed;
-  private final UpdateAcknowledgements inForce;
+  private final UpdateAcknowledgements updateAcknowledgements;
 
-  private final CommandResponder replies;
+  private final CommandResponder responder;
   private final CommandSender commands;
-  private final ControlManagers duties;
+  private final ControlManagers managers;
   private final MetadataView view;
   private boolean started;
 
   /** The founders are the peer addresses of the first members, as told to each of them. */
   public ControlPlaneNode(
-      Environment surroundings,
-      NodeIdentity place,
+      Environment environment,
+      NodeIdentity identity,
       Map<String, String> operatorKeys,
       List<String> founders) {
     this(
-        surroundings, place, operatorKeys, founders, NodeSettings.DEFAULT, ConfigurationFormat.OWN);
+        environment,
+        identity,
+        operatorKeys,
+        founders,
+        NodeSettings.DEFAULT,
+        ConfigurationFormat.OWN);
   }
 
   /** Without founders the first members are found by the seeds. */
   public ControlPlaneNode(
-      Environment surroundings,
-      NodeIdentity place,
+      Environment environment,
+      NodeIdentity identity,
       Map<String, String> operatorKeys,
       List<String> founders,
-      NodeSettings bounds,
+      NodeSettings settings,
       ConfigurationFormat format) {
-    super(surroundings, place);
-    this.bounds = bounds;
-    this.membership = new QuorumView(surroundings, place, () -> roster);
-    this.founding =
+    super(environment, identity);
+    this.settings = settings;
+    this.quorum = new QuorumView(environment, identity, () -> membership);
+    this.bootstrap =
         new QuorumBootstrap(
-            surroundings,
-            place,
-            bounds,
-            membership.self(),
-            membership.peers(),
-            membership::alive,
-            this::learnRoster);
-    this.listedFounders = new StaticBootstrap(surroundings, place, membership, founders);
+            environment,
+            identity,
+            settings,
+            quorum.self(),
+            quorum.peers(),
+            quorum::isAlive,
+            this::learnMembership);
+    this.staticBootstrap = new StaticBootstrap(environment, identity, quorum, founders);
     this.replicas =
-        new LogReplicas(surroundings, this::send, this::committed, key -> QuorumView.SET_NAME);
-    this.copier = new ReplicaCatchUp(surroundings, this, replicas, new HashMap<>(), id -> "");
-    this.newcomer = new JoiningMember(surroundings, this, membership, copier);
+        new LogReplicas(environment, this::send, this::committed, key -> QuorumView.SET_NAME);
+    this.catchUp = new ReplicaCatchUp(environment, this, replicas, new HashMap<>(), id -> "");
+    this.joiningMember = new JoiningMember(environment, this, quorum, catchUp);
     this.keys =
         new LedKeys(
-            surroundings,
-            place,
-            membership,
+            environment,
+            identity,
+            quorum,
             replicas,
             table,
-            journal,
+            traceLog,
             this::send,
             () -> stopping,
             this::beginLeading);
     this.heartbeat = newHeartbeat();
     this.feed =
         new ChangeFeedExchange(
-            surroundings, place, membership, replicas, table, journal, this::send, this::learn);
+            environment, identity, quorum, replicas, table, traceLog, this::send, this::learn);
     this.discovery =
         new QuorumDiscovery(
-            place, bounds, membership, feed.freshness()::ageMs, () -> seeds, this::send);
-    this.inForce = newNewsInForce();
-    this.replies = new CommandResponder(this::respond, inForce, journal);
-    this.commands = new CommandSender(this, membership);
-    int wantedMembers = founders.isEmpty() ? bounds.replicas() : 0;
-    this.duties =
+            identity, settings, quorum, feed.freshness()::ageMs, () -> seeds, this::send);
+    this.updateAcknowledgements = newNewsInForce();
+    this.responder = new CommandResponder(this::respond, updateAcknowledgements, traceLog);
+    this.commands = new CommandSender(this, quorum);
+    int wantedMembers = founders.isEmpty() ? settings.replicas() : 0;
+    this.managers =
         new ControlManagers(
-            surroundings,
+            environment,
             this,
-            bounds,
+            settings,
             operatorKeys,
             format,
             wantedMembers,
-            inForce,
-            replies,
+            updateAcknowledgements,
+            responder,
             commands);
     this.view = new MetadataView(table, feed.freshness());
   }
 
   private HeartbeatExchange newHeartbeat() {
     return new HeartbeatExchange(
-        surroundings,
-        place,
-        bounds,
-        membership,
-        founding,
-        !listedFounders.isEmpty(),
+        environment,
+        identity,
+        settings,
+        quorum,
+        bootstrap,
+        !staticBootstrap.isEmpty(),
         keys,
         replicas,
         this::send,
-        this::learnRoster);
+        this::learnMembership);
   }
 
   private UpdateAcknowledgements newNewsInForce() {
     return new UpdateAcknowledgements(
-        surroundings,
-        bounds.edgesConfirm(),
+        environment,
+        settings.edgesAcknowledge(),
         () -> UpdateAcknowledgements.KnownEdges.of(table),
-        () -> membership.isMember() && feed.freshness().isFresh(),
-        address -> send(address, "", new AppliedPositionsRequest(surroundings.now())));
+        () -> quorum.isMember() && feed.freshness().isFresh(),
+        address -> send(address, "", new AppliedPositionsRequest(environment.nowMs())));
   }
 
   // ---- start, timers, end
 
   @Override
-  protected void boundsChanged(NodeSettings newer) {
-    duties.boundsChanged(newer);
+  protected void settingsChanged(NodeSettings newer) {
+    managers.settingsChanged(newer);
   }
 
   @Override
   public void recover(LogRecord record) {
     if (QuorumBootstrap.owns(record)) {
-      founding.recover(record);
+      bootstrap.recover(record);
     } else if (record.kind() == Kind.ROSTER) {
-      learnRoster(Json.read(record.payload(), QuorumMembership.class));
+      learnMembership(Json.read(record.payload(), QuorumMembership.class));
     } else {
       replicas.recover(record);
     }
@@ -208,10 +213,10 @@
   @Override
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>();
-    if (roster.number() > 0) {
+    if (membership.number() > 0) {
       records.add(rosterRecord());
     } else {
-      records.addAll(founding.records());
+      records.addAll(bootstrap.records());
     }
     records.addAll(replicas.checkpoint());
     return records;
@@ -222,58 +227,58 @@
         Kind.ROSTER,
         MetadataKeys.MEMBERSHIP,
         Epoch.NONE,
-        roster.number(),
+        membership.number(),
         true,
-        Json.bytes(roster));
+        Json.bytes(membership));
   }
 
   @Override
   public void start() {
     started = true;
-    membership.started();
-    replicas.recovered();
-    newcomer.copyIfNewcomer();
-    boolean unfounded = listedFounders.isEmpty() && roster.number() == 0;
-    for (String address : unfounded ? seeds : listedFounders.addresses()) {
-      if (!address.equals(place.peerAddress())) {
-        membership.peers().put(address, new QuorumPeer());
+    quorum.started();
+    replicas.finishRecovery();
+    joiningMember.catchUpIfJoining();
+    boolean unfounded = staticBootstrap.isEmpty() && membership.number() == 0;
+    for (String address : unfounded ? seeds : staticBootstrap.addresses()) {
+      if (!address.equals(identity.peerAddress())) {
+        quorum.peers().put(address, new QuorumPeer());
       }
     }
-    membership.meetMembers();
+    quorum.addMembersAsPeers();
     if (unfounded) {
-      founding.start();
+      bootstrap.start();
     }
-    if (membership.isMember()) {
+    if (quorum.isMember()) {
       heartbeat.send();
       feed.pollAll();
     }
-    every(MembershipConstants.QUORUM_HEARTBEAT_INTERVAL_MS, this::tick);
-    every(MembershipConstants.QUORUM_DISCOVERY_INTERVAL_MS, discovery::search);
-    every(ChangeFeedConstants.POLL_INTERVAL_MS, feed::pollAll);
+    repeatEvery(MembershipConstants.QUORUM_HEARTBEAT_INTERVAL_MS, this::tick);
+    repeatEvery(MembershipConstants.QUORUM_DISCOVERY_INTERVAL_MS, discovery::search);
+    repeatEvery(ChangeFeedConstants.POLL_INTERVAL_MS, feed::pollAll);
   }
 
   private void tick() {
-    if (bounds.voter() || roster.number() == 0 && founding.coordinates()) {
+    if (settings.voter() || membership.number() == 0 && bootstrap.isCoordinator()) {
       heartbeat.send();
     }
-    if (roster.number() == 0) {
+    if (membership.number() == 0) {
       bootstrap();
     }
-    if (membership.isMember() && !stopping) {
-      duties.tick();
+    if (quorum.isMember() && !stopping) {
+      managers.tick();
     }
-    inForce.tick();
+    updateAcknowledgements.tick();
   }
 
-  private void beginLeading(LedKey state) {
-    duties.begin(state);
+  private void beginLeading(LedKey ledKey) {
+    managers.leadershipTaken(ledKey);
   }
 
   private void bootstrap() {
-    if (listedFounders.isEmpty()) {
-      founding.tick();
+    if (staticBootstrap.isEmpty()) {
+      bootstrap.tick();
     } else {
-      listedFounders.form().ifPresent(this::learnRoster);
+      staticBootstrap.form().ifPresent(this::learnMembership);
     }
   }
 
@@ -281,10 +286,10 @@
   public void stop(Runnable whenDone) {
     stopping = true;
     keys.transferAll();
-    surroundings.after(
+    environment.schedule(
         MembershipConstants.QUORUM_HEARTBEAT_INTERVAL_MS,
         () -> {
-          end();
+          terminate();
           whenDone.run();
         });
   }
@@ -292,23 +297,24 @@
   // ---- membership and committed values
 
   @Override
-  protected void learnRoster(QuorumMembership newer) {
-    long before = roster.number();
-    super.learnRoster(newer);
-    if (roster.number() == before || !started) {
+  protected void learnMembership(QuorumMembership newerMembership) {
+    long before = membership.number();
+    super.learnMembership(newerMembership);
+    if (membership.number() == before || !started) {
       return;
     }
-    membership.meetMembers();
-    membership.forgetStrangers();
-    if (membership.isReplica() || bounds.voter()) {
-      surroundings.write(List.of(rosterRecord()), () -> {});
+    quorum.addMembersAsPeers();
+    quorum.removeFormerPeers();
+    if (quorum.isReplica() || settings.voter()) {
+      environment.write(List.of(rosterRecord()), () -> {});
     }
-    if (!membership.isReplica()) {
-      keys.abandonAll();
+    if (!quorum.isReplica()) {
+      keys.resignAll();
       return;
     }
-    replicas.learnSet(QuorumView.SET_NAME, roster.number(), newcomer::copyIfNewcomer);
-    keys.changeSets();
+    replicas.adoptConfiguration(
+        QuorumView.SET_NAME, membership.number(), joiningMember::catchUpIfJoining);
+    keys.reconfigure();
   }
 
   private void committed(String key, LogEntry entry) {
@@ -322,70 +328,72 @@
   }
 
   /** Takes a committed value, from this node's own log or from a peer's feed. */
-  private void learn(MetadataRecord item) {
-    replicas.committedElsewhere(item.key(), item.sequence());
-    if (!table.put(item)) {
+  private void learn(MetadataRecord metadataRecord) {
+    replicas.committedElsewhere(metadataRecord.key(), metadataRecord.sequence());
+    if (!table.put(metadataRecord)) {
       return;
     }
-    if (item.key().equals(MetadataKeys.MEMBERSHIP)) {
-      learnRoster(Json.read(item.value(), QuorumMembership.class));
+    if (metadataRecord.key().equals(MetadataKeys.MEMBERSHIP)) {
+      learnMembership(Json.read(metadataRecord.value(), QuorumMembership.class));
     }
-    if (membership.isMember()
-        && (item.key().startsWith(MetadataKeys.MEMBER_PREFIX)
-            || item.key().startsWith(MetadataKeys.STORAGE_PREFIX))) {
-      duties.storage().lookSoon();
+    if (quorum.isMember()
+        && (metadataRecord.key().startsWith(MetadataKeys.MEMBER_PREFIX)
+            || metadataRecord.key().startsWith(MetadataKeys.STORAGE_PREFIX))) {
+      managers.storage().checkSoon();
     }
-    feed.publish(item);
+    feed.publish(metadataRecord);
   }
 
   // ---- commands
 
   @Override
-  protected void handleAsk(PeerRequest ask) {
-    if (ask.duty().equals("copy")) {
-      copier.copyOut(ask);
+  protected void handleRequest(PeerRequest request) {
+    if (request.operation().equals("copy")) {
+      catchUp.servePage(request);
       return;
     }
-    if (!membership.isMember()) {
-      replies.refuse(ask, new ApiError.NotReady("this process is not in the core's roster"));
+    if (!quorum.isMember()) {
+      responder.reject(request, new ApiError.NotReady("this process is not in the core's roster"));
       return;
     }
-    if (ask.duty().equals("storage-id")) {
-      duties.storage().tellId(ask, feed.freshness().isFresh());
+    if (request.operation().equals("storage-id")) {
+      managers.storage().respondWithId(request, feed.freshness().isFresh());
       return;
     }
-    LedKey state = keys.get(ask.key());
-    if (state != null) {
-      duties.run(ask, state);
+    LedKey ledKey = keys.get(request.key());
+    if (ledKey != null) {
+      managers.run(request, ledKey);
       return;
     }
-    if (membership.cutOff()) {
-      replies.refuse(ask, new ApiError.NoQuorum(ask.key()));
+    if (quorum.isIsolated()) {
+      responder.reject(request, new ApiError.NoQuorum(request.key()));
       return;
     }
-    forwardOrClaim(ask);
+    forwardOrClaim(request);
   }
 
   /** Forwards a command to the key's leader, or else to the one that is first to claim the key. */
-  private void forwardOrClaim(PeerRequest ask) {
-    String first = RendezvousHashing.first(ask.key(), membership.liveMembers());
-    LogReplica copy = replicas.copies().get(ask.key());
-    if (copy != null && !replicas.ownerSilent(copy) && !copy.owner.equals(place.id())) {
-      handOver(ask, copy.owner, copy.ownerAddress);
-    } else if (!place.id().equals(first)) {
-      handOver(ask, first, membership.addressOf(first));
+  private void forwardOrClaim(PeerRequest request) {
+    String first = RendezvousHashing.first(request.key(), quorum.liveMembers());
+    LogReplica replica = replicas.replicas().get(request.key());
+    if (replica != null
+        && !replicas.isLeaderSilent(replica)
+        && !replica.leaderId.equals(identity.id())) {
+      forward(request, replica.leaderId, replica.leaderAddress);
+    } else if (!identity.id().equals(first)) {
+      forward(request, first, quorum.addressOf(first));
     } else if (stopping) {
-      replies.refuse(ask, new ApiError.NodeStopping());
+      responder.reject(request, new ApiError.NodeStopping());
     } else {
-      keys.claim(ask.key(), outcome -> claimed(ask, outcome));
+      keys.elect(request.key(), outcome -> claimed(request, outcome));
     }
   }
 
-  private void claimed(PeerRequest ask, ElectionOutcome outcome) {
-    switch (outcome.claim()) {
-      case OWNED -> duties.run(ask, keys.get(ask.key()));
-      case BUSY -> handOver(ask, outcome.ownerId(), outcome.ownerAddress());
-      case NO_MAJORITY -> replies.refuse(ask, new ApiError.NoQuorum(ask.key()));
+  private void claimed(PeerRequest request, ElectionOutcome outcome) {
+    switch (outcome.result()) {
+      case ELECTED -> managers.run(request, keys.get(request.key()));
+      case LEADER_ALIVE -> forward(request, outcome.leaderId(), outcome.leaderAddress());
+      case NO_QUORUM -> responder.reject(request, new ApiError.NoQuorum(request.key()));
     }
   }
 
@@ -395,35 +403,35 @@
   protected void handle(Message message, String fromId, String fromAddress) {
     if (message instanceof QuorumHeartbeat ping) {
       pinged(ping, fromAddress);
-    } else if (message instanceof ChangeFeedPoll follow) {
-      feed.follow(follow, fromId, fromAddress);
-    } else if (message instanceof ChangeFeedUpdate updates) {
-      feed.receive(updates, fromAddress);
+    } else if (message instanceof ChangeFeedPoll poll) {
+      feed.handlePoll(poll, fromId, fromAddress);
+    } else if (message instanceof ChangeFeedUpdate update) {
+      feed.handleUpdate(update, fromAddress);
     } else if (message instanceof AppliedPositions known) {
-      inForce.known(known);
+      updateAcknowledgements.handleAppliedPositions(known);
     } else if (message instanceof VoteResponse promised) {
-      keys.promised(promised, fromId);
+      keys.handleVoteResponse(promised, fromId);
     } else if (message instanceof LogFetchResponse part) {
-      keys.logPart(part);
+      keys.handleLogFetchResponse(part);
     } else if (message instanceof AppendResponse appended) {
-      keys.appended(appended, fromId);
+      keys.handleAppendResponse(appended, fromId);
     } else if (message instanceof LeadershipTransfer transfer) {
-      if (membership.isMember() && !stopping && keys.get(transfer.key()) == null) {
-        keys.takeOver(transfer.key());
+      if (quorum.isMember() && !stopping && keys.get(transfer.key()) == null) {
+        keys.acceptTransfer(transfer.key());
       }
-    } else if (membership.isReplica()) {
+    } else if (quorum.isReplica()) {
       handleAsReplica(message, fromId, fromAddress);
     }
   }
 
   private void handleAsReplica(Message message, String fromId, String fromAddress) {
     if (message instanceof AppendRequest append) {
-      replicas.append(append, fromId, fromAddress);
-      feed.respondToUnsurePolls();
+      replicas.handleAppendRequest(append, fromId, fromAddress);
+      feed.respondToDeferredPolls();
     } else if (message instanceof VoteRequest promise) {
-      replicas.promise(promise, fromId, fromAddress);
+      replicas.handleVoteRequest(promise, fromId, fromAddress);
     } else if (message instanceof LogFetchRequest logAsk) {
-      replicas.tellLog(logAsk, fromId, fromAddress);
+      replicas.handleLogFetchRequest(logAsk, fromId, fromAddress);
     }
   }
 
@@ -433,7 +441,7 @@
    */
   private void pinged(QuorumHeartbeat ping, String fromAddress) {
     HeartbeatExchange.ContactChange contact = heartbeat.receive(ping, fromAddress);
-    if (!started || !membership.isMember() || !membership.includes(fromAddress)) {
+    if (!started || !quorum.isMember() || !quorum.includes(fromAddress)) {
       return;
     }
     if (contact.heardAgain()) {
@@ -441,7 +449,7 @@
       feed.poll(fromAddress);
     }
     if (contact.hearEachOtherAgain() && !stopping) {
-      keys.claimOrphans();
+      keys.electForLeaderlessKeys();
     }
   }
 
@@ -452,18 +460,18 @@
   }
 
   /** What emptying a node would move where; nothing is changed. */
-  public ObjectNode planEmptying(String id) {
-    return duties.storage().planEmptying(id);
+  public ObjectNode planDrain(String id) {
+    return managers.storage().planDrain(id);
   }
 
   /** A storage node's id by its id or its name; the text itself if neither is known. */
   public String storageId(String idOrName) {
-    return duties.storage().idOf(idOrName).orElse(idOrName);
+    return managers.storage().idOf(idOrName).orElse(idOrName);
   }
 
   /** Every storage node known, with its state and how many shards name it. */
   public ArrayNode storageNodes() {
-    return duties.storage().nodes();
+    return managers.storage().nodes();
   }
 
   /**
@@ -471,21 +479,21 @@
    * unless enough others remain. durationMs is how long the caller expects it to take; moving
    * begins at once whatever it says.
    */
-  public void emptyStorage(String name, long durationMs, Consumer<Response> then) {
-    commands.emptyStorage(name, then);
+  public void drainStorageNode(String name, long durationMs, Consumer<Response> then) {
+    commands.drainStorageNode(name, then);
   }
 
   /**
    * Whether a storage node may be taken away: complete is true once nothing is on it and nothing
    * lacks a replica.
    */
-  public void storagePlace(String name, Consumer<Response> then) {
-    commands.storagePlace(name, then);
+  public void isStorageNodeDrained(String name, Consumer<Response> then) {
+    commands.isStorageNodeDrained(name, then);
   }
 
   /** Sends a command of an operator or of the platform to the leader of a key. */
-  public void command(String duty, String key, Object body, Consumer<Response> then) {
-    commands.send(duty, key, body, then);
+  public void command(String operation, String key, Object body, Consumer<Response> then) {
+    commands.send(operation, key, body, then);
   }
 
   /** The workers as committed and known here, with the age of this knowledge. */
@@ -514,7 +522,7 @@
     if (stopping) {
       return "stopping";
     }
-    if (!membership.isMember()) {
+    if (!quorum.isMember()) {
       return "not in the core's roster";
     }
     return feed.freshness().ageMs() > MembershipConstants.QUORUM_PEER_TIMEOUT_MS
@@ -525,13 +533,13 @@
   @Override
   public ObjectNode status() {
     ObjectNode status = commonStatus();
-    status.put("feedNumber", feed.number()).put("feedAgeMs", feed.freshness().ageMs());
+    status.put("feedNumber", feed.position()).put("feedAgeMs", feed.freshness().ageMs());
     ArrayNode live = status.putArray("liveCore");
-    membership.liveMembers().forEach(live::add);
+    quorum.liveMembers().forEach(live::add);
     ObjectNode epochs = status.putObject("owned");
-    keys.led().forEach((key, state) -> epochs.put(key, state.key.epoch().counter()));
+    keys.all().forEach((key, ledKey) -> epochs.put(key, ledKey.leader.epoch().counter()));
     view.describe(status);
-    duties.describe(status);
+    managers.describe(status);
     return status;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
@@ -16,45 +16,47 @@
 final class EdgeListManager {
   private static final String PART = "core";
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final MetadataTable table;
-  private final QuorumView membership;
+  private final QuorumView quorum;
   private final LedKeys keys;
-  private final UpdateAcknowledgements inForce;
+  private final UpdateAcknowledgements updateAcknowledgements;
   private final EdgeListPolicy listing;
 
   EdgeListManager(
-      Environment surroundings,
+      Environment environment,
       MetadataTable table,
-      QuorumView membership,
+      QuorumView quorum,
       LedKeys keys,
-      UpdateAcknowledgements inForce) {
-    this.surroundings = surroundings;
+      UpdateAcknowledgements updateAcknowledgements) {
+    this.environment = environment;
     this.table = table;
-    this.membership = membership;
+    this.quorum = quorum;
     this.keys = keys;
-    this.inForce = inForce;
-    this.listing = new EdgeListPolicy(surroundings);
+    this.updateAcknowledgements = updateAcknowledgements;
+    this.listing = new EdgeListPolicy(environment);
   }
 
   void tick() {
-    LedKey state = keys.get(MetadataKeys.EDGE_LIST);
+    LedKey ledKey = keys.get(MetadataKeys.EDGE_LIST);
     Set<String> live = UpdateAcknowledgements.KnownEdges.of(table).live().keySet();
-    if (state == null) {
+    if (ledKey == null) {
       boolean needed = !table.has(MetadataKeys.EDGE_LIST) && !live.isEmpty();
-      if (needed && membership.isFirstFor(MetadataKeys.EDGE_LIST)) {
-        keys.claim(MetadataKeys.EDGE_LIST);
+      if (needed && quorum.isPreferredLeaderOf(MetadataKeys.EDGE_LIST)) {
+        keys.elect(MetadataKeys.EDGE_LIST);
       }
       return;
     }
-    EdgeList list = state.as(EdgeList.class);
+    EdgeList list = ledKey.as(EdgeList.class);
     boolean knownToMost =
-        list != null && inForce.knownToMost(MetadataKeys.EDGE_LIST, state.valueSequence);
+        list != null
+            && updateAcknowledgements.isAppliedByMajority(
+                MetadataKeys.EDGE_LIST, ledKey.valueSequence);
     EdgeList next = listing.next(list, live, knownToMost);
     if (next != null) {
-      surroundings.log(
+      environment.log(
           PART, "Edges that count: list " + next.number() + " of " + next.addresses().size() + ".");
-      keys.put(state, next, fault -> {});
+      keys.put(ledKey, next, error -> {});
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
@@ -15,7 +15,7 @@
  * must keep to.
  */
 final class EdgeListPolicy {
-  private final Environment surroundings;
+  private final Environment environment;
 
   /** Edges that joined and when the last of them did, until the first list is made. */
   private Set<String> joining = Set.of();
@@ -24,15 +24,15 @@
   private long changedAt;
   private final Map<String, Long> silentSince = new HashMap<>();
 
-  EdgeListPolicy(Environment surroundings) {
-    this.surroundings = surroundings;
+  EdgeListPolicy(Environment environment) {
+    this.environment = environment;
   }
 
   /** The next list, or null if there is nothing to change now; present is null before the first. */
   EdgeList next(EdgeList present, Set<String> live, boolean presentKnownToMost) {
     EdgeList next = present == null ? first(live) : changed(present, live, presentKnownToMost);
     if (next != null) {
-      changedAt = surroundings.now();
+      changedAt = environment.nowMs();
     }
     return next;
   }
@@ -40,16 +40,16 @@
   private EdgeList first(Set<String> live) {
     if (!live.equals(joining)) {
       joining = Set.copyOf(live);
-      lastJoinedAt = surroundings.now();
+      lastJoinedAt = environment.nowMs();
       return null;
     }
-    boolean settled = surroundings.now() - lastJoinedAt >= MembershipConstants.EDGE_LIST_SETTLE_MS;
+    boolean settled = environment.nowMs() - lastJoinedAt >= MembershipConstants.EDGE_LIST_SETTLE_MS;
     return live.isEmpty() || !settled ? null : new EdgeList(1, List.copyOf(live));
   }
 
   /** One address at a time, and only when a majority of the edges knows the present list. */
   private EdgeList changed(EdgeList present, Set<String> live, boolean presentKnownToMost) {
-    long now = surroundings.now();
+    long now = environment.nowMs();
     silentSince.keySet().removeAll(live);
     present.addresses().stream()
         .filter(address -> !live.contains(address))
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
@@ -15,7 +15,7 @@
  * was appended, whether it is committed by now or not; they are lost with the leadership.
  */
 final class LedKey {
-  final ReplicatedLogLeader key;
+  final ReplicatedLogLeader leader;
 
   /** What the last appended event made of the key; null for the batch room, which has a ledger. */
   JsonNode value = JSON.nullNode();
@@ -24,19 +24,19 @@
   long valueSequence;
 
   /** The ledger of the batch room; empty for every other key. */
-  final BatchCapacityLedger room = new BatchCapacityLedger();
+  final BatchCapacityLedger capacityLedger = new BatchCapacityLedger();
 
   /** For the key of a member: when its lease ends, on this node's clock. */
   long leaseExpiresAt;
 
   /** For a replica set under change: the set number under which each newcomer has copied it. */
-  final Map<String, Long> copied = new HashMap<>();
+  final Map<String, Long> caughtUpVersions = new HashMap<>();
 
   private Object decoded;
   private JsonNode decodedFrom;
 
   LedKey(ReplicatedLogLeader key) {
-    this.key = key;
+    this.leader = key;
   }
 
   /** The value as its type, null if there is none yet; decoded once for each value. */
@@ -53,8 +53,8 @@
     if (entry.isTakeover()) {
       return;
     }
-    if (key.key.equals(MetadataKeys.BATCH_CAPACITY)) {
-      room.replay(entry);
+    if (leader.key.equals(MetadataKeys.BATCH_CAPACITY)) {
+      capacityLedger.replay(entry);
       return;
     }
     value = Json.tree(entry.event());
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -35,103 +35,103 @@
  * first in the key's agreed order claims it, and only once its leader has been silent.
  */
 final class LedKeys implements KeyLeadership {
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final QuorumView quorum;
   private final LogReplicas replicas;
   private final MetadataTable table;
-  private final TraceLog journal;
+  private final TraceLog traceLog;
   private final MessageSender sender;
   private final BooleanSupplier stopping;
-  private final Consumer<LedKey> whenLed;
-  private final Elections claims;
-  private final Map<String, LedKey> led = new TreeMap<>();
+  private final Consumer<LedKey> leadershipListener;
+  private final Elections elections;
+  private final Map<String, LedKey> ledKeys = new TreeMap<>();
 
   LedKeys(
-      Environment surroundings,
-      NodeIdentity place,
-      QuorumView membership,
+      Environment environment,
+      NodeIdentity identity,
+      QuorumView quorum,
       LogReplicas replicas,
       MetadataTable table,
-      TraceLog journal,
+      TraceLog traceLog,
       MessageSender sender,
       BooleanSupplier stopping,
       Consumer<LedKey> whenLed) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.membership = membership;
+    this.environment = environment;
+    this.identity = identity;
+    this.quorum = quorum;
     this.replicas = replicas;
     this.table = table;
-    this.journal = journal;
+    this.traceLog = traceLog;
     this.sender = sender;
     this.stopping = stopping;
-    this.whenLed = whenLed;
-    this.claims =
+    this.leadershipListener = whenLed;
+    this.elections =
         new Elections(
-            surroundings, place.id(), sender, key -> membership.replicaSets(), this::begin, true);
+            environment, identity.id(), sender, key -> quorum.replicaSets(), this::begin, true);
   }
 
   /** By key, in the order of the keys. */
-  Map<String, LedKey> led() {
-    return led;
+  Map<String, LedKey> all() {
+    return ledKeys;
   }
 
   /** Null if this node does not lead the key. */
   LedKey get(String key) {
-    return led.get(key);
+    return ledKeys.get(key);
   }
 
   @Override
-  public List<String> inContact() {
-    return led.values().stream()
-        .filter(state -> state.key.hearsMajority())
-        .map(state -> state.key.key)
+  public List<String> keysInContactWithQuorum() {
+    return ledKeys.values().stream()
+        .filter(ledKey -> ledKey.leader.isInContactWithQuorum())
+        .map(ledKey -> ledKey.leader.key)
         .toList();
   }
 
   @Override
-  public void heardBy(String replicaId) {
-    led.values().forEach(state -> state.key.heardBy(replicaId));
+  public void noteContact(String replicaId) {
+    ledKeys.values().forEach(ledKey -> ledKey.leader.noteContact(replicaId));
   }
 
   // ---- taking the leadership
 
-  void claim(String key) {
-    claim(key, outcome -> {});
+  void elect(String key) {
+    elect(key, outcome -> {});
   }
 
-  void claim(String key, Consumer<ElectionOutcome> then) {
-    claims.claim(key, false, then);
+  void elect(String key, Consumer<ElectionOutcome> then) {
+    elections.elect(key, false, then);
   }
 
   /** Takes a key that its leader transfers to this node. */
-  void takeOver(String key) {
-    claims.claim(key, true, outcome -> {});
+  void acceptTransfer(String key) {
+    elections.elect(key, true, outcome -> {});
   }
 
   /** Claims a key if nobody is heard to lead it and this node comes first for it. */
-  void claimIfVacant(String key) {
-    LogReplica copy = replicas.copies().get(key);
-    if ((copy == null || replicas.ownerSilent(copy)) && membership.isFirstFor(key)) {
-      claim(key);
+  void electIfVacant(String key) {
+    LogReplica replica = replicas.replicas().get(key);
+    if ((replica == null || replicas.isLeaderSilent(replica)) && quorum.isPreferredLeaderOf(key)) {
+      elect(key);
     }
   }
 
   /** Claims the keys held here that have lost their leader and for which this node comes first. */
-  void claimOrphans() {
-    if (!membership.hearsMajority()) {
+  void electForLeaderlessKeys() {
+    if (!quorum.isInContactWithMajority()) {
       return;
     }
-    List<String> live = membership.liveMembers();
+    List<String> live = quorum.liveMembers();
     replicas
-        .copies()
+        .replicas()
         .forEach(
-            (key, copy) -> {
-              if (!led.containsKey(key)
-                  && replicas.ownerSilent(copy)
-                  && (needsLeader(key) || replicas.undecided(key))
-                  && place.id().equals(RendezvousHashing.first(key, live))) {
-                claim(key);
+            (key, replica) -> {
+              if (!ledKeys.containsKey(key)
+                  && replicas.isLeaderSilent(replica)
+                  && (needsLeader(key) || replicas.hasUncommittedEntries(key))
+                  && identity.id().equals(RendezvousHashing.first(key, live))) {
+                elect(key);
               }
             });
   }
@@ -141,68 +141,70 @@
    * them.
    */
   private boolean needsLeader(String key) {
-    MetadataRecord item = table.get(key);
-    if (item != null && key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
-      return Json.read(item.value(), NodeRegistration.class).live();
+    MetadataRecord metadataRecord = table.get(key);
+    if (metadataRecord != null && key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
+      return Json.read(metadataRecord.value(), NodeRegistration.class).live();
     }
-    return item != null || key.equals(MetadataKeys.BATCH_CAPACITY);
+    return metadataRecord != null || key.equals(MetadataKeys.BATCH_CAPACITY);
   }
 
-  private void begin(ReplicatedLogLeader leadership) {
-    LedKey state = new LedKey(leadership);
-    leadership.entries().forEach(state::replay);
-    state.leaseExpiresAt = surroundings.now() + MembershipConstants.LEASE_DURATION_MS;
-    led.put(leadership.key, state);
-    leadership.whenLost(
+  private void begin(ReplicatedLogLeader logLeader) {
+    LedKey ledKey = new LedKey(logLeader);
+    logLeader.entries().forEach(ledKey::replay);
+    ledKey.leaseExpiresAt = environment.nowMs() + MembershipConstants.LEASE_DURATION_MS;
+    ledKeys.put(logLeader.key, ledKey);
+    logLeader.onLeadershipLost(
         () -> {
-          led.remove(leadership.key);
-          journal.add("lost", leadership.key, "");
+          ledKeys.remove(logLeader.key);
+          traceLog.add("lost", logLeader.key, "");
         });
-    journal.add("owned", leadership.key, "epoch " + leadership.epoch().counter());
-    whenLed.accept(state);
+    traceLog.add("owned", logLeader.key, "epoch " + logLeader.epoch().counter());
+    leadershipListener.accept(ledKey);
   }
 
   // ---- leading
 
   /** Appends the key's whole new value; the callback runs once it is on a majority. */
-  void put(LedKey state, Object value, Consumer<ApiError> then) {
+  void put(LedKey ledKey, Object value, Consumer<ApiError> then) {
     byte[] event = Json.bytes(value);
-    state.value = Json.tree(event);
-    state.valueSequence = state.key.append(true, event, then);
+    ledKey.value = Json.tree(event);
+    ledKey.valueSequence = ledKey.leader.append(true, event, then);
   }
 
   /** Lets every key and every claim go on with the membership as it is known now. */
-  void changeSets() {
-    List.copyOf(led.values()).forEach(state -> state.key.changeSets(membership.replicaSets()));
-    claims.changeSets();
+  void reconfigure() {
+    List.copyOf(ledKeys.values())
+        .forEach(ledKey -> ledKey.leader.reconfigure(quorum.replicaSets()));
+    elections.reconfigure();
   }
 
-  void promised(VoteResponse message, String fromId) {
-    claims.promised(message, fromId);
+  void handleVoteResponse(VoteResponse message, String fromId) {
+    elections.handleVoteResponse(message, fromId);
   }
 
-  void logPart(LogFetchResponse message) {
-    claims.logPart(message);
+  void handleLogFetchResponse(LogFetchResponse message) {
+    elections.handleLogFetchResponse(message);
   }
 
-  void appended(AppendResponse message, String fromId) {
-    LedKey state = led.get(message.key());
-    ReplicatedLogLeader leadership = state != null ? state.key : claims.claiming(message.key());
-    if (leadership != null) {
-      leadership.appended(message, fromId);
+  void handleAppendResponse(AppendResponse message, String fromId) {
+    LedKey ledKey = ledKeys.get(message.key());
+    ReplicatedLogLeader logLeader =
+        ledKey != null ? ledKey.leader : elections.inProgress(message.key());
+    if (logLeader != null) {
+      logLeader.handleAppendResponse(message, fromId);
     }
   }
 
   // ---- giving the leadership up
 
   /** Gives all keys up at once, without a successor: this node is no replica any more. */
-  void abandonAll() {
-    List.copyOf(led.values()).forEach(state -> state.key.stop());
-    led.clear();
+  void resignAll() {
+    List.copyOf(ledKeys.values()).forEach(ledKey -> ledKey.leader.resign());
+    ledKeys.clear();
   }
 
   void transferAll() {
-    List.copyOf(led.keySet()).forEach(this::transfer);
+    List.copyOf(ledKeys.keySet()).forEach(this::transfer);
   }
 
   /**
@@ -211,20 +213,20 @@
    */
   void transfer(String key) {
     String successor =
-        RendezvousHashing.order(key, membership.liveMembers()).stream()
-            .filter(id -> !id.equals(place.id()))
+        RendezvousHashing.order(key, quorum.liveMembers()).stream()
+            .filter(id -> !id.equals(identity.id()))
             .findFirst()
             .orElse("");
     if (successor.isEmpty() && !stopping.getAsBoolean()) {
       return;
     }
-    ReplicatedLogLeader leadership = led.remove(key).key;
-    leadership.stop();
+    ReplicatedLogLeader logLeader = ledKeys.remove(key).leader;
+    logLeader.resign();
     if (!successor.isEmpty()) {
       sender.send(
-          membership.addressOf(successor),
+          quorum.addressOf(successor),
           successor,
-          new LeadershipTransfer(key, leadership.epoch(), leadership.lastSequence()));
+          new LeadershipTransfer(key, logLeader.epoch(), logLeader.lastSequence()));
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/MemberLeaseManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MemberLeaseManager.java
@@ -21,10 +21,10 @@
 final class MemberLeaseManager {
   private static final String PART = "core";
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final MetadataTable table;
   private final LedKeys keys;
-  private final CommandResponder replies;
+  private final CommandResponder responder;
 
   /** Sends the command to leave for a member's key. */
   private final Consumer<String> endMembership;
@@ -32,15 +32,15 @@
   private long lastExpiryAt = Long.MIN_VALUE / 2;
 
   MemberLeaseManager(
-      Environment surroundings,
+      Environment environment,
       MetadataTable table,
       LedKeys keys,
-      CommandResponder replies,
+      CommandResponder responder,
       Consumer<String> endMembership) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.table = table;
     this.keys = keys;
-    this.replies = replies;
+    this.responder = responder;
     this.endMembership = endMembership;
   }
 
@@ -49,25 +49,25 @@
    * handled only after this call: the time it missed itself is no silence of the members.
    */
   void expire() {
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long suspendedMs = now - lastExpiryAt;
     lastExpiryAt = now;
     if (suspendedMs > MembershipConstants.SUSPENSION_THRESHOLD_MS) {
-      keys.led().values().forEach(state -> state.leaseExpiresAt += suspendedMs);
+      keys.all().values().forEach(ledKey -> ledKey.leaseExpiresAt += suspendedMs);
       return;
     }
-    for (LedKey state : List.copyOf(keys.led().values())) {
-      if (isLive(state) && now >= state.leaseExpiresAt) {
-        NodeRegistration member = JSON.convertValue(state.value, NodeRegistration.class);
-        surroundings.log(PART, "Member expired: " + member.name() + ".");
-        keys.put(state, ended(member), fault -> {});
+    for (LedKey ledKey : List.copyOf(keys.all().values())) {
+      if (isLive(ledKey) && now >= ledKey.leaseExpiresAt) {
+        NodeRegistration member = JSON.convertValue(ledKey.value, NodeRegistration.class);
+        environment.log(PART, "Member expired: " + member.name() + ".");
+        keys.put(ledKey, ended(member), error -> {});
       }
     }
   }
 
-  private static boolean isLive(LedKey state) {
-    return state.key.key.startsWith(MetadataKeys.MEMBER_PREFIX)
-        && state.value.path("live").asBoolean();
+  private static boolean isLive(LedKey ledKey) {
+    return ledKey.leader.key.startsWith(MetadataKeys.MEMBER_PREFIX)
+        && ledKey.value.path("live").asBoolean();
   }
 
   private static NodeRegistration ended(NodeRegistration member) {
@@ -83,17 +83,17 @@
   }
 
   /** Grants or renews a lease. A renewal that changes nothing about the member is not written. */
-  void grant(PeerRequest ask, LedKey state, NodeRegistration member) {
-    state.leaseExpiresAt = surroundings.now() + MembershipConstants.LEASE_DURATION_MS;
+  void renew(PeerRequest request, LedKey ledKey, NodeRegistration member) {
+    ledKey.leaseExpiresAt = environment.nowMs() + MembershipConstants.LEASE_DURATION_MS;
     ObjectNode body = JSON.createObjectNode().put("grantMs", MembershipConstants.LEASE_DURATION_MS);
-    if (!state.value.isNull()
-        && member.equals(JSON.convertValue(state.value, NodeRegistration.class))) {
-      replies.respond(ask, Response.of(200, body));
+    if (!ledKey.value.isNull()
+        && member.equals(JSON.convertValue(ledKey.value, NodeRegistration.class))) {
+      responder.respond(request, Response.of(200, body));
       return;
     }
-    surroundings.log(PART, "Member joined: " + member.name() + ".");
+    environment.log(PART, "Member joined: " + member.name() + ".");
     endFormer(member);
-    keys.put(state, member, fault -> replies.respond(ask, fault, () -> body));
+    keys.put(ledKey, member, error -> responder.respond(request, error, () -> body));
   }
 
   /**
@@ -109,14 +109,14 @@
         .forEach(former -> endMembership.accept(MetadataKeys.MEMBER_PREFIX + former.id()));
   }
 
-  void leave(PeerRequest ask, LedKey state) {
-    if (!state.value.path("live").asBoolean()) {
-      replies.respond(ask, Response.of(200, JSON.createObjectNode()));
+  void leave(PeerRequest request, LedKey ledKey) {
+    if (!ledKey.value.path("live").asBoolean()) {
+      responder.respond(request, Response.of(200, JSON.createObjectNode()));
       return;
     }
     keys.put(
-        state,
-        ended(JSON.convertValue(state.value, NodeRegistration.class)),
-        fault -> replies.respond(ask, fault, JSON::createObjectNode));
+        ledKey,
+        ended(JSON.convertValue(ledKey.value, NodeRegistration.class)),
+        error -> responder.respond(request, error, JSON::createObjectNode));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
@@ -33,8 +33,8 @@
     ObjectNode body = JSON.createObjectNode();
     ArrayNode workers = body.putArray("workers");
     table
-        .under(MetadataKeys.WORKER_PREFIX)
-        .map(item -> Json.tree(item.value()))
+        .withPrefix(MetadataKeys.WORKER_PREFIX)
+        .map(metadataRecord -> Json.tree(metadataRecord.value()))
         .filter(worker -> !worker.path("state").asText().equals(WorkerRegistration.GONE))
         .forEach(workers::add);
     if (table.has(MetadataKeys.WORKER_LIST)) {
@@ -48,8 +48,8 @@
   /** Ids of the workers that were listed by commands of their own. */
   List<String> workerIds() {
     return table
-        .under(MetadataKeys.WORKER_PREFIX)
-        .map(item -> Json.read(item.value(), WorkerRegistration.class))
+        .withPrefix(MetadataKeys.WORKER_PREFIX)
+        .map(metadataRecord -> Json.read(metadataRecord.value(), WorkerRegistration.class))
         .filter(worker -> !worker.state().equals(WorkerRegistration.GONE))
         .map(WorkerRegistration::id)
         .toList();
@@ -68,11 +68,11 @@
         bundle == null ? 0 : Json.read(bundle.value(), SignedConfiguration.class).number());
     ObjectNode shards = status.putObject("shards");
     table
-        .under(MetadataKeys.SHARD_PREFIX)
+        .withPrefix(MetadataKeys.SHARD_PREFIX)
         .forEach(
-            item ->
+            metadataRecord ->
                 shards.set(
-                    item.key().substring(MetadataKeys.SHARD_PREFIX.length()),
-                    Json.tree(item.value())));
+                    metadataRecord.key().substring(MetadataKeys.SHARD_PREFIX.length()),
+                    Json.tree(metadataRecord.value())));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
@@ -24,9 +24,9 @@
 final class QuorumMembershipManager {
   private static final String PART = "core";
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final QuorumView quorum;
   private final LedKeys keys;
 
   /** A core of fewer members than this is grown; 0 where the founders are listed. */
@@ -36,66 +36,66 @@
   private final Map<String, Long> silentSince = new HashMap<>();
 
   QuorumMembershipManager(
-      Environment surroundings,
-      NodeIdentity place,
-      QuorumView membership,
+      Environment environment,
+      NodeIdentity identity,
+      QuorumView quorum,
       LedKeys keys,
       int wantedMembers) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.membership = membership;
+    this.environment = environment;
+    this.identity = identity;
+    this.quorum = quorum;
     this.keys = keys;
     this.wantedMembers = wantedMembers;
   }
 
   /** Takes the next step, if there is one to take and this node leads the key. */
   void advance() {
-    LedKey state = keys.get(MetadataKeys.MEMBERSHIP);
-    if (state == null) {
-      keys.claimIfVacant(MetadataKeys.MEMBERSHIP);
+    LedKey ledKey = keys.get(MetadataKeys.MEMBERSHIP);
+    if (ledKey == null) {
+      keys.electIfVacant(MetadataKeys.MEMBERSHIP);
       return;
     }
     QuorumMembership present =
-        state.value.isNull() ? membership.current() : state.as(QuorumMembership.class);
-    if (present.number() != membership.current().number()) {
+        ledKey.value.isNull() ? quorum.current() : ledKey.as(QuorumMembership.class);
+    if (present.number() != quorum.current().number()) {
       return;
     }
     if (!present.next().isEmpty()) {
-      settle(state, present);
-    } else if (!replaceLost(state, present)) {
-      grow(state, present);
+      settle(ledKey, present);
+    } else if (!replaceLost(ledKey, present)) {
+      grow(ledKey, present);
     }
   }
 
   /** Ends a change once the newcomer has copied, or calls it off if the newcomer is silent. */
-  private void settle(LedKey state, QuorumMembership present) {
+  private void settle(LedKey ledKey, QuorumMembership present) {
     QuorumMember newcomer =
         present.next().stream()
             .filter(member -> !present.members().contains(member))
             .findFirst()
             .get();
-    if (state.copied.getOrDefault(newcomer.id(), 0L) == present.number()) {
-      surroundings.log(PART, "Core member taken in: " + newcomer.name() + ".");
-      put(state, present, present.next(), List.of());
+    if (ledKey.caughtUpVersions.getOrDefault(newcomer.id(), 0L) == present.number()) {
+      environment.log(PART, "Core member taken in: " + newcomer.name() + ".");
+      put(ledKey, present, present.next(), List.of());
     } else if (!isThere(newcomer)) {
-      put(state, present, present.members(), List.of());
+      put(ledKey, present, present.members(), List.of());
     }
   }
 
   private boolean isThere(QuorumMember member) {
-    QuorumPeer peer = membership.peers().get(member.peerAddress());
-    return peer != null && membership.alive(peer) && peer.member.id().equals(member.id());
+    QuorumPeer peer = quorum.peers().get(member.peerAddress());
+    return peer != null && quorum.isAlive(peer) && peer.member.id().equals(member.id());
   }
 
   /** True if a replacement was begun. */
-  private boolean replaceLost(LedKey state, QuorumMembership present) {
+  private boolean replaceLost(LedKey ledKey, QuorumMembership present) {
     for (QuorumMember member : present.members()) {
       Optional<QuorumMember> replacement = replacementOf(member);
       if (replacement.isPresent()) {
         List<QuorumMember> next = new ArrayList<>(present.members());
         next.set(next.indexOf(member), replacement.get());
         String names = member.name() + " is being replaced by " + replacement.get().name();
-        begin(state, present, next, "Core member " + names + ".");
+        begin(ledKey, present, next, "Core member " + names + ".");
         return true;
       }
     }
@@ -104,18 +104,18 @@
 
   /** Empty while the member is there, or may come back, or nobody can take its place. */
   private Optional<QuorumMember> replacementOf(QuorumMember member) {
-    QuorumPeer peer = membership.peers().get(member.peerAddress());
-    if (member.id().equals(place.id()) || isThere(member)) {
+    QuorumPeer peer = quorum.peers().get(member.peerAddress());
+    if (member.id().equals(identity.id()) || isThere(member)) {
       silentSince.remove(member.id());
       return Optional.empty();
     }
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long silentMs = now - silentSince.computeIfAbsent(member.id(), unseen -> now);
     // Another process at the address says that the member's disk is gone: it never comes back, so
     // nothing is waited for.
     boolean sameProcess =
         peer != null && peer.member != null && peer.member.id().equals(member.id());
-    if (peer != null && !sameProcess && membership.alive(peer) && peer.candidate) {
+    if (peer != null && !sameProcess && quorum.isAlive(peer) && peer.joinCandidate) {
       return Optional.of(peer.member);
     }
     return silentMs >= MembershipConstants.QUORUM_MEMBER_REPLACEMENT_DELAY_MS
@@ -123,7 +123,7 @@
         : Optional.empty();
   }
 
-  private void grow(LedKey state, QuorumMembership present) {
+  private void grow(LedKey ledKey, QuorumMembership present) {
     if (present.members().size() >= wantedMembers) {
       return;
     }
@@ -132,7 +132,7 @@
             candidate -> {
               List<QuorumMember> next = new ArrayList<>(present.members());
               next.add(candidate);
-              begin(state, present, next, "The core takes " + candidate.name() + " in.");
+              begin(ledKey, present, next, "The core takes " + candidate.name() + " in.");
             });
   }
 
@@ -141,8 +141,8 @@
    * when the core grows.
    */
   private Optional<QuorumMember> candidateFor(QuorumMember leaver) {
-    return membership.peers().values().stream()
-        .filter(peer -> membership.alive(peer) && peer.candidate)
+    return quorum.peers().values().stream()
+        .filter(peer -> quorum.isAlive(peer) && peer.joinCandidate)
         .map(peer -> peer.member)
         .min(
             Comparator.comparing(
@@ -152,20 +152,21 @@
   }
 
   private long membersIn(String zone) {
-    return membership.current().members().stream()
-        .filter(member -> member.zone().equals(zone))
-        .count();
+    return quorum.current().members().stream().filter(member -> member.zone().equals(zone)).count();
   }
 
   private void begin(
-      LedKey state, QuorumMembership present, List<QuorumMember> next, String sentence) {
-    surroundings.log(PART, sentence);
-    state.copied.clear();
-    put(state, present, present.members(), next);
+      LedKey ledKey, QuorumMembership present, List<QuorumMember> next, String sentence) {
+    environment.log(PART, sentence);
+    ledKey.caughtUpVersions.clear();
+    put(ledKey, present, present.members(), next);
   }
 
   private void put(
-      LedKey state, QuorumMembership present, List<QuorumMember> members, List<QuorumMember> next) {
-    keys.put(state, new QuorumMembership(present.number() + 1, members, next), fault -> {});
+      LedKey ledKey,
+      QuorumMembership present,
+      List<QuorumMember> members,
+      List<QuorumMember> next) {
+    keys.put(ledKey, new QuorumMembership(present.number() + 1, members, next), error -> {});
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
@@ -36,7 +36,7 @@
 final class ShardReplicaManager {
   private static final String PART = "core";
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final ControlPlaneNode core;
   private final MetadataTable table;
   private final int replicas;
@@ -49,17 +49,17 @@
 
   private boolean lookPlanned;
 
-  ShardReplicaManager(Environment surroundings, ControlPlaneNode core, NodeSettings bounds) {
-    this.surroundings = surroundings;
+  ShardReplicaManager(Environment environment, ControlPlaneNode core, NodeSettings settings) {
+    this.environment = environment;
     this.core = core;
     this.table = core.table;
-    this.replicas = bounds.replicas();
+    this.replicas = settings.replicas();
   }
 
   void tick() {
     make();
     change();
-    if (pending() == 0 && surroundings.random().nextInt(ShardConstants.BALANCE_CHECK_ONE_IN) == 0) {
+    if (pending() == 0 && environment.random().nextInt(ShardConstants.BALANCE_CHECK_ONE_IN) == 0) {
       balance();
     }
   }
@@ -68,14 +68,14 @@
    * A step is taken as soon as the one before is done: every shard of a lost disk has to be moved
    * within seconds.
    */
-  void lookSoon() {
+  void checkSoon() {
     if (!lookPlanned) {
       lookPlanned = true;
-      surroundings.after(
+      environment.schedule(
           ShardConstants.MIN_CHECK_INTERVAL_MS,
           () -> {
             lookPlanned = false;
-            if (!core.stopped() && !core.stopping) {
+            if (!core.isTerminated() && !core.stopping) {
               change();
             }
           });
@@ -88,20 +88,20 @@
     if (storage.size() < replicas || table.shards().size() == ShardConstants.SHARD_COUNT) {
       return;
     }
-    List<String> live = core.membership.liveMembers();
+    List<String> live = core.quorum.liveMembers();
     for (int shard = 0; shard < ShardConstants.SHARD_COUNT; shard++) {
       String key = MetadataKeys.SHARD_PREFIX + shard;
-      if (table.has(key) || !core.place().id().equals(RendezvousHashing.first(key, live))) {
+      if (table.has(key) || !core.identity().id().equals(RendezvousHashing.first(key, live))) {
         continue;
       }
-      LedKey state = core.keys.get(key);
-      if (state == null) {
-        core.keys.claim(key);
-      } else if (state.value.isNull()) {
+      LedKey ledKey = core.keys.get(key);
+      if (ledKey == null) {
+        core.keys.elect(key);
+      } else if (ledKey.value.isNull()) {
         core.keys.put(
-            state,
+            ledKey,
             new ShardAssignment(1, ShardPlacement.placeShard(key, storage, replicas), List.of()),
-            fault -> {});
+            error -> {});
       }
     }
   }
@@ -115,7 +115,7 @@
 
   /** Live storage nodes that take shards. */
   private List<NodeRegistration> spares() {
-    return table.live("storage").stream().filter(member -> table.active(member.id())).toList();
+    return table.live("storage").stream().filter(member -> table.isActive(member.id())).toList();
   }
 
   /** How many shards name each storage node among their present replicas. */
@@ -131,20 +131,21 @@
   }
 
   private List<LedKey> ownedShards() {
-    return core.keys.led().values().stream()
+    return core.keys.all().values().stream()
         .filter(
-            state -> state.key.key.startsWith(MetadataKeys.SHARD_PREFIX) && !state.value.isNull())
+            ledKey ->
+                ledKey.leader.key.startsWith(MetadataKeys.SHARD_PREFIX) && !ledKey.value.isNull())
         .toList();
   }
 
   private long pending() {
     return ownedShards().stream()
-        .filter(state -> !state.as(ShardAssignment.class).next().isEmpty())
+        .filter(ledKey -> !ledKey.as(ShardAssignment.class).next().isEmpty())
         .count();
   }
 
   private void change() {
-    long now = surroundings.now();
+    long now = environment.nowMs();
     Map<String, NodeRegistration> live = live();
     silentSince.keySet().removeAll(live.keySet());
     Map<String, Long> holding = held();
@@ -154,25 +155,25 @@
     silentSince.keySet().retainAll(holding.keySet());
     List<NodeRegistration> spares = spares();
     long pending = pending();
-    for (LedKey state : ownedShards()) {
-      ShardAssignment shard = state.as(ShardAssignment.class);
+    for (LedKey ledKey : ownedShards()) {
+      ShardAssignment shard = ledKey.as(ShardAssignment.class);
       if (!shard.next().isEmpty()) {
-        settle(state, shard, live);
+        settle(ledKey, shard, live);
       } else if (pending < ShardConstants.MAX_CONCURRENT_CHANGES) {
-        List<ShardReplica> next = repaired(state.key.key, shard, live, spares, holding, now);
+        List<ShardReplica> next = repaired(ledKey.leader.key, shard, live, spares, holding, now);
         if (next != null) {
           pending++;
-          changeTo(state, shard, next);
+          changeTo(ledKey, shard, next);
         }
       }
     }
   }
 
-  private void changeTo(LedKey state, ShardAssignment shard, List<ShardReplica> next) {
-    state.copied.clear();
-    core.journal().add("changing", state.key.key, "set " + (shard.number() + 1));
+  private void changeTo(LedKey ledKey, ShardAssignment shard, List<ShardReplica> next) {
+    ledKey.caughtUpVersions.clear();
+    core.traceLog().add("changing", ledKey.leader.key, "set " + (shard.number() + 1));
     core.keys.put(
-        state, new ShardAssignment(shard.number() + 1, shard.replicas(), next), fault -> {});
+        ledKey, new ShardAssignment(shard.number() + 1, shard.replicas(), next), error -> {});
   }
 
   /**
@@ -188,10 +189,10 @@
     }
     List<NodeRegistration> spares = spares();
     Map<String, Long> holding = held();
-    for (LedKey state : ownedShards()) {
-      ShardAssignment shard = state.as(ShardAssignment.class);
+    for (LedKey ledKey : ownedShards()) {
+      ShardAssignment shard = ledKey.as(ShardAssignment.class);
       List<NodeRegistration> candidates =
-          ShardPlacement.candidates(state.key.key, shard, List.of(), spares, holding).stream()
+          ShardPlacement.candidates(ledKey.leader.key, shard, List.of(), spares, holding).stream()
               .sorted(Comparator.comparingLong(member -> holding.getOrDefault(member.id(), 0L)))
               .limit(1)
               .toList();
@@ -206,7 +207,7 @@
                                 <= holding.getOrDefault(each.id(), 0L))
                 .max(Comparator.comparingLong(each -> holding.getOrDefault(each.id(), 0L)));
         if (fullest.isPresent()) {
-          changeTo(state, shard, ShardPlacement.replaced(shard, fullest.get(), candidate));
+          changeTo(ledKey, shard, ShardPlacement.replaced(shard, fullest.get(), candidate));
           return;
         }
       }
@@ -218,26 +219,26 @@
     return shard.next().isEmpty()
         && shard.replicas().size() == replicas
         && shard.replicas().stream()
-            .allMatch(each -> live.containsKey(each.id()) && table.active(each.id()));
+            .allMatch(each -> live.containsKey(each.id()) && table.isActive(each.id()));
   }
 
   /** Ends a change once the newcomer has copied, or calls it off if the newcomer has died. */
-  private void settle(LedKey state, ShardAssignment shard, Map<String, NodeRegistration> live) {
+  private void settle(LedKey ledKey, ShardAssignment shard, Map<String, NodeRegistration> live) {
     List<ShardReplica> newcomers =
         shard.next().stream().filter(each -> !shard.replicas().contains(each)).toList();
     List<ShardReplica> needed = newcomers.isEmpty() ? shard.next() : newcomers;
     if (needed.stream()
-        .allMatch(each -> state.copied.getOrDefault(each.id(), 0L) == shard.number())) {
-      surroundings.log(PART, "Replicas changed: " + state.key.key + ".");
+        .allMatch(each -> ledKey.caughtUpVersions.getOrDefault(each.id(), 0L) == shard.number())) {
+      environment.log(PART, "Replicas changed: " + ledKey.leader.key + ".");
       core.keys.put(
-          state,
+          ledKey,
           new ShardAssignment(shard.number() + 1, shard.next(), List.of()),
-          fault -> lookSoon());
+          error -> checkSoon());
     } else if (newcomers.stream().anyMatch(each -> !live.containsKey(each.id()))) {
       core.keys.put(
-          state,
+          ledKey,
           new ShardAssignment(shard.number() + 1, shard.replicas(), List.of()),
-          fault -> lookSoon());
+          error -> checkSoon());
     }
   }
 
@@ -270,7 +271,7 @@
         shard.replicas().stream()
             .filter(
                 each ->
-                    !table.active(each.id())
+                    !table.isActive(each.id())
                         || !live.containsKey(each.id())
                             && now - silentSince.getOrDefault(each.id(), now)
                                 >= ShardConstants.REPLACEMENT_DELAY_MS)
@@ -291,8 +292,8 @@
    * Marks a storage node as emptying or retired. The same mark again gets the same answer. Emptying
    * is refused unless as many others remain as a shard has replicas; if fewer do later, it waits.
    */
-  void mark(PeerRequest ask, LedKey state, StorageNodeState sent) {
-    StorageNodeState known = state.as(StorageNodeState.class);
+  void mark(PeerRequest request, LedKey ledKey, StorageNodeState sent) {
+    StorageNodeState known = ledKey.as(StorageNodeState.class);
     int shards =
         (int) table.shards().values().stream().filter(shard -> names(shard, sent.id())).count();
     ApiError refusal = null;
@@ -313,10 +314,13 @@
             : Response.of(
                 200, ((ObjectNode) JSON.<JsonNode>valueToTree(sent)).put("shards", shards));
     if (refusal != null || sent.equals(known)) {
-      state.key.confirm(fault -> core.respond(ask, fault == null ? answer : Response.of(fault)));
+      ledKey.leader.confirmLeadership(
+          error -> core.respond(request, error == null ? answer : Response.of(error)));
     } else {
       core.keys.put(
-          state, sent, fault -> core.respond(ask, fault == null ? answer : Response.of(fault)));
+          ledKey,
+          sent,
+          error -> core.respond(request, error == null ? answer : Response.of(error)));
     }
   }
 
@@ -325,22 +329,22 @@
     Set<String> others = new HashSet<>();
     spares().forEach(member -> others.add(member.id()));
     held().keySet().stream()
-        .filter(each -> table.active(each) && !table.displaced(each))
+        .filter(each -> table.isActive(each) && !table.isSuperseded(each))
         .forEach(others::add);
     others.remove(id);
     return others.size();
   }
 
   /** Which node a name means; only a core node with fresh news can say that there is none. */
-  void tellId(PeerRequest ask, boolean fresh) {
-    Optional<String> id = idOf(ask.key());
+  void respondWithId(PeerRequest request, boolean fresh) {
+    Optional<String> id = idOf(request.key());
     core.respond(
-        ask,
+        request,
         id.isPresent()
             ? Response.of(200, JSON.createObjectNode().put("id", id.get()))
             : Response.of(
                 fresh
-                    ? new ApiError.NoSuchStorageNode(ask.key())
+                    ? new ApiError.NoSuchStorageNode(request.key())
                     : new ApiError.NotReady("no majority of the core heard")));
   }
 
@@ -357,8 +361,8 @@
                     && (member.id().equals(idOrName) || member.name().equals(idOrName)))
         .max(
             Comparator.comparing((NodeRegistration member) -> member.id().equals(idOrName))
-                .thenComparing(member -> member.live() && !table.displaced(member.id()))
-                .thenComparing(member -> !table.displaced(member.id()))
+                .thenComparing(member -> member.live() && !table.isSuperseded(member.id()))
+                .thenComparing(member -> !table.isSuperseded(member.id()))
                 .thenComparing(member -> holding.getOrDefault(member.id(), 0L))
                 .thenComparing(NodeRegistration::id))
         .map(NodeRegistration::id);
@@ -368,28 +372,28 @@
    * Whether the node may be taken away, disk and all. Every shard is asked of its owner, as news of
    * a set that names the node may still be on its way here.
    */
-  void place(PeerRequest ask, LedKey state) {
-    String id = state.key.key.substring(MetadataKeys.STORAGE_PREFIX.length());
-    state.key.confirm(
-        fault -> {
-          StorageNodeState known = state.as(StorageNodeState.class);
-          if (fault != null) {
-            core.respond(ask, Response.of(fault));
+  void respondWhetherDrained(PeerRequest request, LedKey ledKey) {
+    String id = ledKey.leader.key.substring(MetadataKeys.STORAGE_PREFIX.length());
+    ledKey.leader.confirmLeadership(
+        error -> {
+          StorageNodeState known = ledKey.as(StorageNodeState.class);
+          if (error != null) {
+            core.respond(request, Response.of(error));
           } else if (known == null) {
-            core.respond(ask, place(false));
+            core.respond(request, respondWhetherDrained(false));
           } else {
-            readShard(ask, id, 0);
+            readShard(request, id, 0);
           }
         });
   }
 
-  private static Response place(boolean complete) {
+  private static Response respondWhetherDrained(boolean complete) {
     return Response.of(200, JSON.createObjectNode().put("complete", complete));
   }
 
-  private void readShard(PeerRequest ask, String id, int number) {
+  private void readShard(PeerRequest request, String id, int number) {
     if (number == ShardConstants.SHARD_COUNT) {
-      core.respond(ask, place(true));
+      core.respond(request, respondWhetherDrained(true));
       return;
     }
     core.command(
@@ -398,15 +402,15 @@
         JSON.createObjectNode(),
         response -> {
           ShardAssignment shard =
-              response.good() && !response.body().isNull()
+              response.isSuccess() && !response.body().isNull()
                   ? JSON.convertValue(response.body(), ShardAssignment.class)
                   : null;
-          if (!response.good()) {
-            core.respond(ask, response);
+          if (!response.isSuccess()) {
+            core.respond(request, response);
           } else if (shard == null || names(shard, id) || !whole(shard, live())) {
-            core.respond(ask, place(false));
+            core.respond(request, respondWhetherDrained(false));
           } else {
-            readShard(ask, id, number + 1);
+            readShard(request, id, number + 1);
           }
         });
   }
@@ -414,7 +418,7 @@
   /**
    * What emptying a node would move where, by the same choice as the real one; nothing is changed.
    */
-  ObjectNode planEmptying(String id) {
+  ObjectNode planDrain(String id) {
     Map<String, Long> holding = held();
     List<NodeRegistration> spares =
         spares().stream().filter(member -> !member.id().equals(id)).toList();
@@ -452,11 +456,13 @@
   }
 
   /** How many more storage nodes the worst shard may lose; all of them while there is no shard. */
-  int lossesBearable() {
+  int remainingTolerableFailures() {
     Set<String> live = live().keySet();
     return table.shards().values().stream()
         .mapToInt(
-            shard -> FaultToleranceMonitor.bearable(ReplicaConfiguration.of(shard), live::contains))
+            shard ->
+                FaultToleranceMonitor.remainingTolerableFailures(
+                    ReplicaConfiguration.of(shard), live::contains))
         .min()
         .orElse(replicas / 2);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
@@ -27,13 +27,13 @@
 final class WorkerListSynchronizer {
   /** Appends the key's whole new value. */
   interface PutValue {
-    void put(LedKey state, Object value, Consumer<ApiError> then);
+    void put(LedKey ledKey, Object value, Consumer<ApiError> then);
   }
 
   private static final String PART = "workers";
 
-  private final Environment surroundings;
-  private NodeSettings bounds;
+  private final Environment environment;
+  private NodeSettings settings;
   private final Predicate<LedKey> stillOwned;
   private final PutValue put;
   private final Runnable handOver;
@@ -54,111 +54,111 @@
   private Set<String> lacking = Set.of();
 
   WorkerListSynchronizer(
-      Environment surroundings,
-      NodeSettings bounds,
+      Environment environment,
+      NodeSettings settings,
       Predicate<LedKey> stillOwned,
       PutValue put,
       Runnable handOver) {
-    this.surroundings = surroundings;
-    this.bounds = bounds;
+    this.environment = environment;
+    this.settings = settings;
     this.stillOwned = stillOwned;
     this.put = put;
     this.handOver = handOver;
   }
 
-  void begin(LedKey state) {
-    goodAt = surroundings.now();
+  void begin(LedKey ledKey) {
+    goodAt = environment.nowMs();
     emptyReads = 0;
     quickReads = WorkerListConstants.FAST_POLLS;
     lacking = Set.of();
-    read(state);
+    read(ledKey);
   }
 
-  private void read(LedKey state) {
-    if (!stillOwned.test(state)) {
+  private void read(LedKey ledKey) {
+    if (!stillOwned.test(ledKey)) {
       return;
     }
     long number = ++reading;
-    readPage(state, number, "", new ArrayList<>(), 1);
-    surroundings.after(WorkerListConstants.READ_TIMEOUT_MS, () -> failed(state, number));
+    readPage(ledKey, number, "", new ArrayList<>(), 1);
+    environment.schedule(WorkerListConstants.READ_TIMEOUT_MS, () -> failed(ledKey, number));
   }
 
   private void readPage(
-      LedKey state, long number, String token, List<ListedWorker> before, int pages) {
-    surroundings.listWorkers(
+      LedKey ledKey, long number, String token, List<ListedWorker> before, int pages) {
+    environment.listWorkers(
         token,
         page -> {
-          if (number == reading && stillOwned.test(state)) {
-            took(state, number, page, before, pages);
+          if (number == reading && stillOwned.test(ledKey)) {
+            took(ledKey, number, page, before, pages);
           }
         },
-        fault -> failed(state, number));
+        error -> failed(ledKey, number));
   }
 
   private void took(
-      LedKey state, long number, WorkerListPage page, List<ListedWorker> before, int pages) {
+      LedKey ledKey, long number, WorkerListPage page, List<ListedWorker> before, int pages) {
     before.addAll(page.workers());
     String next = page.nextToken();
     if (next == null || next.isEmpty()) {
       reading++;
-      whole(state, before, pages);
+      whole(ledKey, before, pages);
     } else if (pages >= WorkerListConstants.MAX_PAGES) {
-      failed(state, number);
+      failed(ledKey, number);
     } else {
-      readPage(state, number, next, before, pages + 1);
+      readPage(ledKey, number, next, before, pages + 1);
     }
   }
 
-  private void failed(LedKey state, long number) {
-    if (number != reading || !stillOwned.test(state)) {
+  private void failed(LedKey ledKey, long number) {
+    if (number != reading || !stillOwned.test(ledKey)) {
       return;
     }
     reading++;
-    if (surroundings.now() - goodAt >= WorkerListConstants.LEADERSHIP_TRANSFER_DELAY_MS) {
-      goodAt = surroundings.now();
-      surroundings.log(PART, "The outside list can not be read from here.");
+    if (environment.nowMs() - goodAt >= WorkerListConstants.LEADERSHIP_TRANSFER_DELAY_MS) {
+      goodAt = environment.nowMs();
+      environment.log(PART, "The outside list can not be read from here.");
       handOver.run();
-      if (!stillOwned.test(state)) {
+      if (!stillOwned.test(ledKey)) {
         return;
       }
     }
-    surroundings.after(pause(WorkerListConstants.RETRY_DELAY_MS), () -> read(state));
+    environment.schedule(pause(WorkerListConstants.RETRY_DELAY_MS), () -> read(ledKey));
   }
 
-  void boundsChanged(NodeSettings newer) {
-    bounds = bounds.taking(newer);
+  void settingsChanged(NodeSettings newer) {
+    settings = settings.withReloadable(newer);
   }
 
   /** Never above half of the calls that all nodes together may make. */
   private long pause(long wanted) {
-    return Math.max(wanted, (long) (2_000 / bounds.listCallsPerS()));
+    return Math.max(wanted, (long) (2_000 / settings.listCallsPerS()));
   }
 
-  private void whole(LedKey state, List<ListedWorker> listed, int pages) {
-    goodAt = surroundings.now();
+  private void whole(LedKey ledKey, List<ListedWorker> listed, int pages) {
+    goodAt = environment.nowMs();
     List<WorkerRegistration> known =
-        state.value.isNull()
+        ledKey.value.isNull()
             ? List.of()
-            : JSON.convertValue(state.value, WorkerList.class).workers();
+            : JSON.convertValue(ledKey.value, WorkerList.class).workers();
     emptyReads = listed.isEmpty() ? emptyReads + 1 : 0;
     boolean doubted = emptyReads == 1 && !known.isEmpty();
     if (!doubted) {
       List<WorkerRegistration> next = next(known, listed, pages);
       if (!next.equals(known)) {
         quickReads = WorkerListConstants.FAST_POLLS;
-        put.put(state, new WorkerList(next), fault -> {});
-        surroundings.log(PART, "Outside list of " + next.size() + " workers taken.");
+        put.put(ledKey, new WorkerList(next), error -> {});
+        environment.log(PART, "Outside list of " + next.size() + " workers taken.");
       } else if (quickReads > 0) {
         quickReads--;
       }
     }
     boolean quick = doubted || quickReads > 0 || !lacking.isEmpty();
-    surroundings.after(
+    environment.schedule(
         pause(
             quick
                 ? WorkerListConstants.FAST_POLL_INTERVAL_MS
                 : WorkerListConstants.POLL_INTERVAL_MS),
-        () -> read(state));
+        () -> read(ledKey));
   }
 
   /** A leaving worker stays so while it is listed: what comes back is a new one under a new id. */
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerRegistrationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerRegistrationManager.java
@@ -14,30 +14,34 @@
  */
 final class WorkerRegistrationManager {
   private final LedKeys keys;
-  private final CommandResponder replies;
+  private final CommandResponder responder;
 
-  WorkerRegistrationManager(LedKeys keys, CommandResponder replies) {
+  WorkerRegistrationManager(LedKeys keys, CommandResponder responder) {
     this.keys = keys;
-    this.replies = replies;
+    this.responder = responder;
   }
 
   /** Lists a worker, or marks a known one; a mark is a worker without an address. */
-  void set(PeerRequest ask, LedKey state, WorkerRegistration sent) {
+  void set(PeerRequest request, LedKey ledKey, WorkerRegistration sent) {
     WorkerRegistration known =
-        state.value.isNull() ? null : JSON.convertValue(state.value, WorkerRegistration.class);
+        ledKey.value.isNull() ? null : JSON.convertValue(ledKey.value, WorkerRegistration.class);
     boolean absent = known == null || known.state().equals(WorkerRegistration.GONE);
     boolean isMark = sent.address().isEmpty();
     if (isMark && absent) {
       ApiError unknown = new ApiError.NoSuchWorker(sent.id());
-      state.key.confirm(fault -> replies.refuse(ask, fault == null ? unknown : fault));
+      ledKey.leader.confirmLeadership(
+          error -> responder.reject(request, error == null ? unknown : error));
       return;
     }
     WorkerRegistration next = isMark ? marked(known, sent.state()) : sent;
     if (next.equals(known)) {
-      state.key.confirm(fault -> replies.respondInForce(ask, state, JSON.valueToTree(next), fault));
+      ledKey.leader.confirmLeadership(
+          error -> responder.respondOnceInForce(request, ledKey, JSON.valueToTree(next), error));
     } else {
       keys.put(
-          state, next, fault -> replies.respondInForce(ask, state, JSON.valueToTree(next), fault));
+          ledKey,
+          next,
+          error -> responder.respondOnceInForce(request, ledKey, JSON.valueToTree(next), error));
     }
   }
 
@@ -50,15 +54,16 @@
    * Compare-and-set of the worker list's version: of two platforms that start from one version, one
    * goes on.
    */
-  void raiseListVersion(PeerRequest ask, LedKey state, JsonNode body) {
-    long version = state.value.path("version").asLong(0);
+  void raiseListVersion(PeerRequest request, LedKey ledKey, JsonNode body) {
+    long version = ledKey.value.path("version").asLong(0);
     JsonNode from = body.path("from");
     if (from.isIntegralNumber() && from.asLong() != version) {
       ApiError conflict = new ApiError.VersionConflict(version);
-      state.key.confirm(fault -> replies.refuse(ask, fault == null ? conflict : fault));
+      ledKey.leader.confirmLeadership(
+          error -> responder.reject(request, error == null ? conflict : error));
       return;
     }
     WorkerListVersion next = new WorkerListVersion(version + 1);
-    keys.put(state, next, fault -> replies.respond(ask, fault, () -> next));
+    keys.put(ledKey, next, error -> responder.respond(request, error, () -> next));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/BatchLeaderPlacement.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/BatchLeaderPlacement.java
@@ -35,10 +35,10 @@
    */
   BatchLeaderPlacement(int replicas, Collection<NodeRegistration> edges) {
     this.replicas = replicas;
-    double fastestMs = edges.stream().mapToDouble(this::takeMs).min().orElse(0);
+    double fastestMs = edges.stream().mapToDouble(this::acceptMs).min().orElse(0);
     double slowestMs = Math.max(BatchConstants.MAX_LEADER_ACCEPT_MS, 2 * fastestMs);
     for (NodeRegistration edge : edges) {
-      (takeMs(edge) <= slowestMs ? fit : others).put(edge.id(), edge);
+      (acceptMs(edge) <= slowestMs ? fit : others).put(edge.id(), edge);
     }
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** How long an edge takes for a typical batch, in milliseconds; 0 where it told nothing. */
-  private double takeMs(NodeRegistration edge) {
+  private double acceptMs(NodeRegistration edge) {
     double processorMs =
         edge.processorCores() <= 0
             ? 0
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -65,45 +65,45 @@
   protected final Map<String, WorkerRegistration> workers = new TreeMap<>();
 
   /** Those of them that are on the outside list. */
-  private List<String> outsideWorkers = List.of();
+  private List<String> listedWorkerIds = List.of();
 
   private final Map<String, ShardAssignment> shards = new HashMap<>();
-  protected RoutingConfiguration bundle;
+  protected RoutingConfiguration configuration;
   private String feedId = "";
   private long feedIncarnation;
-  private long feedNumber;
-  private int chosenCore;
+  private long feedPosition;
+  private int feedSourceIndex;
 
   /** The core's members in the order in which this node turns to them, and of which roster. */
-  private List<QuorumMember> coreOrder = List.of();
+  private List<QuorumMember> feedSourceOrder = List.of();
 
-  private QuorumMembership coreOrderOf;
+  private QuorumMembership feedSourceOrderOf;
 
   /** Whose turn it is among the fellows to be told what this node works by. */
-  private int toldFellow;
+  private int nextNotifiedPeerEdge;
 
   /** Whose turn it is among the members to be asked where the core is. */
-  private int askedMember;
+  private int nextAskedMember;
 
   private long lastHeardAt;
 
   /** On our clock: at this moment everything the core had acknowledged was known here. */
-  private long freshAt = Long.MIN_VALUE / 2;
+  private long upToDateAt = Long.MIN_VALUE / 2;
 
-  private long joinedUntil = Long.MIN_VALUE / 2;
+  private long leaseUntil = Long.MIN_VALUE / 2;
 
   /**
    * This process has had the core's own news, not only a fellow's. Before that it neither goes on
    * without the core nor counts for a fellow: an earlier process at its address may have confirmed
    * news that this one has not seen.
    */
-  private boolean heardCore;
+  private boolean receivedFromControlPlane;
 
-  private long coreHeardAt = Long.MIN_VALUE / 2;
+  private long controlPlaneHeardAt = Long.MIN_VALUE / 2;
   private List<String> listedEdges = List.of();
 
   /** By peer address of a fellow edge: when the question was sent that it last answered. */
-  private final Map<String, Long> fellows = new HashMap<>();
+  private final Map<String, Long> peerEdgesHeardAt = new HashMap<>();
 
   private boolean started;
   private long startedAt;
@@ -112,36 +112,36 @@
   private boolean leaving;
 
   /** As told at the start, with what a running process may take over of newer ones. */
-  protected NodeSettings bounds;
+  protected NodeSettings settings;
 
   /** Null after the members have changed, until it is asked for. */
   private BatchLeaderPlacement leaderPlacement;
 
-  protected DataPlaneNode(Environment surroundings, NodeIdentity place, NodeSettings bounds) {
-    super(surroundings, place);
-    this.bounds = bounds;
+  protected DataPlaneNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
+    super(environment, identity);
+    this.settings = settings;
   }
 
   @Override
-  protected void boundsChanged(NodeSettings newer) {
-    bounds = bounds.taking(newer);
+  protected void settingsChanged(NodeSettings newer) {
+    settings = settings.withReloadable(newer);
   }
 
   @Override
   public void start() {
     started = true;
-    startedAt = surroundings.now();
+    startedAt = environment.nowMs();
     lastHeardAt = startedAt;
-    findCore();
-    lookForCore();
-    every(ChangeFeedConstants.POLL_INTERVAL_MS, this::followFeed);
-    every(MembershipConstants.LEASE_RENEWAL_INTERVAL_MS, this::renewGrant);
-    every(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::lookForNearCore);
-    every(
+    discoverControlPlane();
+    pollUntilFirstUpdate();
+    repeatEvery(ChangeFeedConstants.POLL_INTERVAL_MS, this::pollFeed);
+    repeatEvery(MembershipConstants.LEASE_RENEWAL_INTERVAL_MS, this::renewLease);
+    repeatEvery(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::probeNearestFeedSource);
+    repeatEvery(
         MembershipConstants.LEASE_DURATION_MS,
         () -> {
-          if (surroundings.now() - coreHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
-            findCore();
+          if (environment.nowMs() - controlPlaneHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
+            discoverControlPlane();
           }
         });
   }
@@ -150,31 +150,31 @@
    * A node that has not heard the core can do nothing for anybody: it asks often, and a silent core
    * node not for long.
    */
-  private void lookForCore() {
-    surroundings.after(
+  private void pollUntilFirstUpdate() {
+    environment.schedule(
         ChangeFeedConstants.INITIAL_POLL_INTERVAL_MS,
         () -> {
-          if (!heardCore && !stopped()) {
-            if (surroundings.now() - lastHeardAt > ChangeFeedConstants.INITIAL_SOURCE_TIMEOUT_MS
-                && !roster.members().isEmpty()) {
-              chosenCore++;
-              lastHeardAt = surroundings.now();
+          if (!receivedFromControlPlane && !isTerminated()) {
+            if (environment.nowMs() - lastHeardAt > ChangeFeedConstants.INITIAL_SOURCE_TIMEOUT_MS
+                && !membership.members().isEmpty()) {
+              feedSourceIndex++;
+              lastHeardAt = environment.nowMs();
             }
-            followFeed();
-            lookForCore();
+            pollFeed();
+            pollUntilFirstUpdate();
           }
         });
   }
 
   /** The first roster: the feed and the grant are asked for at once. */
   @Override
-  protected void learnRoster(QuorumMembership told) {
-    boolean first = roster.members().isEmpty();
-    super.learnRoster(told);
-    if (started && first && !roster.members().isEmpty()) {
-      lastHeardAt = surroundings.now();
-      followFeed();
-      renewGrant();
+  protected void learnMembership(QuorumMembership learned) {
+    boolean first = membership.members().isEmpty();
+    super.learnMembership(learned);
+    if (started && first && !membership.members().isEmpty()) {
+      lastHeardAt = environment.nowMs();
+      pollFeed();
+      renewLease();
     }
   }
 
@@ -182,33 +182,33 @@
    * Seeds and members may be stale or down: all seeds and core nodes known are asked, and a few of
    * the members in turn, so that what a large fleet says meanwhile grows with its nodes only.
    */
-  private void findCore() {
+  private void discoverControlPlane() {
     List<NodeRegistration> known = List.copyOf(members.values());
     int asked = Math.min(ChangeFeedConstants.DISCOVERY_FANOUT, known.size());
     for (int count = 0; count < asked; count++) {
-      NodeRegistration member = known.get(Math.floorMod(askedMember++, known.size()));
+      NodeRegistration member = known.get(Math.floorMod(nextAskedMember++, known.size()));
       send(member.peerAddress(), "", new QuorumDiscoveryRequest());
     }
     seeds.forEach(seed -> send(seed, "", new QuorumDiscoveryRequest()));
-    roster
+    membership
         .members()
         .forEach(member -> send(member.peerAddress(), member.id(), new QuorumDiscoveryRequest()));
   }
 
-  private void followFeed() {
-    if (roster.members().isEmpty()) {
-      findCore();
+  private void pollFeed() {
+    if (membership.members().isEmpty()) {
+      discoverControlPlane();
       return;
     }
-    if (surroundings.now() - lastHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
-      chosenCore++;
-      lastHeardAt = surroundings.now();
+    if (environment.nowMs() - lastHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
+      feedSourceIndex++;
+      lastHeardAt = environment.nowMs();
     }
-    QuorumMember core = chosenCore();
-    send(core.peerAddress(), core.id(), follow(feedId, feedIncarnation, feedNumber));
-    long unheardMs = Math.max(feedAge(), surroundings.now() - coreHeardAt);
-    if (heardCore && unheardMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
-      askFellows();
+    QuorumMember core = feedSource();
+    send(core.peerAddress(), core.id(), feedPoll(feedId, feedIncarnation, feedPosition));
+    long unheardMs = Math.max(feedAge(), environment.nowMs() - controlPlaneHeardAt);
+    if (receivedFromControlPlane && unheardMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
+      pollPeerEdges();
     }
   }
 
@@ -217,126 +217,130 @@
    * this node goes on; and a few in turn are told what this node works by, as one that reaches the
    * core is enough to hand it on.
    */
-  private void askFellows() {
-    List<String> addresses = fellowAddresses();
-    addresses.forEach(address -> send(address, "", follow("", 0, 0)));
+  private void pollPeerEdges() {
+    List<String> addresses = peerEdgeAddresses();
+    addresses.forEach(address -> send(address, "", feedPoll("", 0, 0)));
     int told = Math.min(ChangeFeedConstants.PEER_EDGES_NOTIFIED, addresses.size());
     for (int count = 0; count < told; count++) {
-      tellKnown(List.of(addresses.get(Math.floorMod(toldFellow++, addresses.size()))));
+      reportApplied(
+          List.of(addresses.get(Math.floorMod(nextNotifiedPeerEdge++, addresses.size()))));
     }
   }
 
-  private ChangeFeedPoll follow(String coreId, long incarnation, long number) {
+  private ChangeFeedPoll feedPoll(String coreId, long incarnation, long number) {
     MetadataRecord bundleItem = table.get(MetadataKeys.CONFIGURATION);
     return new ChangeFeedPoll(
         coreId,
         incarnation,
         number,
-        surroundings.now(),
+        environment.nowMs(),
         sharedDigest.value(),
         bundleItem == null ? 0 : bundleItem.sequence());
   }
 
-  private List<String> fellowAddresses() {
+  private List<String> peerEdgeAddresses() {
     Set<String> addresses = new TreeSet<>(listedEdges);
     liveEdges().forEach(member -> addresses.add(member.peerAddress()));
-    addresses.remove(place.peerAddress());
+    addresses.remove(identity.peerAddress());
     return List.copyOf(addresses);
   }
 
-  private QuorumMember chosenCore() {
-    List<QuorumMember> ordered = coreInOrder();
-    return ordered.get(Math.floorMod(chosenCore, ordered.size()));
+  private QuorumMember feedSource() {
+    List<QuorumMember> ordered = feedSourcesInOrder();
+    return ordered.get(Math.floorMod(feedSourceIndex, ordered.size()));
   }
 
   /**
    * One that had to turn to another zone's core member asks the nearest now and then, and follows
    * it from its answer on: meanwhile it goes on where it is.
    */
-  private void lookForNearCore() {
-    if (heardCore && !roster.members().isEmpty() && chosenCore() != coreInOrder().get(0)) {
-      QuorumMember nearest = coreInOrder().get(0);
-      send(nearest.peerAddress(), nearest.id(), follow("", 0, 0));
+  private void probeNearestFeedSource() {
+    if (receivedFromControlPlane
+        && !membership.members().isEmpty()
+        && feedSource() != feedSourcesInOrder().get(0)) {
+      QuorumMember nearest = feedSourcesInOrder().get(0);
+      send(nearest.peerAddress(), nearest.id(), feedPoll("", 0, 0));
     }
   }
 
   /** Members of this node's zone first, so that what is asked all the time stays within it. */
-  private List<QuorumMember> coreInOrder() {
-    if (coreOrderOf != roster) {
-      coreOrderOf = roster;
+  private List<QuorumMember> feedSourcesInOrder() {
+    if (feedSourceOrderOf != membership) {
+      feedSourceOrderOf = membership;
       Map<String, QuorumMember> byId = new HashMap<>();
-      roster.members().forEach(member -> byId.put(member.id(), member));
-      coreOrder =
-          RendezvousHashing.order(place.id(), byId.keySet()).stream()
+      membership.members().forEach(member -> byId.put(member.id(), member));
+      feedSourceOrder =
+          RendezvousHashing.order(identity.id(), byId.keySet()).stream()
               .map(byId::get)
-              .sorted(Comparator.comparing(member -> !member.zone().equals(place.zone())))
+              .sorted(Comparator.comparing(member -> !member.zone().equals(identity.zone())))
               .toList();
     }
-    return coreOrder;
+    return feedSourceOrder;
   }
 
   /** Tries the followed core node first, then the others in turn. */
-  protected void askCore(
-      String duty, String key, Object body, long expiryMs, Consumer<Response> then) {
-    ask(
+  protected void requestControlPlane(
+      String operation, String key, Object body, long expiryMs, Consumer<Response> then) {
+    sendRequest(
         attempt -> {
-          if (roster.members().isEmpty()) {
+          if (membership.members().isEmpty()) {
             return null;
           }
-          int chosen = Math.max(0, roster.members().indexOf(chosenCore()));
-          QuorumMember member = roster.members().get((chosen + attempt) % roster.members().size());
+          int chosen = Math.max(0, membership.members().indexOf(feedSource()));
+          QuorumMember member =
+              membership.members().get((chosen + attempt) % membership.members().size());
           return new NodeAddress(member.id(), member.peerAddress());
         },
-        duty,
+        operation,
         key,
         body,
         expiryMs,
         then);
   }
 
-  private void renewGrant() {
-    if (stopping || leaving || roster.members().isEmpty()) {
+  private void renewLease() {
+    if (stopping || leaving || membership.members().isEmpty()) {
       return;
     }
-    long sentAt = surroundings.now();
+    long sentAt = environment.nowMs();
     var self =
         new NodeRegistration(
-            place.id(),
-            place.incarnation(),
-            place.name(),
-            place.zone(),
-            place.role(),
-            place.peerAddress(),
-            place.httpAddress(),
+            identity.id(),
+            identity.incarnation(),
+            identity.name(),
+            identity.zone(),
+            identity.role(),
+            identity.peerAddress(),
+            identity.httpAddress(),
             true,
-            bounds.processorCores(),
-            bounds.linkMegabits());
-    askCore(
+            settings.processorCores(),
+            settings.linkMegabits());
+    requestControlPlane(
         "grant",
-        MetadataKeys.MEMBER_PREFIX + place.id(),
+        MetadataKeys.MEMBER_PREFIX + identity.id(),
         self,
         MembershipConstants.LEASE_DURATION_MS,
         response -> {
-          if (response.good()) {
-            joinedUntil = Math.max(joinedUntil, sentAt + MembershipConstants.LEASE_DURATION_MS);
+          if (response.isSuccess()) {
+            leaseUntil = Math.max(leaseUntil, sentAt + MembershipConstants.LEASE_DURATION_MS);
           }
         });
   }
 
-  protected boolean joined() {
-    return surroundings.now() < joinedUntil;
+  protected boolean hasLease() {
+    return environment.nowMs() < leaseUntil;
   }
 
   /** Gives this node's place up at the core, so that others take its duties at once. */
-  protected void leaveCore(Runnable whenDone) {
+  protected void releaseLease(Runnable whenDone) {
     leaving = true;
-    if (roster.members().isEmpty()) {
+    if (membership.members().isEmpty()) {
       whenDone.run();
       return;
     }
-    askCore(
+    requestControlPlane(
         "leave",
-        MetadataKeys.MEMBER_PREFIX + place.id(),
+        MetadataKeys.MEMBER_PREFIX + identity.id(),
         new byte[] {'{', '}'},
         MembershipConstants.LEASE_DURATION_MS,
         response -> whenDone.run());
@@ -344,10 +348,10 @@
 
   /** How long ago, at most, all that the core acknowledged was known here. */
   protected long feedAge() {
-    return surroundings.now() - freshAt;
+    return environment.nowMs() - upToDateAt;
   }
 
-  protected boolean feedStale() {
+  protected boolean isFeedStale() {
     return feedAge() > ChangeFeedConstants.STALE_AFTER_MS;
   }
 
@@ -357,55 +361,58 @@
    * live traffic goes on. What a majority of the edges has confirmed is then known to one of them,
    * and with its answer here.
    */
-  protected boolean isolated() {
-    if (!feedStale()) {
+  protected boolean isIsolated() {
+    if (!isFeedStale()) {
       return false;
     }
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long reached =
         listedEdges.stream()
             .filter(
                 address ->
-                    address.equals(place.peerAddress())
-                        || now - fellows.getOrDefault(address, Long.MIN_VALUE / 2)
+                    address.equals(identity.peerAddress())
+                        || now - peerEdgesHeardAt.getOrDefault(address, Long.MIN_VALUE / 2)
                             < ChangeFeedConstants.PEER_EDGE_TIMEOUT_MS)
             .count();
-    return !heardCore || reached * 2 <= listedEdges.size();
+    return !receivedFromControlPlane || reached * 2 <= listedEdges.size();
   }
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof ChangeFeedUpdate news) {
-      news(news, fromAddress);
-    } else if (message instanceof ChangeFeedPoll follow) {
-      if (heardCore) {
+    if (message instanceof ChangeFeedUpdate update) {
+      handleUpdate(update, fromAddress);
+    } else if (message instanceof ChangeFeedPoll poll) {
+      if (receivedFromControlPlane) {
         send(
             fromAddress,
             fromId,
             new ChangeFeedUpdate(
-                place.id(),
-                place.incarnation(),
+                identity.id(),
+                identity.incarnation(),
                 0,
                 0,
                 true,
                 true,
                 Math.max(0, feedAge()),
-                follow.sentAt(),
-                sharedItems(follow)));
+                poll.sentAt(),
+                sharedItems(poll)));
       }
     } else if (message instanceof AppliedPositionsRequest) {
-      tellKnown(List.of(fromAddress));
+      reportApplied(List.of(fromAddress));
     } else if (message instanceof AppliedPositions known) {
-      roster.members().forEach(member -> send(member.peerAddress(), member.id(), known));
+      membership.members().forEach(member -> send(member.peerAddress(), member.id(), known));
     }
   }
 
   /** Of what fellows share, what this one may lack. */
-  private List<MetadataRecord> sharedItems(ChangeFeedPoll follow) {
-    return follow.sharedDigest() == sharedDigest.value()
+  private List<MetadataRecord> sharedItems(ChangeFeedPoll poll) {
+    return poll.sharedDigest() == sharedDigest.value()
         ? List.of()
         : table.values().stream()
-            .filter(item -> SharedMetadataDigest.covers(item.key()) && !follow.holds(item))
+            .filter(
+                metadataRecord ->
+                    SharedMetadataDigest.covers(metadataRecord.key())
+                        && !poll.holds(metadataRecord))
             .toList();
   }
 
@@ -413,139 +420,142 @@
    * Says how far this edge knows what has to be in force. One that has not heard the core itself
    * says nothing.
    */
-  private void tellKnown(List<String> addresses) {
-    tellKnown(
+  private void reportApplied(List<String> addresses) {
+    reportApplied(
         addresses,
         table.values().stream()
-            .filter(item -> MetadataKeys.mustBeInForce(item.key()))
-            .map(item -> new KeyPosition(item.key(), item.sequence()))
+            .filter(metadataRecord -> MetadataKeys.mustBeInForce(metadataRecord.key()))
+            .map(metadataRecord -> new KeyPosition(metadataRecord.key(), metadataRecord.sequence()))
             .toList());
   }
 
-  private void tellKnown(List<String> addresses, List<KeyPosition> places) {
-    if (!heardCore || !place.role().equals("edge")) {
+  private void reportApplied(List<String> addresses, List<KeyPosition> places) {
+    if (!receivedFromControlPlane || !identity.role().equals("edge")) {
       return;
     }
     addresses.forEach(
-        address -> send(address, "", new AppliedPositions(place.peerAddress(), places)));
+        address -> send(address, "", new AppliedPositions(identity.peerAddress(), places)));
   }
 
-  private void news(ChangeFeedUpdate news, String fromAddress) {
-    long now = surroundings.now();
-    if (news.relayed()) {
-      fellows.put(fromAddress, news.echoedAt());
+  private void handleUpdate(ChangeFeedUpdate update, String fromAddress) {
+    long now = environment.nowMs();
+    if (update.relayed()) {
+      peerEdgesHeardAt.put(fromAddress, update.echoedAt());
     } else {
-      boolean follows = news.coreId().equals(feedId) && news.incarnation() == feedIncarnation;
-      if (!news.checkpoint() && !(follows && news.fromNumber() <= feedNumber)) {
+      boolean follows = update.sourceId().equals(feedId) && update.incarnation() == feedIncarnation;
+      if (!update.snapshot() && !(follows && update.fromPosition() <= feedPosition)) {
         return;
       }
-      if (news.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
+      if (update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
         lastHeardAt = now;
-        followFrom(news.coreId());
+        switchFeedSource(update.sourceId());
       }
-      feedNumber = follows ? Math.max(feedNumber, news.number()) : news.number();
-      feedId = news.coreId();
-      feedIncarnation = news.incarnation();
+      feedPosition = follows ? Math.max(feedPosition, update.position()) : update.position();
+      feedId = update.sourceId();
+      feedIncarnation = update.incarnation();
     }
-    boolean unheard = !heardCore;
+    boolean unheard = !receivedFromControlPlane;
     List<KeyPosition> learned = new ArrayList<>();
-    for (MetadataRecord item : news.items()) {
-      MetadataRecord known = table.get(item.key());
-      if (known == null || known.sequence() < item.sequence()) {
-        table.put(item.key(), item);
-        sharedDigest.replaced(known, item);
-        fold(item);
-        if (MetadataKeys.mustBeInForce(item.key())) {
-          learned.add(new KeyPosition(item.key(), item.sequence()));
+    for (MetadataRecord metadataRecord : update.records()) {
+      MetadataRecord known = table.get(metadataRecord.key());
+      if (known == null || known.sequence() < metadataRecord.sequence()) {
+        table.put(metadataRecord.key(), metadataRecord);
+        sharedDigest.update(known, metadataRecord);
+        apply(metadataRecord);
+        if (MetadataKeys.mustBeInForce(metadataRecord.key())) {
+          learned.add(new KeyPosition(metadataRecord.key(), metadataRecord.sequence()));
         }
       }
     }
-    if (news.echoedAt() > 0) {
-      freshAt = Math.max(freshAt, news.echoedAt() - news.ageMs());
-      if (!news.relayed() && news.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
-        if (!heardCore) {
-          heardCore = true;
-          surroundings.log(
+    if (update.echoedAt() > 0) {
+      upToDateAt = Math.max(upToDateAt, update.echoedAt() - update.ageMs());
+      if (!update.relayed() && update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
+        if (!receivedFromControlPlane) {
+          receivedFromControlPlane = true;
+          environment.log(
               PART, "The core's news is here, " + (now - startedAt) + " ms after the start.");
         }
-        coreHeardAt = Math.max(coreHeardAt, news.echoedAt());
+        controlPlaneHeardAt = Math.max(controlPlaneHeardAt, update.echoedAt());
       }
     }
-    if (unheard && heardCore) {
-      firstNews();
+    if (unheard && receivedFromControlPlane) {
+      firstUpdateApplied();
     }
-    List<String> core = roster.members().stream().map(QuorumMember::peerAddress).toList();
+    List<String> core = membership.members().stream().map(QuorumMember::peerAddress).toList();
     if (unheard) {
-      tellKnown(core);
+      reportApplied(core);
     } else if (!learned.isEmpty()) {
-      tellKnown(core, learned);
+      reportApplied(core, learned);
     }
   }
 
-  private void fold(MetadataRecord item) {
-    String key = item.key();
-    journal.add("known", key, "sequence " + item.sequence());
+  private void apply(MetadataRecord metadataRecord) {
+    String key = metadataRecord.key();
+    traceLog.add("known", key, "sequence " + metadataRecord.sequence());
     if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       leaderPlacement = null;
-      NodeRegistration member = Json.read(item.value(), NodeRegistration.class);
+      NodeRegistration member = Json.read(metadataRecord.value(), NodeRegistration.class);
       if (member.live()) {
         members.put(member.id(), member);
       } else {
         members.remove(member.id());
       }
     } else if (key.startsWith(MetadataKeys.WORKER_PREFIX)) {
-      WorkerRegistration worker = Json.read(item.value(), WorkerRegistration.class);
+      WorkerRegistration worker = Json.read(metadataRecord.value(), WorkerRegistration.class);
       if (worker.state().equals(GONE)) {
         workers.remove(worker.id());
       } else {
         workers.put(worker.id(), worker);
       }
     } else if (key.equals(MetadataKeys.WORKER_LIST)) {
-      outsideWorkers.forEach(workers::remove);
-      List<WorkerRegistration> listed = Json.read(item.value(), WorkerList.class).workers();
+      listedWorkerIds.forEach(workers::remove);
+      List<WorkerRegistration> listed =
+          Json.read(metadataRecord.value(), WorkerList.class).workers();
       listed.forEach(worker -> workers.put(worker.id(), worker));
-      outsideWorkers = listed.stream().map(WorkerRegistration::id).toList();
+      listedWorkerIds = listed.stream().map(WorkerRegistration::id).toList();
     } else if (key.equals(MetadataKeys.EDGE_LIST)) {
-      listedEdges = Json.read(item.value(), EdgeList.class).addresses();
+      listedEdges = Json.read(metadataRecord.value(), EdgeList.class).addresses();
     } else if (key.equals(MetadataKeys.MEMBERSHIP)) {
-      learnRoster(Json.read(item.value(), QuorumMembership.class));
+      learnMembership(Json.read(metadataRecord.value(), QuorumMembership.class));
     } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
-      shards.put(key, Json.read(item.value(), ShardAssignment.class));
+      shards.put(key, Json.read(metadataRecord.value(), ShardAssignment.class));
     } else if (key.equals(MetadataKeys.CONFIGURATION)) {
-      SignedConfiguration signed = Json.read(item.value(), SignedConfiguration.class);
-      RoutingConfiguration.ValidationResult checked = RoutingConfiguration.kept(signed.bytes());
-      if (checked.fault() == null) {
-        bundle = checked.bundle();
-        surroundings.log(PART, "Bundle " + bundle.number() + " is in force.");
-        journal.add("in-force", "bundle", "number " + bundle.number());
+      SignedConfiguration signed = Json.read(metadataRecord.value(), SignedConfiguration.class);
+      RoutingConfiguration.ValidationResult checked =
+          RoutingConfiguration.readCommitted(signed.bytes());
+      if (checked.error() == null) {
+        configuration = checked.configuration();
+        environment.log(PART, "Bundle " + configuration.number() + " is in force.");
+        traceLog.add("in-force", "bundle", "number " + configuration.number());
       } else {
-        surroundings.log(
+        environment.log(
             PART,
-            "Bundle " + signed.number() + " was passed over: " + checked.fault().type() + ".");
+            "Bundle " + signed.number() + " was passed over: " + checked.error().type() + ".");
       }
     }
-    changed(key);
+    metadataChanged(key);
   }
 
   /** Questions go from here on to the core member whose feed this node's place is in. */
-  private void followFrom(String coreId) {
-    for (int index = 0; index < coreInOrder().size(); index++) {
-      if (coreInOrder().get(index).id().equals(coreId)) {
-        chosenCore = index;
+  private void switchFeedSource(String coreId) {
+    for (int index = 0; index < feedSourcesInOrder().size(); index++) {
+      if (feedSourcesInOrder().get(index).id().equals(coreId)) {
+        feedSourceIndex = index;
       }
     }
   }
 
   /** Called once the first news of the core itself are folded. */
-  protected void firstNews() {}
+  protected void firstUpdateApplied() {}
 
   /** This process is new and may have the core's news in a moment. */
-  protected boolean starting() {
-    return !heardCore && surroundings.now() - startedAt < LifecycleConstants.MAX_STARTUP_MS;
+  protected boolean isStarting() {
+    return !receivedFromControlPlane
+        && environment.nowMs() - startedAt < LifecycleConstants.MAX_STARTUP_MS;
   }
 
   /** Called after the view of a key has changed. */
-  protected void changed(String key) {}
+  protected void metadataChanged(String key) {}
 
   protected List<NodeRegistration> liveEdges() {
     return members.values().stream().filter(member -> member.role().equals("edge")).toList();
@@ -554,13 +564,13 @@
   /** Where batches are led, by the edges that are live now. */
   protected BatchLeaderPlacement leaderPlacement() {
     if (leaderPlacement == null) {
-      leaderPlacement = new BatchLeaderPlacement(bounds.replicas(), liveEdges());
+      leaderPlacement = new BatchLeaderPlacement(settings.replicas(), liveEdges());
     }
     return leaderPlacement;
   }
 
   /** The replica sets of the shard a key belongs to; none while the shard has none. */
-  protected ReplicaConfiguration setsOf(String key) {
+  protected ReplicaConfiguration replicaConfigurationOf(String key) {
     ShardAssignment shard = shards.get(MetadataKeys.shardOf(key));
     return shard == null ? ReplicaConfiguration.NONE : ReplicaConfiguration.of(shard);
   }
@@ -574,15 +584,17 @@
     if (stopping) {
       return "stopping";
     }
-    return joined() ? notServingBecause() : "no grant from the core";
+    return hasLease() ? notServingBecause() : "no grant from the core";
   }
 
   /** Empty when all news that serving takes are here, else which are not. */
   protected String notServingBecause() {
-    if (feedStale()) {
+    if (isFeedStale()) {
       return "the feed is stale";
     }
-    return bundle == null ? "no bundle in force" : shards.isEmpty() ? "no shards placed" : "";
+    return configuration == null
+        ? "no bundle in force"
+        : shards.isEmpty() ? "no shards placed" : "";
   }
 
   @Override
@@ -590,11 +602,11 @@
     ObjectNode status = commonStatus();
     status
         .put("feedCore", feedId)
-        .put("feedNumber", feedNumber)
+        .put("feedNumber", feedPosition)
         .put("feedAgeMs", Math.min(feedAge(), Integer.MAX_VALUE))
-        .put("bundle", bundle == null ? 0 : bundle.number())
-        .put("joined", joined())
-        .put("isolated", isolated());
+        .put("bundle", configuration == null ? 0 : configuration.number())
+        .put("joined", hasLease())
+        .put("isolated", isIsolated());
     return status;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeGateway.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeGateway.java
@@ -10,14 +10,14 @@
 
 /**
  * What a door for opaque requests asks of the logic behind it; on the logic's thread, but for
- * whenBundleChanges.
+ * onConfigurationChange.
  */
 public interface EdgeGateway {
   /** Told of each bundle that comes into force here; to be set before the start. */
-  void whenBundleChanges(Consumer<RoutingConfiguration> then);
+  void onConfigurationChange(Consumer<RoutingConfiguration> then);
 
   /** Passes an opaque request on to a worker by the bundle's routes. */
-  RequestHandle pass(ProxiedRequest request, ProxiedResponseListener listener);
+  RequestHandle proxy(ProxiedRequest request, ProxiedResponseListener listener);
 
   /** The route an opaque request or batch would take under the bundle in force, or null. */
   RoutingConfiguration.Route route(String host, String path);
@@ -27,16 +27,16 @@
    * disks. The body is read by whoever leads the batch; what is wrong with it comes as the
    * response.
    */
-  void submitOpaque(BatchSubmission submission, Consumer<Response> then);
+  void submitProxiedBatch(BatchSubmission submission, Consumer<Response> then);
 
   /**
    * Results from a position on: {total, results: [{id, state: complete|expired, output}], next}.
    * holdMs: how long the answer may wait for a first result; 0 not at all.
    */
-  void opaqueResults(String batch, long from, long holdMs, Consumer<Response> then);
+  void readProxiedResults(String batch, long from, long holdMs, Consumer<Response> then);
 
   /** The body of an item without a result yet: {body: base64}. */
-  void opaqueItem(String batch, String item, Consumer<Response> then);
+  void readProxiedItem(String batch, String item, Consumer<Response> then);
 
-  void endOpaque(String batch, Consumer<Response> then);
+  void endProxiedBatch(String batch, Consumer<Response> then);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -89,11 +89,11 @@
     implements BatchLeader.Context, BatchDispatcher.Context, EdgeContext, EdgeGateway {
   private static final String PART = "edge";
 
-  private final WorkerRegistry book;
-  private final LiveRequestDispatcher live;
-  private final ProxyDispatcher opaque;
-  private final BatchDispatcher feeder;
-  private final SubmissionReader intake;
+  private final WorkerRegistry registry;
+  private final LiveRequestDispatcher liveRequests;
+  private final ProxyDispatcher proxiedRequests;
+  private final BatchDispatcher batchDispatcher;
+  private final SubmissionReader submissionReader;
   private final SubmissionWarmUp warmUp;
   private final SubmissionsInProgress submissionsInWork = new SubmissionsInProgress();
   private final PendingSubmissions submissions = new PendingSubmissions();
@@ -107,7 +107,7 @@
 
   private Consumer<RoutingConfiguration> whenBundleChanges = unheard -> {};
   private final Map<String, BatchLeader> leaders = new TreeMap<>();
-  private final Elections claims;
+  private final Elections elections;
 
   /**
    * When each batch is due on our clock, as its leader last offered it. The log knows a batch's age
@@ -137,58 +137,62 @@
   /** By worker, the edge that feeds it; forgotten whenever the members or the workers change. */
   private final Map<String, String> feederOfWorker = new HashMap<>();
 
-  public EdgeNode(Environment surroundings, NodeIdentity place) {
-    this(surroundings, place, NodeSettings.DEFAULT);
+  public EdgeNode(Environment environment, NodeIdentity identity) {
+    this(environment, identity, NodeSettings.DEFAULT);
   }
 
-  public EdgeNode(Environment surroundings, NodeIdentity place, NodeSettings bounds) {
-    this(surroundings, place, bounds, BatchFormat.OWN);
+  public EdgeNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
+    this(environment, identity, settings, BatchFormat.OWN);
   }
 
   public EdgeNode(
-      Environment surroundings, NodeIdentity place, NodeSettings bounds, BatchFormat format) {
-    super(surroundings, place, bounds);
-    intake = new SubmissionReader(format);
-    warmUp = new SubmissionWarmUp(surroundings, place, format, intake);
-    claims = new Elections(surroundings, place.id(), this::send, this::setsOf, this::begin);
-    book = new WorkerRegistry(surroundings, this::pump);
-    book.whenBegan(new PeerLoadReporter(surroundings, book, this::zonePeers, this::send)::began);
-    live = new LiveRequestDispatcher(surroundings, place.id(), this, book);
-    opaque = new ProxyDispatcher(surroundings, place.zone(), this, book);
-    feeder = new BatchDispatcher(surroundings, place.id(), this, book);
+      Environment environment, NodeIdentity identity, NodeSettings settings, BatchFormat format) {
+    super(environment, identity, settings);
+    submissionReader = new SubmissionReader(format);
+    warmUp = new SubmissionWarmUp(environment, identity, format, submissionReader);
+    elections =
+        new Elections(
+            environment, identity.id(), this::send, this::replicaConfigurationOf, this::begin);
+    registry = new WorkerRegistry(environment, this::pump);
+    registry.onCallStart(
+        new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::began);
+    liveRequests = new LiveRequestDispatcher(environment, identity.id(), this, registry);
+    proxiedRequests = new ProxyDispatcher(environment, identity.zone(), this, registry);
+    batchDispatcher = new BatchDispatcher(environment, identity.id(), this, registry);
   }
 
   @Override
   public void start() {
     super.start();
-    every(WorkerConstants.LOAD_POLL_INTERVAL_MS, this::tick);
+    repeatEvery(WorkerConstants.LOAD_POLL_INTERVAL_MS, this::tick);
   }
 
   /** The other live edges of this one's zone, which mostly send to the same workers. */
   private List<NodeRegistration> zonePeers() {
     return liveEdges().stream()
-        .filter(member -> member.zone().equals(place.zone()) && !member.id().equals(place.id()))
+        .filter(
+            member -> member.zone().equals(identity.zone()) && !member.id().equals(identity.id()))
         .toList();
   }
 
   private void pump() {
-    live.pump();
-    feeder.pump();
+    liveRequests.pump();
+    batchDispatcher.pump();
   }
 
   private void tick() {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
       if (leader.tick()) {
-        leader.key.stop();
-        leaders.remove(leader.key.key);
-        leader.lost();
+        leader.leader.resign();
+        leaders.remove(leader.leader.key);
+        leader.leadershipLost();
       }
     }
     submissions
-        .overdue(surroundings.now())
-        .forEach(batch -> violated(Invariant.SUBMISSION_ANSWERED_IN_TIME, batch));
-    feeder.tick();
-    live.tick();
+        .overdue(environment.nowMs())
+        .forEach(batch -> reportViolation(Invariant.SUBMISSION_ANSWERED_IN_TIME, batch));
+    batchDispatcher.tick();
+    liveRequests.tick();
     warmUpWhenIdle();
   }
 
@@ -196,58 +200,58 @@
   private void warmUpWhenIdle() {
     boolean idle =
         leaders.isEmpty()
-            && opaque.openRequests() == 0
-            && feeder.runningItems() == 0
-            && live.runningRequests() == 0;
-    if (!idle || bundle == null || stopping || !members.containsKey(place.id())) {
+            && proxiedRequests.openRequests() == 0
+            && batchDispatcher.runningItems() == 0
+            && liveRequests.runningRequests() == 0;
+    if (!idle || configuration == null || stopping || !members.containsKey(identity.id())) {
       return;
     }
-    boolean leads = leaderPlacement().mayLead(place.id());
+    boolean leads = leaderPlacement().mayLead(identity.id());
     if (!warmUp.done(leads)) {
-      warmUp.round(bundle, leads);
+      warmUp.round(configuration, leads);
     }
   }
 
   @Override
-  protected void changed(String key) {
+  protected void metadataChanged(String key) {
     if (key.startsWith(MetadataKeys.WORKER_PREFIX) || key.equals(MetadataKeys.WORKER_LIST)) {
       feederOfWorker.clear();
-      book.follow(workers);
-    } else if (key.equals(MetadataKeys.CONFIGURATION) && bundle != null) {
-      routes = RouteTable.compile(bundle);
-      whenBundleChanges.accept(bundle);
+      registry.updateWorkers(workers);
+    } else if (key.equals(MetadataKeys.CONFIGURATION) && configuration != null) {
+      routes = RouteTable.compile(configuration);
+      whenBundleChanges.accept(configuration);
     } else if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       feederOfWorker.clear();
     } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
       leaders.values().stream()
-          .map(leader -> leader.key)
+          .map(leader -> leader.leader)
           .filter(owned -> MetadataKeys.shardOf(owned.key).equals(key))
           .toList()
-          .forEach(owned -> owned.changeSets(setsOf(owned.key)));
-      claims.changeSets();
+          .forEach(owned -> owned.reconfigure(replicaConfigurationOf(owned.key)));
+      elections.reconfigure();
     }
   }
 
   // ---- what the interface calls
 
   @Override
-  public void whenBundleChanges(Consumer<RoutingConfiguration> then) {
+  public void onConfigurationChange(Consumer<RoutingConfiguration> then) {
     whenBundleChanges = then;
   }
 
   public RequestHandle complete(LiveRequest request, LiveResponseListener listener) {
-    return live.take(request, listener);
+    return liveRequests.take(request, listener);
   }
 
   /** Passes an opaque request on to a worker by the bundle's routes. */
   @Override
-  public RequestHandle pass(ProxiedRequest request, ProxiedResponseListener listener) {
-    if (!starting() || early.size() >= LifecycleConstants.MAX_STARTUP_HELD_REQUESTS) {
-      return opaque.take(request, listener);
+  public RequestHandle proxy(ProxiedRequest request, ProxiedResponseListener listener) {
+    if (!isStarting() || early.size() >= LifecycleConstants.MAX_STARTUP_HELD_REQUESTS) {
+      return proxiedRequests.take(request, listener);
     }
     Early held = new Early(request, listener);
     early.add(held);
-    surroundings.after(LifecycleConstants.STARTUP_HOLD_MS, held::goOn);
+    environment.schedule(LifecycleConstants.STARTUP_HOLD_MS, held::goOn);
     return held;
   }
 
@@ -255,7 +259,7 @@
   private final class Early implements RequestHandle {
     private final ProxiedRequest request;
     private final ProxiedResponseListener listener;
-    private final long cameAt = surroundings.now();
+    private final long cameAt = environment.nowMs();
     private boolean gone;
     private RequestHandle taken;
 
@@ -273,10 +277,10 @@
       if (route != null && route.type() == RoutingConfiguration.RouteType.BATCH) {
         // The door could not tell that it is a batch; it is handed in again.
         listener.refused(
-            Response.comeBackInMs(
+            Response.ofRetryAfterMs(
                 new ApiError.NoConfiguration(), LiveRequestConstants.MIN_RETRY_AFTER_MS));
       } else {
-        taken = opaque.take(request.after(surroundings.now() - cameAt), listener, cameAt);
+        taken = proxiedRequests.take(request.after(environment.nowMs() - cameAt), listener, cameAt);
       }
     }
 
@@ -290,7 +294,7 @@
   }
 
   @Override
-  protected void firstNews() {
+  protected void firstUpdateApplied() {
     List.copyOf(early).forEach(Early::goOn);
   }
 
@@ -304,9 +308,9 @@
    * a small machine that alone takes longer than the client waits.
    */
   @Override
-  public void submitOpaque(BatchSubmission submission, Consumer<Response> then) {
-    ApiError hindrance = mayBegin();
-    if (hindrance == null && bundle == null) {
+  public void submitProxiedBatch(BatchSubmission submission, Consumer<Response> then) {
+    ApiError hindrance = rejectionOfNewWork();
+    if (hindrance == null && configuration == null) {
       hindrance = new ApiError.NoConfiguration();
     }
     if (hindrance == null && routes.findBatch(submission.host(), submission.path()) == null) {
@@ -316,13 +320,13 @@
       then.accept(Response.of(hindrance));
       return;
     }
-    StageTimer trace = new StageTimer(surroundings);
-    byte[] body = new BatchSubmission.Forwarded(submission, bundle.number()).encode();
-    String batch = BatchKeys.opaqueId(submission.id());
+    StageTimer trace = new StageTimer(environment);
+    byte[] body = new BatchSubmission.Forwarded(submission, configuration.number()).encode();
+    String batch = BatchKeys.proxiedBatchId(submission.id());
     long expiryMs = PeerRequestConstants.REQUEST_TIMEOUT_MS + toReplicasMs(body.length);
     long open =
         submissions.begin(
-            batch, surroundings.now() + expiryMs + PeerRequestConstants.RESPONSE_SLACK_MS);
+            batch, environment.nowMs() + expiryMs + PeerRequestConstants.RESPONSE_SLACK_MS);
     askLeader(
         PeerRequest.SUBMIT,
         batch,
@@ -340,7 +344,7 @@
                   + " status="
                   + response.status()
                   + " fault="
-                  + response.faultType()
+                  + response.errorType()
                   + " bytes="
                   + body.length
                   + trace
@@ -351,11 +355,14 @@
 
   /** How long a leader on a slow link takes to send so much to its replicas. */
   private long toReplicasMs(long bytes) {
-    return bytes * (2L * bounds.lossesToBear() + 1) / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
+    return bytes
+        * (2L * settings.faultTolerance() + 1)
+        / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
   }
 
   @Override
-  public void opaqueResults(String batch, long from, long wantedHoldMs, Consumer<Response> then) {
+  public void readProxiedResults(
+      String batch, long from, long wantedHoldMs, Consumer<Response> then) {
     long holdMs = Math.min(wantedHoldMs, BatchConstants.MAX_LONG_POLL_MS);
     readOpaque(
         "opaque-results",
@@ -370,10 +377,10 @@
    * again.
    */
   private void readOpaque(
-      String duty, String batch, ObjectNode body, long holdMs, Consumer<Response> then) {
+      String operation, String batch, ObjectNode body, long holdMs, Consumer<Response> then) {
     askLeader(
-        duty,
-        BatchKeys.opaqueId(batch),
+        operation,
+        BatchKeys.proxiedBatchId(batch),
         body,
         holdMs + BatchConstants.READ_ATTEMPT_TIMEOUT_MS,
         holdMs + BatchConstants.READ_TIMEOUT_MS,
@@ -383,19 +390,19 @@
   }
 
   @Override
-  public void opaqueItem(String batch, String item, Consumer<Response> then) {
+  public void readProxiedItem(String batch, String item, Consumer<Response> then) {
     readOpaque("opaque-item", batch, JSON.createObjectNode().put("item", item), 0, then);
   }
 
   @Override
-  public void endOpaque(String batch, Consumer<Response> then) {
-    endBatch(BatchKeys.opaqueId(batch), then);
+  public void endProxiedBatch(String batch, Consumer<Response> then) {
+    endBatch(BatchKeys.proxiedBatchId(batch), then);
   }
 
   public void submit(
       String sender, String idempotencyKey, BatchInput input, Consumer<Response> then) {
-    ApiError hindrance = mayBegin();
-    if (hindrance == null && bundle == null) {
+    ApiError hindrance = rejectionOfNewWork();
+    if (hindrance == null && configuration == null) {
       hindrance = new ApiError.NoConfiguration();
     }
     if (hindrance != null) {
@@ -428,9 +435,9 @@
     askLeader("end", batch, JSON.createObjectNode(), then);
   }
 
-  private void askLeader(String duty, String batch, Object body, Consumer<Response> then) {
+  private void askLeader(String operation, String batch, Object body, Consumer<Response> then) {
     askLeader(
-        duty,
+        operation,
         batch,
         body,
         PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
@@ -439,9 +446,15 @@
   }
 
   private void askLeader(
-      String duty, String batch, Object body, long tryMs, long expiryMs, Consumer<Response> then) {
+      String operation,
+      String batch,
+      Object body,
+      long tryMs,
+      long expiryMs,
+      Consumer<Response> then) {
     String key = BatchKeys.keyOf(batch);
-    ask(attempt -> leaderOf(key, duty, attempt), duty, key, body, tryMs, expiryMs, then);
+    sendRequest(
+        attempt -> leaderOf(key, operation, attempt), operation, key, body, tryMs, expiryMs, then);
   }
 
   /**
@@ -449,70 +462,71 @@
    * first of those that are fit to lead it, seen from here; else the first in the agreed order.
    * Whoever is asked finds the true leader.
    */
-  private NodeAddress leaderOf(String key, String duty, int attempt) {
+  private NodeAddress leaderOf(String key, String operation, int attempt) {
     if (leaders.containsKey(key)) {
-      return new NodeAddress(place.id(), place.peerAddress());
+      return new NodeAddress(identity.id(), identity.peerAddress());
     }
     NodeAddress known = leaderOfBatch.get(BatchKeys.batchOf(key));
     if (known != null
         && attempt == 0
         && members.containsKey(known.id())
-        && !known.id().equals(place.id())) {
+        && !known.id().equals(identity.id())) {
       return known;
     }
     int rank = known == null ? attempt : Math.max(0, attempt - 1);
-    if (!duty.equals(PeerRequest.SUBMIT) || !BatchKeys.isOpaque(key)) {
+    if (!operation.equals(PeerRequest.SUBMIT) || !BatchKeys.isProxied(key)) {
       return leaderPlacement().edge(key, rank);
     }
-    return leaderPlacement().edgeFrom(place, key, rank);
+    return leaderPlacement().edgeFrom(identity, key, rank);
   }
 
   // ---- asks to the leader of a batch
 
   @Override
-  protected void handleAsk(PeerRequest ask) {
-    BatchLeader leader = leaders.get(ask.key());
-    boolean leads = leader != null && leader.key.owned();
-    if (ask.duty().equals(PeerRequest.SUBMIT) && submissionsInWork.join(ask)) {
-      count("submissions_joined");
-    } else if (leads && !ask.duty().equals(PeerRequest.SUBMIT)) {
-      serve(ask, leader);
+  protected void handleRequest(PeerRequest request) {
+    BatchLeader leader = leaders.get(request.key());
+    boolean leads = leader != null && leader.leader.isLeading();
+    if (request.operation().equals(PeerRequest.SUBMIT) && submissionsInWork.join(request)) {
+      incrementCounter("submissions_joined");
+    } else if (leads && !request.operation().equals(PeerRequest.SUBMIT)) {
+      serve(request, leader);
     } else if (leads) {
-      takeSubmission(ask, (accepted, trace) -> serveSubmission(ask, leader, accepted));
+      takeSubmission(request, (accepted, trace) -> serveSubmission(request, leader, accepted));
     } else if (stopping) {
-      respond(ask, Response.of(new ApiError.NodeStopping()));
-    } else if (isolated()) {
-      respond(ask, Response.of(new ApiError.NodeIsolated(feedAge())));
-    } else if (ask.duty().equals(PeerRequest.SUBMIT)) {
-      takeSubmission(ask, (accepted, trace) -> reserveThenLead(ask, accepted, trace));
+      respond(request, Response.of(new ApiError.NodeStopping()));
+    } else if (isIsolated()) {
+      respond(request, Response.of(new ApiError.NodeIsolated(feedAge())));
+    } else if (request.operation().equals(PeerRequest.SUBMIT)) {
+      takeSubmission(request, (accepted, trace) -> reserveThenLead(request, accepted, trace));
     } else {
       peek(
-          ask.key(),
+          request.key(),
           peeked ->
               serveFound(
-                  ask,
+                  request,
                   peeked,
-                  Response.of(new ApiError.NoSuchBatch(BatchKeys.batchOf(ask.key()))),
-                  led -> serve(ask, led)));
+                  Response.of(new ApiError.NoSuchBatch(BatchKeys.batchOf(request.key()))),
+                  led -> serve(request, led)));
     }
   }
 
   /** Reads the batch that is handed in; one that can't be taken is refused at once. */
-  private void takeSubmission(PeerRequest ask, BiConsumer<Accepted, StageTimer> then) {
+  private void takeSubmission(PeerRequest request, BiConsumer<Accepted, StageTimer> then) {
     if (submissionsInWork.bytes() > BatchConstants.MAX_SUBMISSION_BYTES_IN_PROGRESS) {
-      respond(ask, Response.of(new ApiError.Overloaded("batches being accepted")));
+      respond(request, Response.of(new ApiError.Overloaded("batches being accepted")));
       return;
     }
-    submissionsInWork.begin(ask);
-    surroundings.after(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(ask));
-    if (!leaderPlacement().mayLead(place.id())) {
-      count("submissions_at_unfit_edge");
+    submissionsInWork.begin(request);
+    environment.schedule(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(request));
+    if (!leaderPlacement().mayLead(identity.id())) {
+      incrementCounter("submissions_at_unfit_edge");
     }
-    StageTimer trace = new StageTimer(surroundings);
-    SubmissionReader.ReadResult taken = intake.take(ask.body(), bundle, routes);
+    StageTimer trace = new StageTimer(environment);
+    SubmissionReader.ReadResult taken =
+        submissionReader.read(request.body(), configuration, routes);
     trace.mark("read");
-    if (taken.fault() != null) {
-      respond(ask, Response.of(taken.fault()));
+    if (taken.error() != null) {
+      respond(request, Response.of(taken.error()));
     } else {
       then.accept(taken.accepted(), trace);
     }
@@ -524,26 +538,26 @@
    */
   private void tellProgress(PeerRequest submission) {
     List<PeerRequest> waiting = submissionsInWork.waitingFor(submission);
-    if (waiting.isEmpty() || stopped() || isolated()) {
+    if (waiting.isEmpty() || isTerminated() || isIsolated()) {
       return;
     }
     for (PeerRequest each : waiting) {
       send(each.originAddress(), each.originId(), new PeerRequestProgress(each.correlation()));
     }
-    surroundings.after(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(submission));
+    environment.schedule(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(submission));
   }
 
   /** Whoever joined the ask while it was at work is told the same. */
   @Override
-  public void respond(PeerRequest ask, Response response) {
-    super.respond(ask, response);
-    submissionsInWork.end(ask).forEach(joined -> super.respond(joined, response));
+  public void respond(PeerRequest request, Response response) {
+    super.respond(request, response);
+    submissionsInWork.end(request).forEach(joined -> super.respond(joined, response));
   }
 
   @Override
-  protected void handOver(PeerRequest ask, String toId, String toAddress) {
-    super.handOver(ask, toId, toAddress);
-    submissionsInWork.end(ask).forEach(joined -> super.handOver(joined, toId, toAddress));
+  protected void forward(PeerRequest request, String toId, String toAddress) {
+    super.forward(request, toId, toAddress);
+    submissionsInWork.end(request).forEach(joined -> super.forward(joined, toId, toAddress));
   }
 
   /** What the replicas say of a key: whether there is such a record, and who holds it just now. */
@@ -556,50 +570,51 @@
    * the first one. Else this edge claims it.
    */
   private void serveFound(
-      PeerRequest ask, Peeked peeked, Response whenAbsent, Consumer<BatchLeader> whenLed) {
+      PeerRequest request, Peeked peeked, Response whenAbsent, Consumer<BatchLeader> whenLed) {
     NodeAddress holder = peeked.holder();
     if (peeked.present() == null) {
-      respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
+      respond(request, Response.of(new ApiError.NoQuorum(request.key())));
     } else if (!peeked.present()) {
-      respond(ask, whenAbsent);
-    } else if (ask.hops() > 0 && !holder.id().isEmpty() && !holder.id().equals(place.id())) {
-      handOver(ask, holder.id(), holder.address());
+      respond(request, whenAbsent);
+    } else if (request.hops() > 0 && !holder.id().isEmpty() && !holder.id().equals(identity.id())) {
+      forward(request, holder.id(), holder.address());
     } else {
-      lead(ask, new StageTimer(surroundings), whenLed);
+      lead(request, new StageTimer(environment), whenLed);
     }
   }
 
-  private void serve(PeerRequest ask, BatchLeader leader) {
-    if (!leader.key.hearsMajority()) {
-      respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
+  private void serve(PeerRequest request, BatchLeader leader) {
+    if (!leader.leader.isInContactWithQuorum()) {
+      respond(request, Response.of(new ApiError.NoQuorum(request.key())));
       return;
     }
-    JsonNode body = Json.tree(ask.body());
-    switch (ask.duty()) {
-      case "get" -> leader.read(response -> respond(ask, response));
+    JsonNode body = Json.tree(request.body());
+    switch (request.operation()) {
+      case "get" -> leader.read(response -> respond(request, response));
       case "results" ->
-          leader.results(
+          leader.readPromptResults(
               body.path("after").asLong(),
               body.path("limit").asInt(),
-              response -> respond(ask, response));
-      case "remove" -> leader.remove(response -> respond(ask, response));
-      case "end" -> leader.end(response -> respond(ask, response));
+              response -> respond(request, response));
+      case "remove" -> leader.remove(response -> respond(request, response));
+      case "end" -> leader.end(response -> respond(request, response));
       case "opaque-results" ->
-          leader.opaqueResults(
+          leader.readProxiedResults(
               body.path("from").asLong(),
               body.path("holdMs").asLong(),
-              response -> respond(ask, response));
+              response -> respond(request, response));
       case "opaque-item" ->
-          leader.opaqueItem(body.path("item").asText(), response -> respond(ask, response));
-      default -> respond(ask, Response.of(new ApiError.UnknownRequest(ask.duty())));
+          leader.readProxiedItem(
+              body.path("item").asText(), response -> respond(request, response));
+      default -> respond(request, Response.of(new ApiError.UnknownRequest(request.operation())));
     }
   }
 
-  private void serveSubmission(PeerRequest ask, BatchLeader leader, Accepted accepted) {
-    if (leader.key.hearsMajority()) {
-      leader.submit(accepted, response -> respond(ask, response));
+  private void serveSubmission(PeerRequest request, BatchLeader leader, Accepted accepted) {
+    if (leader.leader.isInContactWithQuorum()) {
+      leader.submit(accepted, response -> respond(request, response));
     } else {
-      respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
+      respond(request, Response.of(new ApiError.NoQuorum(request.key())));
     }
   }
 
@@ -607,33 +622,35 @@
    * Room first, then the record: a refusal for want of room is said before anything of the batch is
    * written.
    */
-  private void reserveThenLead(PeerRequest ask, Accepted accepted, StageTimer trace) {
-    Consumer<BatchLeader> whenLed = leader -> serveSubmission(ask, leader, accepted);
-    askCore(
+  private void reserveThenLead(PeerRequest request, Accepted accepted, StageTimer trace) {
+    Consumer<BatchLeader> whenLed = leader -> serveSubmission(request, leader, accepted);
+    requestControlPlane(
         "room",
         MetadataKeys.BATCH_CAPACITY,
-        reservation(BatchKeys.batchOf(ask.key()), accepted),
+        reservation(BatchKeys.batchOf(request.key()), accepted),
         PeerRequestConstants.CAPACITY_RESERVATION_TIMEOUT_MS,
         response -> {
           trace.mark("reserve");
-          if (response.good()) {
-            lead(ask, trace, whenLed);
-          } else if (response.faultType().equals("NoRoom")
-              || response.faultType().equals("BatchOverCeiling")) {
-            peek(ask.key(), peeked -> serveFound(ask, peeked, response, whenLed));
+          if (response.isSuccess()) {
+            lead(request, trace, whenLed);
+          } else if (response.errorType().equals("NoRoom")
+              || response.errorType().equals("BatchOverCeiling")) {
+            peek(request.key(), peeked -> serveFound(request, peeked, response, whenLed));
           } else {
-            respond(ask, Response.of(new ApiError.NoQuorum(MetadataKeys.BATCH_CAPACITY)));
+            respond(request, Response.of(new ApiError.NoQuorum(MetadataKeys.BATCH_CAPACITY)));
           }
         });
   }
 
   private ObjectNode reservation(String batch, Accepted accepted) {
     ObjectNode reservation = JSON.createObjectNode().put("batch", batch).put("reserve", true);
-    BatchEvent.ProxiedRoute opaque = accepted.opaque();
-    if (opaque == null) {
+    BatchEvent.ProxiedRoute proxiedRoute = accepted.opaque();
+    if (proxiedRoute == null) {
       return reservation
           .put("items", accepted.items().size())
-          .put("ceiling", bundle == null ? 0 : bundle.limits().batch().waitingItemsMost());
+          .put(
+              "ceiling",
+              configuration == null ? 0 : configuration.limits().batch().waitingItemsMost());
     }
     long tokens =
         accepted.items().stream()
@@ -641,61 +658,62 @@
             .sum();
     return reservation
         .put("items", tokens)
-        .put("ceiling", opaque.ceiling())
-        .put("group", opaque.route());
+        .put("ceiling", proxiedRoute.ceiling())
+        .put("group", proxiedRoute.route());
   }
 
-  private void lead(PeerRequest ask, StageTimer trace, Consumer<BatchLeader> whenLed) {
+  private void lead(PeerRequest request, StageTimer trace, Consumer<BatchLeader> whenLed) {
     claim(
-        ask.key(),
+        request.key(),
         false,
         outcome -> {
           trace.mark("claim");
           log(
               "Leadership asked for: duty="
-                  + ask.duty()
+                  + request.operation()
                   + " batch="
-                  + BatchKeys.batchOf(ask.key())
+                  + BatchKeys.batchOf(request.key())
                   + " outcome="
-                  + outcome.claim()
+                  + outcome.result()
                   + trace
                   + ".");
-          switch (outcome.claim()) {
-            case OWNED -> {
-              BatchLeader leader = leaders.get(ask.key());
+          switch (outcome.result()) {
+            case ELECTED -> {
+              BatchLeader leader = leaders.get(request.key());
               if (leader == null) {
-                respond(ask, Response.of(new ApiError.NotLeader(ask.key())));
+                respond(request, Response.of(new ApiError.NotLeader(request.key())));
               } else {
                 whenLed.accept(leader);
               }
             }
-            case BUSY -> handOver(ask, outcome.ownerId(), outcome.ownerAddress());
-            case NO_MAJORITY -> respond(ask, Response.of(new ApiError.NoQuorum(ask.key())));
+            case LEADER_ALIVE -> forward(request, outcome.leaderId(), outcome.leaderAddress());
+            case NO_QUORUM -> respond(request, Response.of(new ApiError.NoQuorum(request.key())));
           }
         });
   }
 
   private void claim(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
     BatchLeader present = leaders.get(key);
-    if (present != null && present.key.owned()) {
-      then.accept(new ElectionOutcome(ElectionResult.OWNED, place.id(), place.peerAddress()));
+    if (present != null && present.leader.isLeading()) {
+      then.accept(
+          new ElectionOutcome(ElectionResult.ELECTED, identity.id(), identity.peerAddress()));
       return;
     }
-    claims.claim(key, handedOver, then);
+    elections.elect(key, handedOver, then);
   }
 
-  private void begin(ReplicatedLogLeader ownedKey) {
-    String key = ownedKey.key;
-    leaders.put(key, new BatchLeader(surroundings, this, BatchKeys.batchOf(key), ownedKey));
-    journal.add("leads", key, "epoch " + ownedKey.epoch().counter());
-    ownedKey.whenLost(
+  private void begin(ReplicatedLogLeader logLeader) {
+    String key = logLeader.key;
+    leaders.put(key, new BatchLeader(environment, this, BatchKeys.batchOf(key), logLeader));
+    traceLog.add("leads", key, "epoch " + logLeader.epoch().counter());
+    logLeader.onLeadershipLost(
         () -> {
           BatchLeader lost = leaders.remove(key);
           if (lost != null) {
-            lost.lost();
+            lost.leadershipLost();
           }
-          journal.add("lost", key, "");
-          surroundings.log(PART, "Leadership lost: " + key + ".");
+          traceLog.add("lost", key, "");
+          environment.log(PART, "Leadership lost: " + key + ".");
         });
   }
 
@@ -704,16 +722,16 @@
    * the last.
    */
   private void askReplicas(
-      ReplicaConfiguration sets,
-      String duty,
+      ReplicaConfiguration replicaConfiguration,
+      String operation,
       String key,
       ObjectNode body,
       BiConsumer<String, Response> then) {
-    body.put("setNumber", sets.number());
-    for (NodeAddress replica : sets.all()) {
-      ask(
+    body.put("setNumber", replicaConfiguration.version());
+    for (NodeAddress replica : replicaConfiguration.allReplicas()) {
+      sendRequest(
           attempt -> attempt == 0 ? new NodeAddress(replica.id(), replica.address()) : null,
-          duty,
+          operation,
           key,
           body,
           PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
@@ -723,8 +741,8 @@
 
   /** True or false on a majority's evidence, else null. Writes nothing anywhere. */
   private void peek(String key, Consumer<Peeked> then) {
-    ReplicaConfiguration sets = setsOf(key);
-    if (sets.isEmpty()) {
+    ReplicaConfiguration replicaConfiguration = replicaConfigurationOf(key);
+    if (replicaConfiguration.isEmpty()) {
       then.accept(Peeked.UNCERTAIN);
       return;
     }
@@ -732,18 +750,18 @@
     int[] heard = new int[1];
     boolean[] told = new boolean[1];
     askReplicas(
-        sets,
+        replicaConfiguration,
         "peek",
         key,
         JSON.createObjectNode(),
         (replica, response) -> {
           heard[0]++;
-          boolean present = response.good() && response.body().path("present").asBoolean();
-          if (response.good() && !present) {
+          boolean present = response.isSuccess() && response.body().path("present").asBoolean();
+          if (response.isSuccess() && !present) {
             absent.add(replica);
           }
-          boolean certain = present || sets.quorum(absent);
-          if (!told[0] && (certain || heard[0] == sets.all().size())) {
+          boolean certain = present || replicaConfiguration.isQuorum(absent);
+          if (!told[0] && (certain || heard[0] == replicaConfiguration.allReplicas().size())) {
             told[0] = true;
             then.accept(certain ? new Peeked(present, holder(response)) : Peeked.UNCERTAIN);
           }
@@ -763,56 +781,56 @@
   }
 
   @Override
-  public void toAllEdges(Message message) {
+  public void broadcastToEdges(Message message) {
     liveEdges().forEach(member -> send(member.peerAddress(), member.id(), message));
   }
 
   private void freeRoom(String batch) {
-    reportRoom(batch, 0, waiting -> {});
+    reportCapacity(batch, 0, waiting -> {});
   }
 
   @Override
-  public void reportRoom(String batch, long room, LongConsumer then) {
-    askCore(
+  public void reportCapacity(String batch, long room, LongConsumer then) {
+    requestControlPlane(
         "room",
         MetadataKeys.BATCH_CAPACITY,
         JSON.createObjectNode().put("batch", batch).put("items", room),
         ReplicationConstants.COMMIT_TIMEOUT_MS,
         response -> {
-          if (response.good()) {
+          if (response.isSuccess()) {
             then.accept(response.body().path("waiting").asLong());
           }
         });
   }
 
   @Override
-  public boolean newsFresh() {
-    return !feedStale();
+  public boolean isMetadataFresh() {
+    return !isFeedStale();
   }
 
   @Override
   public void log(String sentence) {
-    surroundings.log("batch", sentence);
+    environment.log("batch", sentence);
   }
 
   @Override
-  public void violated(Invariant invariant, String detail) {
-    super.violated(invariant, detail);
+  public void reportViolation(Invariant invariant, String detail) {
+    super.reportViolation(invariant, detail);
   }
 
   @Override
-  public void offsetAhead(String batch) {
-    count("batch_offsets_ahead");
+  public void recordOffsetAhead(String batch) {
+    incrementCounter("batch_offsets_ahead");
   }
 
   @Override
-  public Long heardDueAt(String batch) {
+  public Long lastKnownDueAt(String batch) {
     return dueAtOfBatch.get(batch);
   }
 
   @Override
-  public boolean feeds(String worker) {
-    return place
+  public boolean dispatchesTo(String worker) {
+    return identity
         .id()
         .equals(
             feederOfWorker.computeIfAbsent(
@@ -838,21 +856,21 @@
   }
 
   @Override
-  public ApiError mayBegin() {
+  public ApiError rejectionOfNewWork() {
     if (stopping) {
       return new ApiError.NodeStopping();
     }
-    return mayGoOn();
+    return rejectionOfAdmittedWork();
   }
 
   @Override
-  public ApiError mayGoOn() {
-    return isolated() ? new ApiError.NodeIsolated(feedAge()) : null;
+  public ApiError rejectionOfAdmittedWork() {
+    return isIsolated() ? new ApiError.NodeIsolated(feedAge()) : null;
   }
 
   @Override
-  public RoutingConfiguration bundle() {
-    return bundle;
+  public RoutingConfiguration configuration() {
+    return configuration;
   }
 
   @Override
@@ -861,42 +879,42 @@
   }
 
   @Override
-  public boolean stopping() {
+  public boolean isStopping() {
     return stopping;
   }
 
   @Override
-  public void count(String counter) {
-    super.count(counter);
+  public void incrementCounter(String counter) {
+    super.incrementCounter(counter);
   }
 
   @Override
   public void claimOnce(String id, String token, Consumer<ApiError> then) {
     String key = MetadataKeys.ONCE_PREFIX + id;
-    ReplicaConfiguration sets = setsOf(key);
-    if (sets.isEmpty()) {
+    ReplicaConfiguration replicaConfiguration = replicaConfigurationOf(key);
+    if (replicaConfiguration.isEmpty()) {
       then.accept(new ApiError.NoQuorum(key));
       return;
     }
     Set<String> won = new HashSet<>();
     Set<String> open = new HashSet<>();
-    sets.all().forEach(replica -> open.add(replica.id()));
+    replicaConfiguration.allReplicas().forEach(replica -> open.add(replica.id()));
     boolean[] claimedByOther = new boolean[1];
     boolean[] told = new boolean[1];
     askReplicas(
-        sets,
+        replicaConfiguration,
         "claim",
         key,
         JSON.createObjectNode().put("token", token),
         (replica, response) -> {
-          if (response.good()) {
+          if (response.isSuccess()) {
             won.add(replica);
           } else {
             open.remove(replica);
-            claimedByOther[0] |= response.faultType().equals("AlreadyClaimed");
+            claimedByOther[0] |= response.errorType().equals("AlreadyClaimed");
           }
-          boolean lost = !sets.quorum(open);
-          if (told[0] || !lost && !sets.quorum(won)) {
+          boolean lost = !replicaConfiguration.isQuorum(open);
+          if (told[0] || !lost && !replicaConfiguration.isQuorum(won)) {
             return;
           }
           told[0] = true;
@@ -915,11 +933,11 @@
   @Override
   public void unclaimOnce(String id, String token) {
     String key = MetadataKeys.ONCE_PREFIX + id;
-    setsOf(key)
-        .all()
+    replicaConfigurationOf(key)
+        .allReplicas()
         .forEach(
             replica ->
-                ask(
+                sendRequest(
                     attempt -> new NodeAddress(replica.id(), replica.address()),
                     "unclaim",
                     key,
@@ -933,14 +951,15 @@
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
     if (message instanceof VoteResponse promised) {
-      claims.promised(promised, fromId);
+      elections.handleVoteResponse(promised, fromId);
     } else if (message instanceof LogFetchResponse part) {
-      claims.logPart(part);
+      elections.handleLogFetchResponse(part);
     } else if (message instanceof AppendResponse appended) {
       BatchLeader leader = leaders.get(appended.key());
-      ReplicatedLogLeader ownedKey = leader != null ? leader.key : claims.claiming(appended.key());
-      if (ownedKey != null) {
-        ownedKey.appended(appended, fromId);
+      ReplicatedLogLeader logLeader =
+          leader != null ? leader.leader : elections.inProgress(appended.key());
+      if (logLeader != null) {
+        logLeader.handleAppendResponse(appended, fromId);
       }
     } else if (message instanceof LeadershipTransfer handedOver) {
       if (!stopping && !leaders.containsKey(handedOver.key())) {
@@ -949,28 +968,28 @@
     } else if (message instanceof LeaderlessBatches unfinished) {
       unfinished.keys().forEach(this::takeOrphan);
     } else if (message instanceof BatchOffer offer) {
-      dueAtOfBatch.put(offer.batch(), surroundings.now() + offer.dueInMs());
+      dueAtOfBatch.put(offer.batch(), environment.nowMs() + offer.dueInMs());
       leaderOfBatch.put(offer.batch(), new NodeAddress(fromId, fromAddress));
-      feeder.offered(offer, fromId, fromAddress);
+      batchDispatcher.handleOffer(offer, fromId, fromAddress);
     } else if (message instanceof RangeRequest pull) {
       BatchLeader leader = leaders.get(BatchKeys.keyOf(pull.batch()));
       if (leader != null) {
-        leader.pulled(pull, fromId, fromAddress);
+        leader.handleRangeRequest(pull, fromId, fromAddress);
       }
     } else if (message instanceof RangeAssignment handout) {
-      feeder.handedOut(handout, fromId, fromAddress);
+      batchDispatcher.handleAssignment(handout, fromId, fromAddress);
     } else if (message instanceof RangeReport report) {
       BatchLeader leader = leaders.get(BatchKeys.keyOf(report.batch()));
       if (leader != null) {
-        leader.reported(report, fromId, fromAddress);
+        leader.handleRangeReport(report, fromId, fromAddress);
       }
     } else if (message instanceof RangeReportResponse answer) {
-      feeder.answered(answer);
+      batchDispatcher.handleReportResponse(answer);
     } else if (message instanceof PeerLoadReport loads) {
-      book.peerTold(fromId, loads);
+      registry.recordPeerLoad(fromId, loads);
     } else if (message instanceof BatchEnded ended) {
       dueAtOfBatch.remove(ended.batch());
-      feeder.ended(ended.batch());
+      batchDispatcher.batchEnded(ended.batch());
     } else {
       super.handle(message, fromId, fromAddress);
     }
@@ -981,7 +1000,7 @@
    * absence lasting.
    */
   private void takeOrphan(String key) {
-    if (stopping || isolated()) {
+    if (stopping || isIsolated()) {
       return;
     }
     claim(
@@ -989,17 +1008,17 @@
         false,
         outcome -> {
           BatchLeader leader = leaders.get(key);
-          if (outcome.claim() != ElectionResult.OWNED || leader == null) {
+          if (outcome.result() != ElectionResult.ELECTED || leader == null) {
             return;
           }
-          if (leader.view.accepted == null) {
+          if (leader.batchState.accepted == null) {
             leader.refuse(
-                fault -> {
-                  if (fault == null) {
+                error -> {
+                  if (error == null) {
                     freeRoom(leader.batch);
                   }
                 });
-          } else if (!leader.view.open()) {
+          } else if (!leader.batchState.isOpen()) {
             freeRoom(leader.batch);
           }
         });
@@ -1011,24 +1030,24 @@
   public ObjectNode status() {
     ObjectNode status = super.status();
     status
-        .put("opaqueOpen", opaque.openRequests())
-        .put("liveRunning", live.runningRequests())
-        .put("liveQueued", live.queuedRequests())
-        .put("heldRanges", feeder.heldRanges())
-        .put("batchRunning", feeder.runningItems());
+        .put("opaqueOpen", proxiedRequests.openRequests())
+        .put("liveRunning", liveRequests.runningRequests())
+        .put("liveQueued", liveRequests.queuedRequests())
+        .put("heldRanges", batchDispatcher.heldRanges())
+        .put("batchRunning", batchDispatcher.runningItems());
     ObjectNode leading = status.putObject("leads");
     leaders.forEach(
         (key, leader) ->
             leading.put(
                 leader.batch,
-                leader.view.state()
+                leader.batchState.state()
                     + ", epoch "
-                    + leader.key.epoch().counter()
+                    + leader.leader.epoch().counter()
                     + ", recorded "
-                    + leader.view.results.size()
+                    + leader.batchState.results.size()
                     + " of "
-                    + leader.view.items()));
-    book.describe(status.putArray("workers"));
+                    + leader.batchState.items()));
+    registry.describe(status.putArray("workers"));
     return status;
   }
 
@@ -1045,8 +1064,8 @@
   @Override
   public void stop(Runnable whenDone) {
     stopAnnounced = true;
-    surroundings.after(LifecycleConstants.SHUTDOWN_DISPATCH_END_MS, this::stopFeeding);
-    surroundings.after(LifecycleConstants.SHUTDOWN_NOTICE_MS, () -> stopTaking(whenDone));
+    environment.schedule(LifecycleConstants.SHUTDOWN_DISPATCH_END_MS, this::stopFeeding);
+    environment.schedule(LifecycleConstants.SHUTDOWN_NOTICE_MS, () -> stopTaking(whenDone));
   }
 
   /**
@@ -1054,70 +1073,70 @@
    */
   private void stopFeeding() {
     if (!stopping) {
-      feeder.drain();
-      surroundings.after(LifecycleConstants.DRAIN_CHECK_INTERVAL_MS, this::stopFeeding);
+      batchDispatcher.drain();
+      environment.schedule(LifecycleConstants.DRAIN_CHECK_INTERVAL_MS, this::stopFeeding);
     }
   }
 
   private void stopTaking(Runnable whenDone) {
     stopping = true;
     long left =
-        bounds.graceMs()
+        settings.shutdownGraceMs()
             - LifecycleConstants.SHUTDOWN_NOTICE_MS
             - LifecycleConstants.SHUTDOWN_MARGIN_MS;
     long drainEndsAt =
-        surroundings.now() + Math.max(0, Math.min(LifecycleConstants.DRAIN_TIMEOUT_MS, left));
+        environment.nowMs() + Math.max(0, Math.min(LifecycleConstants.DRAIN_TIMEOUT_MS, left));
     long itemsEndAt =
-        Math.min(drainEndsAt, surroundings.now() + LifecycleConstants.SHUTDOWN_ITEM_GRACE_MS);
-    surroundings.log(
+        Math.min(drainEndsAt, environment.nowMs() + LifecycleConstants.SHUTDOWN_ITEM_GRACE_MS);
+    environment.log(
         PART,
         "Takes nothing new: "
-            + opaque.openRequests()
+            + proxiedRequests.openRequests()
             + " requests and "
-            + feeder.runningItems()
+            + batchDispatcher.runningItems()
             + " batch items still run.");
-    feeder.drain();
-    leaveCore(() -> {});
-    surroundings.after(ReplicationConstants.MAX_ELECTION_BACKOFF_MS, this::handOverLeaders);
-    surroundings.after(
+    batchDispatcher.drain();
+    releaseLease(() -> {});
+    environment.schedule(ReplicationConstants.MAX_ELECTION_BACKOFF_MS, this::handOverLeaders);
+    environment.schedule(
         ReplicationConstants.MAX_ELECTION_BACKOFF_MS + LifecycleConstants.DRAIN_CHECK_INTERVAL_MS,
         () -> drain(drainEndsAt, itemsEndAt, whenDone));
   }
 
   private void handOverLeaders() {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
-      String key = leader.key.key;
+      String key = leader.leader.key;
       NodeAddress successor = null;
       for (int attempt = 0; attempt < liveEdges().size() && successor == null; attempt++) {
         NodeAddress candidate = leaderPlacement().edge(key, attempt);
-        successor = candidate.id().equals(place.id()) ? null : candidate;
+        successor = candidate.id().equals(identity.id()) ? null : candidate;
       }
-      leader.key.stop();
+      leader.leader.resign();
       leaders.remove(key);
-      leader.lost();
-      if (successor != null && leader.view.open()) {
+      leader.leadershipLost();
+      if (successor != null && leader.batchState.isOpen()) {
         send(
             successor.address(),
             successor.id(),
-            new LeadershipTransfer(key, leader.key.epoch(), leader.key.lastSequence()));
-        feeder.leaderMoved(leader.batch, successor.id(), successor.address());
-        surroundings.log("batch", "Batch handed over: " + leader.batch + ".");
+            new LeadershipTransfer(key, leader.leader.epoch(), leader.leader.lastSequence()));
+        batchDispatcher.leaderMoved(leader.batch, successor.id(), successor.address());
+        environment.log("batch", "Batch handed over: " + leader.batch + ".");
       }
     }
   }
 
   private void drain(long drainEndsAt, long itemsEndAt, Runnable whenDone) {
     boolean drained =
-        (feeder.drain() || surroundings.now() >= itemsEndAt)
-            && live.runningRequests() == 0
-            && live.queuedRequests() == 0
-            && opaque.openRequests() == 0
+        (batchDispatcher.drain() || environment.nowMs() >= itemsEndAt)
+            && liveRequests.runningRequests() == 0
+            && liveRequests.queuedRequests() == 0
+            && proxiedRequests.openRequests() == 0
             && submissions.size() == 0;
-    if (drained || surroundings.now() >= drainEndsAt) {
-      end();
+    if (drained || environment.nowMs() >= drainEndsAt) {
+      terminate();
       whenDone.run();
     } else {
-      surroundings.after(
+      environment.schedule(
           LifecycleConstants.DRAIN_CHECK_INTERVAL_MS,
           () -> drain(drainEndsAt, itemsEndAt, whenDone));
     }
--- a/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
@@ -16,9 +16,9 @@
    * Monotonic milliseconds; they do not jump with the wall clock and go on while the process is
    * frozen.
    */
-  long now();
+  long nowMs();
 
-  ScheduledTask after(long millis, Runnable task);
+  ScheduledTask schedule(long millis, Runnable task);
 
   /** Sends to a peer address; may be lost, repeated or late. The own address is delivered too. */
   void send(String peerAddress, Envelope envelope);
@@ -32,13 +32,13 @@
   /**
    * False while the disk is so far behind that a replica must stay silent rather than promise more.
    */
-  boolean takesWrites();
+  boolean acceptsWrites();
 
   /**
    * Starts a run at a worker. The listener hears zero or more texts and then exactly one end or
    * fault.
    */
-  WorkerCallHandle run(WorkerCall call, WorkerCallListener listener);
+  WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener);
 
   void readLoad(String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty);
 
@@ -71,10 +71,10 @@
    * Runs the code that a message takes on its way to a peer and from one, without sending it; for
    * code that has not run yet.
    */
-  default void rehearse(Envelope envelope) {}
+  default void warmUp(Envelope envelope) {}
 
   /** An invariant of the node was violated; a test ends here. */
-  default void violated(Invariant invariant, String detail) {}
+  default void invariantViolated(Invariant invariant, String detail) {}
 
   RandomGenerator random();
 
@@ -118,7 +118,7 @@
      */
     void head(ProxiedRequest.ResponseHead head);
 
-    void piece(ProxiedRequest.ResponseChunk piece);
+    void chunk(ProxiedRequest.ResponseChunk piece);
 
     /** The body is whole. */
     void end();
@@ -130,7 +130,7 @@
      * mayHaveRun is false only if the worker said so (WorkerRejected) or nothing of the request was
      * ever sent.
      */
-    void fault(ApiError fault, boolean mayHaveRun);
+    void fail(ApiError error, boolean mayHaveRun);
   }
 
   /**
@@ -157,6 +157,6 @@
     void end(String finishReason);
 
     /** mayHaveRun is false only when the worker can not have begun: no connection, or a refusal. */
-    void fault(ApiError fault, boolean mayHaveRun);
+    void fail(ApiError error, boolean mayHaveRun);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
@@ -5,35 +5,35 @@
 
 /**
  * What a process is told of the deployment's bounds at its start; times in milliseconds.
- * lossesToBear: nodes with a disk that may be lost at once while every rule holds. bootstrap: this
- * is the first start ever of the whole fleet, with empty disks. voter: this node's disk counts.
- * signedBundles: operators' bundles need a signature. listCallsPerS: the most calls to the outside
- * list of workers from all nodes together; 0 where there is no such list. drainMs: after a worker
- * was seen as leaving, how long requests may still reach it. cancelMs: after a batch's end was
- * acknowledged, how long its items may. graceMs: from the request to stop to the kill.
- * waitingOvershoot: part of a batch route's ceiling that may be passed. keepBatchesMs: how long a
- * batch stays readable. applyMs: how long after an acknowledgement old news may still be used.
- * edgesConfirm: a yes also binds edges that are cut off from the core, so most edges must have
- * confirmed it; else it binds only those that hear the core, which have the news within applyMs of
- * the commit. processorCores: what the machine has for this process, in cores of full speed; 0
- * where that is not told.
+ * faultTolerance: nodes with a disk that may be lost at once while every rule holds. bootstrap:
+ * this is the first start ever of the whole fleet, with empty disks. voter: this node's disk
+ * counts. signedConfigurations: operators' bundles need a signature. listCallsPerS: the most calls
+ * to the outside list of workers from all nodes together; 0 where there is no such list.
+ * drainTimeoutMs: after a worker was seen as leaving, how long requests may still reach it.
+ * cancelTimeoutMs: after a batch's end was acknowledged, how long its items may. shutdownGraceMs:
+ * from the request to stop to the kill. quotaOvershoot: part of a batch route's ceiling that may be
+ * passed. batchRetentionMs: how long a batch stays readable. configurationApplyMs: how long after
+ * an acknowledgement old news may still be used. edgesAcknowledge: a yes also binds edges that are
+ * cut off from the core, so most edges must have confirmed it; else it binds only those that hear
+ * the core, which have the news within configurationApplyMs of the commit. processorCores: what the
+ * machine has for this process, in cores of full speed; 0 where that is not told.
  */
 public record NodeSettings(
-    int lossesToBear,
+    int faultTolerance,
     boolean bootstrap,
     boolean voter,
-    boolean signedBundles,
+    boolean signedConfigurations,
     double listCallsPerS,
     long listLagMs,
-    long drainMs,
-    long cancelMs,
-    long graceMs,
-    long applyMs,
-    long keepBatchesMs,
-    double waitingOvershoot,
+    long drainTimeoutMs,
+    long cancelTimeoutMs,
+    long shutdownGraceMs,
+    long configurationApplyMs,
+    long batchRetentionMs,
+    double quotaOvershoot,
     long diskBytes,
     double linkMegabits,
-    boolean edgesConfirm,
+    boolean edgesAcknowledge,
     double processorCores) {
   /**
    * The product's own way of running: one loss, signed bundles, workers told by the platform's own
@@ -61,33 +61,33 @@
           0);
 
   public NodeSettings(
-      int lossesToBear,
+      int faultTolerance,
       boolean bootstrap,
       boolean voter,
-      boolean signedBundles,
+      boolean signedConfigurations,
       double listCallsPerS,
       long listLagMs,
-      long drainMs,
-      long cancelMs,
-      long graceMs,
-      long applyMs,
-      long keepBatchesMs,
-      double waitingOvershoot,
+      long drainTimeoutMs,
+      long cancelTimeoutMs,
+      long shutdownGraceMs,
+      long configurationApplyMs,
+      long batchRetentionMs,
+      double quotaOvershoot,
       long diskBytes,
       double linkMegabits) {
     this(
-        lossesToBear,
+        faultTolerance,
         bootstrap,
         voter,
-        signedBundles,
+        signedConfigurations,
         listCallsPerS,
         listLagMs,
-        drainMs,
-        cancelMs,
-        graceMs,
-        applyMs,
-        keepBatchesMs,
-        waitingOvershoot,
+        drainTimeoutMs,
+        cancelTimeoutMs,
+        shutdownGraceMs,
+        configurationApplyMs,
+        batchRetentionMs,
+        quotaOvershoot,
         diskBytes,
         linkMegabits,
         false,
@@ -97,23 +97,23 @@
   /**
    * The same on a machine that has so much processor time for this process, in full-speed cores.
    */
-  public NodeSettings onProcessor(double cores) {
+  public NodeSettings withProcessorCores(double cores) {
     return new NodeSettings(
-        lossesToBear,
+        faultTolerance,
         bootstrap,
         voter,
-        signedBundles,
+        signedConfigurations,
         listCallsPerS,
         listLagMs,
-        drainMs,
-        cancelMs,
-        graceMs,
-        applyMs,
-        keepBatchesMs,
-        waitingOvershoot,
+        drainTimeoutMs,
+        cancelTimeoutMs,
+        shutdownGraceMs,
+        configurationApplyMs,
+        batchRetentionMs,
+        quotaOvershoot,
         diskBytes,
         linkMegabits,
-        edgesConfirm,
+        edgesAcknowledge,
         cores);
   }
 
@@ -121,23 +121,23 @@
    * The same for a process at its own place: whether its disk counts, and whether this is the first
    * start of all.
    */
-  public NodeSettings at(boolean votes, boolean firstStart) {
+  public NodeSettings atNode(boolean votes, boolean firstStart) {
     return new NodeSettings(
-        lossesToBear,
+        faultTolerance,
         firstStart,
         votes,
-        signedBundles,
+        signedConfigurations,
         listCallsPerS,
         listLagMs,
-        drainMs,
-        cancelMs,
-        graceMs,
-        applyMs,
-        keepBatchesMs,
-        waitingOvershoot,
+        drainTimeoutMs,
+        cancelTimeoutMs,
+        shutdownGraceMs,
+        configurationApplyMs,
+        batchRetentionMs,
+        quotaOvershoot,
         diskBytes,
         linkMegabits,
-        edgesConfirm,
+        edgesAcknowledge,
         processorCores);
   }
 
@@ -145,28 +145,30 @@
    * These, with what may change while a process runs as the newer ones have it; the rest holds
    * until its next start.
    */
-  public NodeSettings taking(NodeSettings newer) {
+  public NodeSettings withReloadable(NodeSettings newer) {
     return new NodeSettings(
-        lossesToBear,
+        faultTolerance,
         bootstrap,
         voter,
-        signedBundles,
+        signedConfigurations,
         newer.listCallsPerS,
         newer.listLagMs,
-        newer.drainMs,
-        newer.cancelMs,
-        newer.graceMs,
-        newer.applyMs,
-        newer.keepBatchesMs,
-        newer.waitingOvershoot,
+        newer.drainTimeoutMs,
+        newer.cancelTimeoutMs,
+        newer.shutdownGraceMs,
+        newer.configurationApplyMs,
+        newer.batchRetentionMs,
+        newer.quotaOvershoot,
         diskBytes,
         newer.linkMegabits,
-        edgesConfirm,
+        edgesAcknowledge,
         newer.processorCores);
   }
 
-  /** Replicas of whatever must survive lossesToBear: a majority is left when that many are gone. */
+  /**
+   * Replicas of whatever must survive faultTolerance: a majority is left when that many are gone.
+   */
   public int replicas() {
-    return 2 * lossesToBear + 1;
+    return 2 * faultTolerance + 1;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
@@ -6,23 +6,23 @@
  * covers all that the thread did meanwhile, also for other work.
  */
 public final class StageTimer {
-  private final Environment surroundings;
+  private final Environment environment;
   private final long beganAt;
   private final StringBuilder stages = new StringBuilder();
   private long lastAt;
   private long lastProcessorMicros;
 
-  public StageTimer(Environment surroundings) {
-    this.surroundings = surroundings;
-    beganAt = surroundings.now();
+  public StageTimer(Environment environment) {
+    this.environment = environment;
+    beganAt = environment.nowMs();
     lastAt = beganAt;
-    lastProcessorMicros = surroundings.processorMicros();
+    lastProcessorMicros = environment.processorMicros();
   }
 
   /** Ends a stage: the time since the last one ended, or since the trace began, belongs to it. */
   public void mark(String stage) {
-    long now = surroundings.now();
-    long processorMicros = surroundings.processorMicros();
+    long now = environment.nowMs();
+    long processorMicros = environment.processorMicros();
     stages
         .append(' ')
         .append(stage)
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
@@ -41,7 +41,7 @@
      */
     final RoutingConfiguration.ClassLimit classLimit;
 
-    final long takenAt = surroundings.now();
+    final long takenAt = environment.nowMs();
     final long expiresAt;
     final Set<String> tried = new HashSet<>();
     final StringBuilder output = new StringBuilder();
@@ -58,13 +58,13 @@
     Taken(
         LiveRequest request,
         LiveResponseListener listener,
-        RoutingConfiguration bundle,
+        RoutingConfiguration configuration,
         RoutingConfiguration.RoutingAction way) {
       this.request = request;
       this.listener = listener;
       this.way = way;
-      this.pool = bundle.pools().get(way.pool());
-      this.classLimit = bundle.limits().classes().get(way.trafficClass());
+      this.pool = configuration.pools().get(way.pool());
+      this.classLimit = configuration.limits().classes().get(way.trafficClass());
       this.expiresAt = takenAt + way.expiryMs();
       this.retriesLeft = way.retries();
     }
@@ -72,23 +72,23 @@
     @Override
     public void cancel() {
       if (!over) {
-        edge.count("live_cancelled");
+        edge.incrementCounter("live_cancelled");
         finish();
       }
     }
 
-    void refuse(ApiError fault) {
+    void refuse(ApiError error) {
       if (over) {
         return;
       }
-      edge.count("live_refused_" + fault.type());
+      edge.incrementCounter("live_refused_" + error.type());
       boolean unknownOnce = !request.onceId().isEmpty() && handedOver;
-      int comeBack = comeBackSeconds(fault, this);
+      int comeBack = comeBackSeconds(error, this);
       finish();
-      listener.fault(
+      listener.fail(
           unknownOnce
               ? Response.of(new ApiError.OutcomeUnknown(request.onceId()))
-              : Response.of(fault, comeBack),
+              : Response.of(error, comeBack),
           passedOn);
     }
 
@@ -105,16 +105,16 @@
       if (run != null) {
         run.cancel();
         run = null;
-        book.ended(worker, false);
+        registry.recordCallEnd(worker, false);
         atWorkers.remove(this);
       }
     }
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final String nodeId;
   private final EdgeContext edge;
-  private final WorkerRegistry book;
+  private final WorkerRegistry registry;
 
   /** By rank, then class: short checks stand before notes and are never behind them. */
   private final TreeMap<String, ArrayDeque<Taken>> queues = new TreeMap<>();
@@ -127,11 +127,11 @@
   private final Set<Taken> atWorkers = new LinkedHashSet<>();
 
   public LiveRequestDispatcher(
-      Environment surroundings, String nodeId, EdgeContext edge, WorkerRegistry book) {
-    this.surroundings = surroundings;
+      Environment environment, String nodeId, EdgeContext edge, WorkerRegistry registry) {
+    this.environment = environment;
     this.nodeId = nodeId;
     this.edge = edge;
-    this.book = book;
+    this.registry = registry;
   }
 
   private ArrayDeque<Taken> queue(Taken taken) {
@@ -141,19 +141,19 @@
   }
 
   public RequestHandle take(LiveRequest request, LiveResponseListener listener) {
-    ApiError hindrance = edge.mayBegin();
-    RoutingConfiguration bundle = edge.bundle();
-    if (hindrance == null && bundle == null) {
+    ApiError hindrance = edge.rejectionOfNewWork();
+    RoutingConfiguration configuration = edge.configuration();
+    if (hindrance == null && configuration == null) {
       hindrance = new ApiError.NoConfiguration();
     }
     if (hindrance != null) {
-      edge.count("live_refused_" + hindrance.type());
-      listener.fault(Response.of(hindrance), false);
+      edge.incrementCounter("live_refused_" + hindrance.type());
+      listener.fail(Response.of(hindrance), false);
       return () -> {};
     }
-    if (rulesOf != bundle) {
-      rules = CompiledRules.compile(bundle);
-      rulesOf = bundle;
+    if (rulesOf != configuration) {
+      rules = CompiledRules.compile(configuration);
+      rulesOf = configuration;
     }
     RoutingConfiguration.RoutingAction way =
         rules.run(
@@ -164,16 +164,16 @@
                 request.headers(),
                 request.prompt().length()));
     if (way == null) {
-      listener.fault(Response.of(new ApiError.NoMatchingRule()), false);
+      listener.fail(Response.of(new ApiError.NoMatchingRule()), false);
       return () -> {};
     }
-    Taken taken = new Taken(request, listener, bundle, way);
+    Taken taken = new Taken(request, listener, configuration, way);
     ApiError refusal = refusalAtOnce(taken);
     if (refusal != null) {
       taken.refuse(refusal);
       return taken;
     }
-    edge.count("live_taken");
+    edge.incrementCounter("live_taken");
     if (request.onceId().isEmpty()) {
       enqueue(taken);
     } else {
@@ -189,8 +189,9 @@
         && (queue.size() > 0 || select(taken) == null)) {
       return new ApiError.QueueFull(taken.way.trafficClass());
     }
-    if (book.all().stream()
-        .noneMatch(worker -> ofPool(worker, taken) && book.comesBackBy(worker, taken.expiresAt))) {
+    if (registry.all().stream()
+        .noneMatch(
+            worker -> ofPool(worker, taken) && registry.comesBackBy(worker, taken.expiresAt))) {
       return new ApiError.NoWorker(taken.way.pool());
     }
     double interval = startIntervals.getOrDefault(taken.way.trafficClass(), 0.0);
@@ -201,22 +202,22 @@
    * From what is known now: the pace of the queue, or when the first worker's rest ends; else the
    * fault's own.
    */
-  private int comeBackSeconds(ApiError fault, Taken taken) {
+  private int comeBackSeconds(ApiError error, Taken taken) {
     long waitMs;
-    if (fault instanceof ApiError.QueueFull || fault instanceof ApiError.DeadlineExceeded) {
+    if (error instanceof ApiError.QueueFull || error instanceof ApiError.DeadlineExceeded) {
       waitMs =
           (long) (queue(taken).size() * startIntervals.getOrDefault(taken.way.trafficClass(), 0.0));
-    } else if (fault instanceof ApiError.NoWorker
-        || fault instanceof ApiError.WorkerRejected
-        || fault instanceof ApiError.WorkerUnreachable) {
+    } else if (error instanceof ApiError.NoWorker
+        || error instanceof ApiError.WorkerRejected
+        || error instanceof ApiError.WorkerUnreachable) {
       waitMs =
-          book.all().stream()
+          registry.all().stream()
               .filter(worker -> ofPool(worker, taken))
-              .mapToLong(book::restMs)
+              .mapToLong(registry::restMs)
               .min()
               .orElse(WorkerConstants.LOAD_STALE_AFTER_MS);
     } else {
-      return fault.row().comeBackSeconds();
+      return error.description().retryAfterSeconds();
     }
     return (int)
         Math.max(1, Math.min(LiveRequestConstants.MAX_RETRY_AFTER_S, (waitMs + 999) / 1_000));
@@ -227,15 +228,15 @@
     edge.claimOnce(
         taken.request.onceId(),
         token,
-        fault -> {
+        error -> {
           if (taken.over) {
-            if (fault == null) {
+            if (error == null) {
               edge.unclaimOnce(taken.request.onceId(), token);
             }
             return;
           }
-          if (fault != null) {
-            taken.refuse(fault);
+          if (error != null) {
+            taken.refuse(error);
           } else {
             taken.token = token;
             enqueue(taken);
@@ -245,8 +246,8 @@
 
   private void enqueue(Taken taken) {
     queue(taken).add(taken);
-    surroundings.after(
-        Math.max(0, taken.expiresAt - surroundings.now()),
+    environment.schedule(
+        Math.max(0, taken.expiresAt - environment.nowMs()),
         () -> {
           if (!taken.over && taken.run == null) {
             taken.refuse(new ApiError.DeadlineExceeded());
@@ -263,11 +264,11 @@
         }
         WorkerState worker = select(taken);
         if (worker == null) {
-          if (book.all().stream()
+          if (registry.all().stream()
               .noneMatch(
                   each ->
                       ofPool(each, taken)
-                          && book.comesBackBy(each, taken.expiresAt)
+                          && registry.comesBackBy(each, taken.expiresAt)
                           && !taken.tried.contains(each.worker.id()))) {
             taken.refuse(new ApiError.NoWorker(taken.way.pool()));
             continue;
@@ -292,10 +293,12 @@
   private WorkerState select(Taken taken) {
     Map<String, WorkerState> usable = new TreeMap<>();
     int load = 0;
-    for (WorkerState each : book.all()) {
-      if (ofPool(each, taken) && book.usable(each) && !taken.tried.contains(each.worker.id())) {
+    for (WorkerState each : registry.all()) {
+      if (ofPool(each, taken)
+          && registry.isUsable(each)
+          && !taken.tried.contains(each.worker.id())) {
         usable.put(each.worker.id(), each);
-        load += each.running();
+        load += each.runningCalls();
       }
     }
     if (usable.isEmpty()) {
@@ -309,10 +312,10 @@
       if (each.free() <= 0) {
         continue;
       }
-      if (each.running() + 1 <= bound) {
+      if (each.runningCalls() + 1 <= bound) {
         return each;
       }
-      if (fallback == null || each.running() < fallback.running()) {
+      if (fallback == null || each.runningCalls() < fallback.runningCalls()) {
         fallback = each;
       }
     }
@@ -328,8 +331,8 @@
    * Expiry and staleness are checked here, right before the hand-over: what was refused never runs.
    */
   private void handOver(Taken taken, WorkerState worker) {
-    ApiError hindrance = edge.mayGoOn();
-    if (hindrance == null && surroundings.now() >= taken.expiresAt) {
+    ApiError hindrance = edge.rejectionOfAdmittedWork();
+    if (hindrance == null && environment.nowMs() >= taken.expiresAt) {
       hindrance = new ApiError.DeadlineExceeded();
     }
     if (hindrance != null) {
@@ -340,14 +343,14 @@
     taken.worker = worker;
     taken.handedOver = true;
     taken.output.setLength(0);
-    book.began(worker, false);
+    registry.recordCallStart(worker, false);
     long expiry =
-        Math.max(1, taken.expiresAt - surroundings.now())
+        Math.max(1, taken.expiresAt - environment.nowMs())
             + LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS;
-    taken.lastTextAt = surroundings.now();
+    taken.lastTextAt = environment.nowMs();
     taken.runListener = listener(taken, worker);
     taken.run =
-        surroundings.run(
+        environment.callWorker(
             new WorkerCall(worker.worker.address(), Json.bytes(taken.request.body()), expiry),
             taken.runListener);
     atWorkers.add(taken);
@@ -358,7 +361,7 @@
    * would have been free.
    */
   private void refuseIfHindered() {
-    ApiError hindrance = edge.mayGoOn();
+    ApiError hindrance = edge.rejectionOfAdmittedWork();
     if (hindrance != null) {
       queues.values().stream()
           .flatMap(queue -> List.copyOf(queue).stream())
@@ -371,9 +374,9 @@
   public void tick() {
     refuseIfHindered();
     for (Taken taken : List.copyOf(atWorkers)) {
-      if (taken.run != null && book.lost(taken.worker, taken.lastTextAt)) {
+      if (taken.run != null && registry.lost(taken.worker, taken.lastTextAt)) {
         taken.run.cancel();
-        taken.runListener.fault(new ApiError.WorkerTimeout(taken.worker.worker.id()), true);
+        taken.runListener.fail(new ApiError.WorkerTimeout(taken.worker.worker.id()), true);
       }
     }
     pump();
@@ -381,7 +384,7 @@
 
   private void noteStart(Taken taken) {
     String trafficClass = taken.way.trafficClass();
-    long now = surroundings.now();
+    long now = environment.nowMs();
     Long before = lastStartAt.put(trafficClass, now);
     if (queue(taken).size() > 1 && before != null) {
       startIntervals.merge(
@@ -402,7 +405,7 @@
         if (!stands()) {
           return;
         }
-        taken.lastTextAt = surroundings.now();
+        taken.lastTextAt = environment.nowMs();
         if (taken.request.stream()) {
           taken.passedOn = true;
           taken.listener.text(text);
@@ -420,35 +423,35 @@
           return;
         }
         release();
-        book.served(worker);
+        registry.recordSuccess(worker);
         taken.finish();
-        edge.count("live_served");
+        edge.incrementCounter("live_served");
         taken.listener.end(taken.output.toString(), finishReason);
         pump();
       }
 
       @Override
-      public void fault(ApiError fault, boolean mayHaveRun) {
+      public void fail(ApiError error, boolean mayHaveRun) {
         if (!stands()) {
           return;
         }
         release();
-        if (WorkerRegistry.saysFull(fault)) {
-          book.refused(worker);
+        if (WorkerRegistry.isCapacityRejection(error)) {
+          registry.recordRejection(worker);
           taken.handedOver = false;
           queue(taken).addFirst(taken);
           pump();
           return;
         }
-        if (!(fault instanceof ApiError.WorkerRejected)) {
-          book.faulted(worker);
+        if (!(error instanceof ApiError.WorkerRejected)) {
+          registry.recordConnectionFailure(worker);
         }
-        edge.count("live_worker_faults");
+        edge.incrementCounter("live_worker_faults");
         taken.tried.add(worker.worker.id());
         boolean once = !taken.request.onceId().isEmpty();
         if (taken.passedOn || once && mayHaveRun || taken.retriesLeft-- <= 0) {
           taken.handedOver = mayHaveRun;
-          taken.refuse(fault);
+          taken.refuse(error);
         } else {
           taken.handedOver = taken.handedOver && mayHaveRun;
           queue(taken).addFirst(taken);
@@ -458,7 +461,7 @@
 
       private void release() {
         taken.run = null;
-        book.ended(worker, false);
+        registry.recordCallEnd(worker, false);
         atWorkers.remove(taken);
       }
     };
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveResponseListener.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveResponseListener.java
@@ -15,5 +15,5 @@
   void end(String wholeOutput, String finishReason);
 
   /** cut: texts were already passed on, so the output must be shown as incomplete. */
-  void fault(Response response, boolean cut);
+  void fail(Response response, boolean cut);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
@@ -12,7 +12,7 @@
 public interface ProxiedResponseListener {
   void head(ResponseHead head);
 
-  void piece(ResponseChunk piece);
+  void chunk(ResponseChunk piece);
 
   /** Every piece of the worker's body was told: the response is whole. */
   void end();
@@ -26,5 +26,5 @@
   /**
    * The response must be shown as incomplete: the connection is closed without the format's end.
    */
-  void cut(ApiError fault);
+  void cut(ApiError error);
 }
