--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
@@ -57,7 +57,7 @@
     final ProxiedResponseListener listener;
     final Route route;
     final String pool;
-    final long takenAt = surroundings.now();
+    final long takenAt = environment.nowMs();
     final long expiresAt;
     final double targetMs;
     final WorkerSelection.Demand demand;
@@ -82,7 +82,7 @@
     Taken(
         ProxiedRequest request,
         ProxiedResponseListener listener,
-        RoutingConfiguration bundle,
+        RoutingConfiguration configuration,
         Route route,
         String pool,
         long arrivedAt) {
@@ -97,7 +97,7 @@
               : routeTimeoutAt;
       this.targetMs =
           route.targetMs() > 0 ? route.targetMs() : WorkerConstants.DEFAULT_LATENCY_TARGET_MS;
-      this.demand = demand(bundle.pools().get(pool));
+      this.demand = demand(configuration.pools().get(pool));
       this.sendsLeft = Math.max(1, route.attempts());
       this.lastEventId = request.resumeAfter();
     }
@@ -109,7 +109,7 @@
           targetMs,
           route.sticky(),
           request.prompt(),
-          PrefixCache.chain(request.prompt(), request.model()),
+          PrefixCache.prefixHashes(request.prompt(), request.model()),
           request.promptTokens() + request.outputTokensMost(),
           keptTokensMost == null ? 0 : keptTokensMost);
     }
@@ -123,7 +123,7 @@
     @Override
     public void cancel() {
       if (!over) {
-        edge.count("opaque_cancelled");
+        edge.incrementCounter("opaque_cancelled");
         finish();
       }
     }
@@ -140,20 +140,20 @@
      * The end for want of a whole response. Only what certainly never ran is answered with a
      * promise.
      */
-    void conclude(ApiError fault) {
+    void conclude(ApiError error) {
       if (over) {
         return;
       }
-      edge.count("opaque_ended_" + fault.type());
+      edge.incrementCounter("opaque_ended_" + error.type());
       mayHaveRun |= run != null;
       finish();
       if (headPassed) {
-        listener.cut(fault);
+        listener.cut(error);
       } else if (!mayHaveRun) {
-        listener.refused(Response.comeBackInMs(fault, comeBackMs(fault, this)));
+        listener.refused(Response.ofRetryAfterMs(error, comeBackMs(error, this)));
       } else {
-        boolean open = fault.row().status() == 502 || fault.row().status() == 504;
-        listener.refused(Response.of(open ? fault : new ApiError.OutcomeUnknown(request.id())));
+        boolean open = error.description().status() == 502 || error.description().status() == 504;
+        listener.refused(Response.of(open ? error : new ApiError.OutcomeUnknown(request.id())));
       }
     }
   }
@@ -162,7 +162,7 @@
   private final class Run implements ExchangeListener {
     final Taken taken;
     final WorkerState worker;
-    final long sentAt = surroundings.now();
+    final long sentAt = environment.nowMs();
     final double expectedWaitMs;
 
     /**
@@ -195,12 +195,12 @@
       this.worker = worker;
       this.expectedWaitMs = expectedWaitMs;
       this.reading = reading;
-      this.toRead = expectedWaitMs > 0 ? -1 : worker.unreadNow(sentAt) + reading;
-      worker.reading += reading;
+      this.toRead = expectedWaitMs > 0 ? -1 : worker.unreadPromptTokensNow(sentAt) + reading;
+      worker.unreadPromptTokens += reading;
     }
 
     private void hasRead() {
-      worker.reading -= reading;
+      worker.unreadPromptTokens -= reading;
       reading = 0;
     }
 
@@ -209,9 +209,9 @@
     }
 
     private void heard() {
-      heardAt = surroundings.now();
-      book.heard(worker);
-      worker.notePace(toRead, heardAt - sentAt);
+      heardAt = environment.nowMs();
+      registry.recordActivity(worker);
+      worker.recordPrefill(toRead, heardAt - sentAt);
       toRead = -1;
       hasRead();
     }
@@ -219,7 +219,7 @@
     void release() {
       hasRead();
       taken.run = null;
-      book.ended(worker, false);
+      registry.recordCallEnd(worker, false);
       worker.tokens -= taken.demand.tokens();
     }
 
@@ -249,7 +249,7 @@
     }
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       if (!stands()) {
         return;
       }
@@ -261,7 +261,7 @@
       if (isAfter(piece.eventId(), taken.lastEventId)) {
         taken.resumesExactly &= !piece.eventId().isEmpty();
         taken.lastEventId = piece.eventId().isEmpty() ? taken.lastEventId : piece.eventId();
-        taken.listener.piece(piece);
+        taken.listener.chunk(piece);
       }
     }
 
@@ -280,72 +280,72 @@
       heard();
       release();
       if (dropped) {
-        book.failed(worker);
+        registry.recordErrorResponse(worker);
         endUncertain(new ApiError.WorkerFailed(head.status()));
         return;
       }
       if (head.status() >= 500) {
-        book.failed(worker);
+        registry.recordErrorResponse(worker);
       } else if (head.status() >= 300) {
-        book.served(worker);
+        registry.recordSuccess(worker);
       } else {
-        book.served(worker, surroundings.now() - sentAt);
+        registry.recordSuccess(worker, environment.nowMs() - sentAt);
       }
       passHead();
       taken.finish();
-      edge.count("opaque_served");
+      edge.incrementCounter("opaque_served");
       taken.listener.end();
     }
 
     /** The worker may have run the request: another run only where the route allows a second. */
-    private void endUncertain(ApiError fault) {
+    private void endUncertain(ApiError error) {
       taken.mayHaveRun = true;
       taken.tried.add(worker.worker.id());
       if (taken.repeatable()) {
-        sendOn(taken, fault);
+        sendOn(taken, error);
       } else {
-        taken.conclude(fault);
+        taken.conclude(error);
       }
     }
 
     @Override
     public void load(WorkerLoad load) {
-      book.told(worker, load);
+      registry.recordLoad(worker, load);
     }
 
     @Override
-    public void fault(ApiError fault, boolean mayHaveRun) {
+    public void fail(ApiError error, boolean mayHaveRun) {
       if (!stands()) {
         return;
       }
       release();
-      edge.count("opaque_worker_" + fault.type());
-      if (fault instanceof ApiError.InvalidInput) {
-        taken.conclude(fault);
+      edge.incrementCounter("opaque_worker_" + error.type());
+      if (error instanceof ApiError.InvalidInput) {
+        taken.conclude(error);
         return;
       }
       if (mayHaveRun) {
-        book.faulted(worker);
-        endUncertain(fault);
+        registry.recordConnectionFailure(worker);
+        endUncertain(error);
         return;
       }
       taken.tried.add(worker.worker.id());
-      if (WorkerRegistry.saysFull(fault)) {
-        book.heard(worker);
-        book.refused(worker);
+      if (WorkerRegistry.isCapacityRejection(error)) {
+        registry.recordActivity(worker);
+        registry.recordRejection(worker);
       } else {
-        book.faulted(worker);
+        registry.recordConnectionFailure(worker);
       }
-      if (!(fault instanceof ApiError.WorkerRejected)) {
+      if (!(error instanceof ApiError.WorkerRejected)) {
         taken.sendsLeft++;
       }
-      sendOn(taken, fault);
+      sendOn(taken, error);
     }
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final EdgeContext edge;
-  private final WorkerRegistry book;
+  private final WorkerRegistry registry;
   private final WorkerSelection selection;
   private final Set<Taken> open = new LinkedHashSet<>();
   private final Map<String, Pace> paces = new HashMap<>();
@@ -357,22 +357,22 @@
   private long lookedAt;
 
   public ProxyDispatcher(
-      Environment surroundings, String zone, EdgeContext edge, WorkerRegistry book) {
-    this.surroundings = surroundings;
+      Environment environment, String zone, EdgeContext edge, WorkerRegistry registry) {
+    this.environment = environment;
     this.edge = edge;
-    this.book = book;
-    this.selection = new WorkerSelection(surroundings, zone, edge, book);
+    this.registry = registry;
+    this.selection = new WorkerSelection(environment, zone, edge, registry);
   }
 
   public RequestHandle take(ProxiedRequest request, ProxiedResponseListener listener) {
-    return take(request, listener, surroundings.now());
+    return take(request, listener, environment.nowMs());
   }
 
   /** The route's timeout runs from arrivedAt on, which lies back if the request has waited. */
   public RequestHandle take(
       ProxiedRequest request, ProxiedResponseListener listener, long arrivedAt) {
-    ApiError hindrance = edge.mayBegin();
-    if (hindrance == null && edge.bundle() == null) {
+    ApiError hindrance = edge.rejectionOfNewWork();
+    if (hindrance == null && edge.configuration() == null) {
       hindrance = new ApiError.NoConfiguration();
     }
     Route route = hindrance == null ? edge.routes().find(request.host(), request.path()) : null;
@@ -380,18 +380,18 @@
       hindrance = new ApiError.NoMatchingRule();
     }
     if (hindrance != null) {
-      edge.count("opaque_refused_" + hindrance.type());
+      edge.incrementCounter("opaque_refused_" + hindrance.type());
       boolean starting =
           hindrance instanceof ApiError.NodeIsolated
               || hindrance instanceof ApiError.NoConfiguration;
       listener.refused(
           starting
-              ? Response.comeBackInMs(hindrance, LifecycleConstants.STARTUP_RETRY_AFTER_MS)
+              ? Response.ofRetryAfterMs(hindrance, LifecycleConstants.STARTUP_RETRY_AFTER_MS)
               : Response.of(hindrance));
       return () -> {};
     }
-    edge.count("opaque_taken");
-    Taken taken = new Taken(request, listener, edge.bundle(), route, pool(route), arrivedAt);
+    edge.incrementCounter("opaque_taken");
+    Taken taken = new Taken(request, listener, edge.configuration(), route, pool(route), arrivedAt);
     open.add(taken);
     sendOn(taken, new ApiError.NoWorker(taken.pool));
     return taken;
@@ -406,11 +406,11 @@
               .filter(
                   share ->
                       share.weight() > 0
-                          && book.all().stream()
+                          && registry.all().stream()
                               .anyMatch(
                                   worker ->
                                       worker.worker.pool().equals(share.pool())
-                                          && !worker.leaving()))
+                                          && !worker.isDraining()))
               .toList();
       shares = manned.isEmpty() ? shares : manned;
     }
@@ -418,7 +418,7 @@
     for (PoolWeight share : shares) {
       total += share.weight();
     }
-    long drawn = total <= 1 ? 0 : surroundings.random().nextLong(total);
+    long drawn = total <= 1 ? 0 : environment.random().nextLong(total);
     for (PoolWeight share : shares) {
       drawn -= share.weight();
       if (drawn < 0) {
@@ -432,9 +432,9 @@
    * To the next worker, or to the end. Whether this node and the worker may take it is looked at
    * here, right before the send; fault is what ended the last run.
    */
-  private void sendOn(Taken taken, ApiError fault) {
-    ApiError hindrance = edge.mayGoOn();
-    if (hindrance == null && surroundings.now() >= taken.expiresAt) {
+  private void sendOn(Taken taken, ApiError error) {
+    ApiError hindrance = edge.rejectionOfAdmittedWork();
+    if (hindrance == null && environment.nowMs() >= taken.expiresAt) {
       hindrance = new ApiError.DeadlineExceeded();
     }
     if (hindrance != null) {
@@ -443,10 +443,10 @@
     }
     WorkerState worker = taken.sendsLeft <= 0 ? null : select(taken, null);
     if (worker == null) {
-      taken.conclude(fault);
+      taken.conclude(error);
       return;
     }
-    long left = taken.expiresAt - surroundings.now();
+    long left = taken.expiresAt - environment.nowMs();
     double waitMs = selection.waitMs(taken.demand, worker);
     if (waitMs > left) {
       taken.conclude(new ApiError.DeadlineExceeded());
@@ -455,11 +455,12 @@
     taken.sendsLeft--;
     Run run = new Run(taken, worker, waitMs, WorkerSelection.unreadTokens(taken.demand, worker));
     taken.run = run;
-    book.began(worker, false);
+    registry.recordCallStart(worker, false);
     worker.tokens += taken.demand.tokens();
-    worker.kept.read(taken.request.prompt(), taken.demand.chain(), taken.demand.keptTokensMost());
+    worker.prefixCache.add(
+        taken.request.prompt(), taken.demand.prefixHashes(), taken.demand.cacheTokensPerWorker());
     WorkerCallHandle exchange =
-        surroundings.exchange(
+        environment.exchange(
             new WorkerExchange(
                 worker.worker.address(),
                 worker.worker.id(),
@@ -478,7 +479,9 @@
 
   /** Whether another worker could take the request from this one. */
   private boolean mayMove(Taken taken, WorkerState from) {
-    return taken.sendsLeft > 0 && edge.mayGoOn() == null && select(taken, from) != null;
+    return taken.sendsLeft > 0
+        && edge.rejectionOfAdmittedWork() == null
+        && select(taken, from) != null;
   }
 
   /** Null if no worker is left; except: one that it is not to go to. */
@@ -489,25 +492,25 @@
         taken.repeatable());
   }
 
-  private long comeBackMs(ApiError fault, Taken taken) {
+  private long comeBackMs(ApiError error, Taken taken) {
     boolean ofWorkers =
-        fault instanceof ApiError.NoWorker
-            || fault instanceof ApiError.WorkerRejected
-            || fault instanceof ApiError.WorkerUnreachable
-            || fault instanceof ApiError.DeadlineExceeded;
+        error instanceof ApiError.NoWorker
+            || error instanceof ApiError.WorkerRejected
+            || error instanceof ApiError.WorkerUnreachable
+            || error instanceof ApiError.DeadlineExceeded;
     if (!ofWorkers) {
-      return fault.row().comeBackSeconds() * 1_000L;
+      return error.description().retryAfterSeconds() * 1_000L;
     }
     double waitMs = LiveRequestConstants.MAX_RETRY_AFTER_MS;
-    for (WorkerState each : book.all()) {
-      if (each.worker.pool().equals(taken.pool) && !each.leaving()) {
+    for (WorkerState each : registry.all()) {
+      if (each.worker.pool().equals(taken.pool) && !each.isDraining()) {
         double slotMs = each.serviceMs / Math.max(1, each.capacity());
         waitMs =
             Math.min(
                 waitMs,
                 Math.max(
                     Math.max(slotMs, selection.waitMs(taken.demand, each)),
-                    each.restsUntil - surroundings.now()));
+                    each.ejectedUntil - environment.nowMs()));
       }
     }
     return Math.max(LiveRequestConstants.MIN_RETRY_AFTER_MS, Math.round(waitMs));
@@ -522,7 +525,7 @@
    * them expires.
    */
   private void look(long nextExpiresAt) {
-    long now = surroundings.now();
+    long now = environment.nowMs();
     long dueAt =
         Math.min(
             now + LiveRequestConstants.SILENCE_CHECK_INTERVAL_MS,
@@ -536,12 +539,12 @@
       look.cancel();
     }
     lookDueAt = dueAt;
-    look = surroundings.after(dueAt - now, this::lookOnce);
+    look = environment.schedule(dueAt - now, this::lookOnce);
   }
 
   private void lookOnce() {
     look = null;
-    long now = surroundings.now();
+    long now = environment.nowMs();
     boolean frozen = now - lookedAt > 4 * LiveRequestConstants.SILENCE_CHECK_INTERVAL_MS;
     for (Taken taken : List.copyOf(open)) {
       if (taken.over || taken.run == null) {
@@ -571,7 +574,7 @@
   private void lookAt(Taken taken, long now) {
     Run run = taken.run;
     WorkerState worker = run.worker;
-    long silentMs = now - Math.max(run.heardAt, worker.heardAt);
+    long silentMs = now - Math.max(run.heardAt, worker.lastHeardAt);
     if (silentMs <= silenceMs(run)) {
       return;
     }
@@ -580,11 +583,11 @@
         return;
       }
       worker.suspect = true;
-      book.faulted(worker);
-      edge.count("opaque_workers_suspected");
+      registry.recordConnectionFailure(worker);
+      edge.incrementCounter("opaque_workers_suspected");
     }
     if (taken.repeatable() && mayMove(taken, worker)) {
-      edge.count("opaque_moved");
+      edge.incrementCounter("opaque_moved");
       taken.mayHaveRun = true;
       taken.tried.add(worker.worker.id());
       run.leave();
@@ -608,8 +611,8 @@
   private boolean mostAreSuspect(String pool) {
     int all = 0;
     int suspect = 0;
-    for (WorkerState each : book.all()) {
-      if (each.worker.pool().equals(pool) && !each.leaving()) {
+    for (WorkerState each : registry.all()) {
+      if (each.worker.pool().equals(pool) && !each.isDraining()) {
         all++;
         suspect += each.suspect ? 1 : 0;
       }
--- a/core-logic/src/main/java/applespindle/corelogic/log/Epoch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/Epoch.java
@@ -13,7 +13,7 @@
     return byCounter != 0 ? byCounter : node.compareTo(other.node);
   }
 
-  public boolean below(Epoch other) {
+  public boolean isBelow(Epoch other) {
     return compareTo(other) < 0;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
@@ -36,7 +36,7 @@
   }
 
   /** The first entries between these sequences, as many as one message takes and one at least. */
-  public static List<LogEntry> part(List<LogEntry> entries, long from, long to) {
+  public static List<LogEntry> slice(List<LogEntry> entries, long from, long to) {
     List<LogEntry> part = new ArrayList<>();
     long bytes = 0;
     for (LogEntry entry : entries) {
--- a/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
@@ -26,11 +26,11 @@
   /** What a ping changed about the contact with its sender. */
   public record ContactChange(boolean heardAgain, boolean hearEachOtherAgain) {}
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final NodeSettings bounds;
-  private final QuorumView membership;
-  private final QuorumBootstrap founding;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final NodeSettings settings;
+  private final QuorumView quorum;
+  private final QuorumBootstrap bootstrap;
   private final boolean listedFounders;
   private final KeyLeadership keys;
   private final LogReplicas replicas;
@@ -38,21 +38,21 @@
   private final Consumer<QuorumMembership> learnRoster;
 
   public HeartbeatExchange(
-      Environment surroundings,
-      NodeIdentity place,
-      NodeSettings bounds,
-      QuorumView membership,
-      QuorumBootstrap founding,
+      Environment environment,
+      NodeIdentity identity,
+      NodeSettings settings,
+      QuorumView quorum,
+      QuorumBootstrap bootstrap,
       boolean listedFounders,
       KeyLeadership keys,
       LogReplicas replicas,
       MessageSender sender,
       Consumer<QuorumMembership> learnRoster) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.bounds = bounds;
-    this.membership = membership;
-    this.founding = founding;
+    this.environment = environment;
+    this.identity = identity;
+    this.settings = settings;
+    this.quorum = quorum;
+    this.bootstrap = bootstrap;
     this.listedFounders = listedFounders;
     this.keys = keys;
     this.replicas = replicas;
@@ -62,43 +62,45 @@
 
   /** Pings every peer. */
   public void send() {
-    send(List.copyOf(membership.peers().keySet()));
+    send(List.copyOf(quorum.peers().keySet()));
   }
 
   /** Pings these addresses; the membership is sent only to those not known to have it. */
   public void send(List<String> addresses) {
-    QuorumMembership roster = membership.current();
-    List<String> led = keys.inContact();
-    ObjectNode ping = describeSelf(roster, led);
+    QuorumMembership membership = quorum.current();
+    List<String> led = keys.keysInContactWithQuorum();
+    ObjectNode ping = describeSelf(membership, led);
     byte[] body = Json.bytes(ping);
     byte[] withRoster =
-        roster.number() == 0 ? body : Json.bytes(ping.set("roster", JSON.valueToTree(roster)));
+        membership.number() == 0
+            ? body
+            : Json.bytes(ping.set("roster", JSON.valueToTree(membership)));
     for (String address : addresses) {
-      QuorumPeer peer = membership.peers().get(address);
+      QuorumPeer peer = quorum.peers().get(address);
       boolean knowsRoster =
-          peer != null && membership.alive(peer) && peer.rosterNumber >= roster.number();
+          peer != null && quorum.isAlive(peer) && peer.membershipVersion >= membership.number();
       sender.send(address, "", new QuorumHeartbeat(knowsRoster ? body : withRoster));
     }
     // To the copies in this process its leaders say so without a message.
-    led.forEach(key -> replicas.ownerLives(key, place.id(), place.peerAddress()));
+    led.forEach(key -> replicas.noteLeaderContact(key, identity.id(), identity.peerAddress()));
   }
 
-  private ObjectNode describeSelf(QuorumMembership roster, List<String> led) {
+  private ObjectNode describeSelf(QuorumMembership membership, List<String> led) {
     ObjectNode ping = JSON.createObjectNode();
-    boolean formed = roster.number() > 0;
-    ping.set("member", JSON.valueToTree(membership.self()));
-    ping.put("blank", !formed && (listedFounders || founding.mayFound()))
-        .put("candidate", formed && !membership.isReplica() && bounds.voter())
-        .put("voter", bounds.voter());
-    if (!formed && founding.proposal() != null) {
-      ping.set("proposal", JSON.valueToTree(founding.proposal()));
-      ping.put("accepted", founding.hasAccepted());
+    boolean formed = membership.number() > 0;
+    ping.set("member", JSON.valueToTree(quorum.self()));
+    ping.put("blank", !formed && (listedFounders || bootstrap.mayBootstrap()))
+        .put("candidate", formed && !quorum.isReplica() && settings.voter())
+        .put("voter", settings.voter());
+    if (!formed && bootstrap.proposal() != null) {
+      ping.set("proposal", JSON.valueToTree(bootstrap.proposal()));
+      ping.put("accepted", bootstrap.hasAccepted());
     }
     ArrayNode heard = ping.putArray("heard");
-    membership.peers().values().stream()
-        .filter(membership::alive)
+    quorum.peers().values().stream()
+        .filter(quorum::isAlive)
         .forEach(peer -> heard.add(peer.member.id()));
-    ping.put("number", roster.number());
+    ping.put("number", membership.number());
     ArrayNode owns = ping.putArray("owns");
     led.forEach(owns::add);
     return ping;
@@ -107,34 +109,34 @@
   /** Notes what a peer says of itself. */
   public ContactChange receive(QuorumHeartbeat ping, String fromAddress) {
     JsonNode body = Json.tree(ping.body());
-    QuorumPeer peer = membership.peer(fromAddress);
-    boolean wasAlive = membership.alive(peer);
-    boolean wasInContact = membership.inContact(peer);
+    QuorumPeer peer = quorum.peer(fromAddress);
+    boolean wasAlive = quorum.isAlive(peer);
+    boolean wasInContact = quorum.isInContact(peer);
     read(body, peer);
-    if (peer.hearsUs) {
-      keys.heardBy(peer.member.id());
+    if (peer.hearsThisNode) {
+      keys.noteContact(peer.member.id());
     }
     body.path("owns")
-        .forEach(key -> replicas.ownerLives(key.asText(), peer.member.id(), fromAddress));
+        .forEach(key -> replicas.noteLeaderContact(key.asText(), peer.member.id(), fromAddress));
     if (body.has("roster")) {
       learnRoster.accept(JSON.convertValue(body.get("roster"), QuorumMembership.class));
     }
-    return new ContactChange(!wasAlive, !wasInContact && membership.inContact(peer));
+    return new ContactChange(!wasAlive, !wasInContact && quorum.isInContact(peer));
   }
 
   private void read(JsonNode body, QuorumPeer peer) {
     peer.member = JSON.convertValue(body.get("member"), QuorumMember.class);
-    peer.heardAt = surroundings.now();
-    peer.blank = body.path("blank").asBoolean();
-    peer.candidate = body.path("candidate").asBoolean();
+    peer.lastHeardAt = environment.nowMs();
+    peer.uninitialized = body.path("blank").asBoolean();
+    peer.joinCandidate = body.path("candidate").asBoolean();
     peer.voter = body.path("voter").asBoolean();
     peer.proposal =
         body.has("proposal")
             ? JSON.convertValue(body.get("proposal"), QuorumMembership.class)
             : null;
     peer.accepted = body.path("accepted").asBoolean();
-    peer.rosterNumber = body.path("number").asLong();
-    peer.hearsUs = false;
-    body.path("heard").forEach(id -> peer.hearsUs |= id.asText().equals(place.id()));
+    peer.membershipVersion = body.path("number").asLong();
+    peer.hearsThisNode = false;
+    body.path("heard").forEach(id -> peer.hearsThisNode |= id.asText().equals(identity.id()));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -18,57 +18,58 @@
  * has copied under that very number.
  */
 public final class JoiningMember {
-  private final Environment surroundings;
+  private final Environment environment;
   private final Node node;
-  private final QuorumView membership;
-  private final ReplicaCatchUp copier;
+  private final QuorumView quorum;
+  private final ReplicaCatchUp catchUp;
 
   public JoiningMember(
-      Environment surroundings, Node node, QuorumView membership, ReplicaCatchUp copier) {
-    this.surroundings = surroundings;
+      Environment environment, Node node, QuorumView quorum, ReplicaCatchUp catchUp) {
+    this.environment = environment;
     this.node = node;
-    this.membership = membership;
-    this.copier = copier;
+    this.quorum = quorum;
+    this.catchUp = catchUp;
   }
 
   /** Begins to copy if this node is the newcomer of the present membership. */
-  public void copyIfNewcomer() {
-    if (membership.isMember() || !membership.isReplica()) {
+  public void catchUpIfJoining() {
+    if (quorum.isMember() || !quorum.isReplica()) {
       return;
     }
-    long number = membership.current().number();
-    node.journal().add("copying", QuorumView.SET_NAME, "set " + number);
-    copier.copyIn(
+    long number = quorum.current().number();
+    node.traceLog().add("copying", QuorumView.SET_NAME, "set " + number);
+    catchUp.catchUp(
         QuorumView.SET_NAME,
         number,
-        QuorumView.replicas(membership.current().members()),
+        QuorumView.replicas(quorum.current().members()),
         () -> isCurrent(number),
         () -> reportCopied(number));
   }
 
   private boolean isCurrent(long number) {
-    return membership.current().number() == number && !node.stopped();
+    return quorum.current().number() == number && !node.isTerminated();
   }
 
   private void reportCopied(long number) {
     if (!isCurrent(number)) {
       return;
     }
-    ObjectNode report = JSON.createObjectNode().put("id", node.place().id()).put("number", number);
-    node.ask(
+    ObjectNode report =
+        JSON.createObjectNode().put("id", node.identity().id()).put("number", number);
+    node.sendRequest(
         this::memberToAsk,
         "copied",
         MetadataKeys.MEMBERSHIP,
         report,
         PeerRequestConstants.REQUEST_TIMEOUT_MS,
         response -> {});
-    surroundings.after(
+    environment.schedule(
         ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> reportCopied(number));
   }
 
   private NodeAddress memberToAsk(int attempt) {
-    int index = attempt % membership.current().members().size();
-    QuorumMember member = membership.current().members().get(index);
+    int index = attempt % quorum.current().members().size();
+    QuorumMember member = quorum.current().members().get(index);
     return new NodeAddress(member.id(), member.peerAddress());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
@@ -37,9 +37,9 @@
 
   private static final String PART = "core";
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final NodeSettings bounds;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final NodeSettings settings;
   private final Map<String, QuorumPeer> peers;
   private final Predicate<QuorumPeer> alive;
   private final QuorumMember self;
@@ -60,22 +60,22 @@
   private long startedAt;
 
   public QuorumBootstrap(
-      Environment surroundings,
-      NodeIdentity place,
-      NodeSettings bounds,
+      Environment environment,
+      NodeIdentity identity,
+      NodeSettings settings,
       QuorumMember self,
       Map<String, QuorumPeer> peers,
       Predicate<QuorumPeer> alive,
       Consumer<QuorumMembership> whenFormed) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.bounds = bounds;
+    this.environment = environment;
+    this.identity = identity;
+    this.settings = settings;
     this.self = self;
     this.peers = peers;
     this.alive = alive;
     this.whenFormed = whenFormed;
-    this.startedAt = surroundings.now();
-    this.firstStart = bounds.bootstrap();
+    this.startedAt = environment.nowMs();
+    this.firstStart = settings.bootstrap();
   }
 
   /** Whether the record is one of founding; the roster in use has its own. */
@@ -95,8 +95,8 @@
 
   /** Notes on the disk that it was there at the first start. */
   public void start() {
-    if (firstStart && bounds.voter()) {
-      surroundings.write(List.of(firstStartRecord()), () -> {});
+    if (firstStart && settings.voter()) {
+      environment.write(List.of(firstStartRecord()), () -> {});
     }
   }
 
@@ -116,21 +116,21 @@
     return new LogRecord(Kind.ROSTER, FIRST_START, Epoch.NONE, 0, true, new byte[0]);
   }
 
-  private static LogRecord acceptedRecord(QuorumMembership roster) {
+  private static LogRecord acceptedRecord(QuorumMembership membership) {
     return new LogRecord(
-        Kind.ROSTER, ACCEPTED, Epoch.NONE, roster.number(), true, Json.bytes(roster));
+        Kind.ROSTER, ACCEPTED, Epoch.NONE, membership.number(), true, Json.bytes(membership));
   }
 
   /** Told to be part of the fleet's first start, now or when its disk was first used. */
-  boolean mayFound() {
+  boolean mayBootstrap() {
     return firstStart;
   }
 
   /** Only this process ever proposes; it needs no disk for that. */
-  public boolean coordinates() {
-    return mayFound()
-        && !place.seeds().isEmpty()
-        && place.seeds().get(0).equals(place.peerAddress());
+  public boolean isCoordinator() {
+    return mayBootstrap()
+        && !identity.seeds().isEmpty()
+        && identity.seeds().get(0).equals(identity.peerAddress());
   }
 
   QuorumMembership proposal() {
@@ -142,7 +142,7 @@
   }
 
   public void tick() {
-    if (proposal == null && coordinates()) {
+    if (proposal == null && isCoordinator()) {
       propose();
     }
     if (proposal == null) {
@@ -157,29 +157,29 @@
       return;
     }
     proposal.members().stream()
-        .filter(member -> !member.id().equals(place.id()))
+        .filter(member -> !member.id().equals(identity.id()))
         .forEach(member -> peers.computeIfAbsent(member.peerAddress(), unseen -> new QuorumPeer()));
     accept();
     if (proposal.members().stream().allMatch(this::hasAccepted)) {
-      surroundings.log(PART, "Roster 1 formed of " + proposal.members().size() + ".");
+      environment.log(PART, "Roster 1 formed of " + proposal.members().size() + ".");
       whenFormed.accept(proposal);
     }
   }
 
-  private boolean names(QuorumMembership roster) {
-    return roster.members().contains(self);
+  private boolean names(QuorumMembership membership) {
+    return membership.members().contains(self);
   }
 
   private void accept() {
-    if (accepting != null || !mayFound() || !names(proposal) || !bounds.voter()) {
+    if (accepting != null || !mayBootstrap() || !names(proposal) || !settings.voter()) {
       return;
     }
     accepting = proposal;
-    surroundings.write(List.of(acceptedRecord(accepting)), () -> accepted = accepting);
+    environment.write(List.of(acceptedRecord(accepting)), () -> accepted = accepting);
   }
 
   private boolean hasAccepted(QuorumMember member) {
-    if (member.id().equals(place.id())) {
+    if (member.id().equals(identity.id())) {
       return proposal.equals(accepted);
     }
     QuorumPeer peer = peers.get(member.peerAddress());
@@ -198,29 +198,29 @@
       }
     }
     List<QuorumMember> blanks = new ArrayList<>();
-    if (bounds.voter()) {
+    if (settings.voter()) {
       blanks.add(self);
     }
     peers.values().stream()
-        .filter(peer -> alive.test(peer) && peer.blank && peer.voter && peer.hearsUs)
+        .filter(peer -> alive.test(peer) && peer.uninitialized && peer.voter && peer.hearsThisNode)
         .forEach(peer -> blanks.add(peer.member));
     Set<String> ids =
         blanks.stream().map(QuorumMember::id).collect(Collectors.toCollection(TreeSet::new));
-    long now = surroundings.now();
+    long now = environment.nowMs();
     if (!ids.equals(heard)) {
       heard = ids;
       heardChangedAt = now;
     }
-    boolean enough = blanks.size() >= bounds.replicas();
+    boolean enough = blanks.size() >= settings.replicas();
     boolean fewForLong = now - startedAt >= MembershipConstants.BOOTSTRAP_REDUCED_QUORUM_DELAY_MS;
     if (blanks.isEmpty()
         || now - heardChangedAt < MembershipConstants.BOOTSTRAP_SETTLE_MS
         || !enough && !fewForLong) {
       return;
     }
-    int most = Math.min(blanks.size(), bounds.replicas());
+    int most = Math.min(blanks.size(), settings.replicas());
     proposal = new QuorumMembership(1, spread(blanks, most % 2 == 0 ? most - 1 : most), List.of());
-    surroundings.log(
+    environment.log(
         PART,
         "Roster 1 proposed: " + proposal.members().stream().map(QuorumMember::name).toList() + ".");
   }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
@@ -20,9 +20,9 @@
  * this process.
  */
 public final class QuorumDiscovery {
-  private final NodeIdentity place;
-  private final NodeSettings bounds;
-  private final QuorumView membership;
+  private final NodeIdentity identity;
+  private final NodeSettings settings;
+  private final QuorumView quorum;
 
   /** Milliseconds since the last updates from a majority of the core. */
   private final LongSupplier viewAgeMs;
@@ -32,15 +32,15 @@
   private long searches;
 
   public QuorumDiscovery(
-      NodeIdentity place,
-      NodeSettings bounds,
-      QuorumView membership,
+      NodeIdentity identity,
+      NodeSettings settings,
+      QuorumView quorum,
       LongSupplier viewAgeMs,
       Supplier<List<String>> seeds,
       MessageSender sender) {
-    this.place = place;
-    this.bounds = bounds;
-    this.membership = membership;
+    this.identity = identity;
+    this.settings = settings;
+    this.quorum = quorum;
     this.viewAgeMs = viewAgeMs;
     this.seeds = seeds;
     this.sender = sender;
@@ -49,7 +49,7 @@
   public void search() {
     searches++;
     boolean oneInSome = searches % MembershipConstants.SEED_NOTIFICATION_ONE_IN == 0;
-    boolean isMember = membership.isMember();
+    boolean isMember = quorum.isMember();
     if (isMember && oneInSome) {
       tellSeeds();
     }
@@ -59,29 +59,31 @@
   }
 
   private boolean isLost() {
-    if (membership.current().number() == 0) {
+    if (quorum.current().number() == 0) {
       return true;
     }
-    return membership.isMember()
+    return quorum.isMember()
         ? viewAgeMs.getAsLong() > MembershipConstants.QUORUM_PEER_TIMEOUT_MS
-        : bounds.voter() && membership.liveMembers().isEmpty();
+        : settings.voter() && quorum.liveMembers().isEmpty();
   }
 
   /** A seed that is no member may know nothing of the core while others know only this seed. */
   private void tellSeeds() {
-    QuorumMembership roster = membership.current();
+    QuorumMembership membership = quorum.current();
     seeds.get().stream()
-        .filter(seed -> !membership.includes(seed) && !seed.equals(place.peerAddress()))
+        .filter(seed -> !quorum.includes(seed) && !seed.equals(identity.peerAddress()))
         .forEach(
             seed ->
                 sender.send(
-                    seed, "", new QuorumDiscoveryResponse(roster.number(), Json.bytes(roster))));
+                    seed,
+                    "",
+                    new QuorumDiscoveryResponse(membership.number(), Json.bytes(membership))));
   }
 
   private void askAround() {
     Set<String> known = new LinkedHashSet<>(seeds.get());
-    membership.current().members().forEach(member -> known.add(member.peerAddress()));
-    known.remove(place.peerAddress());
+    quorum.current().members().forEach(member -> known.add(member.peerAddress()));
+    known.remove(identity.peerAddress());
     known.forEach(address -> sender.send(address, "", new QuorumDiscoveryRequest()));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
@@ -6,16 +6,16 @@
 /** Another process of the core as its pings and its change feed last showed it. */
 public final class QuorumPeer {
   /** When its last ping came, on this node's clock. */
-  long heardAt = Long.MIN_VALUE / 2;
+  long lastHeardAt = Long.MIN_VALUE / 2;
 
   /** Null until its first ping, as only its address is known by then. */
   public QuorumMember member;
 
   /** Knows of no membership at all. */
-  boolean blank;
+  boolean uninitialized;
 
   /** Knows the membership, is not in it, and could be. */
-  public boolean candidate;
+  public boolean joinCandidate;
 
   boolean voter;
 
@@ -25,17 +25,17 @@
   /** Whether it has accepted that proposal. */
   boolean accepted;
 
-  long rosterNumber;
+  long membershipVersion;
 
   /** Whether it said that it hears this process. */
-  boolean hearsUs;
+  boolean hearsThisNode;
 
   /** The feed that was followed last, and the position reached in it. */
   public String feedId = "";
 
   public long feedIncarnation;
-  public long feedNumber;
+  public long feedPosition;
 
   /** When the poll was sent, on this node's clock, that its newest updates responded to. */
-  public long newsAt = Long.MIN_VALUE / 2;
+  public long updatedAt = Long.MIN_VALUE / 2;
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
@@ -24,8 +24,8 @@
   /** The name under which all core keys change their replicas together. */
   public static final String SET_NAME = "core";
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
+  private final Environment environment;
+  private final NodeIdentity identity;
   private final Supplier<QuorumMembership> current;
 
   /** By peer address, as a founder's id is not known before its first ping. */
@@ -34,14 +34,14 @@
   private long startedAt;
 
   public QuorumView(
-      Environment surroundings, NodeIdentity place, Supplier<QuorumMembership> current) {
-    this.surroundings = surroundings;
-    this.place = place;
+      Environment environment, NodeIdentity identity, Supplier<QuorumMembership> current) {
+    this.environment = environment;
+    this.identity = identity;
     this.current = current;
   }
 
   public void started() {
-    startedAt = surroundings.now();
+    startedAt = environment.nowMs();
   }
 
   public QuorumMembership current() {
@@ -59,18 +59,22 @@
   /** This process as it would stand in a membership. */
   public QuorumMember self() {
     return new QuorumMember(
-        place.id(), place.peerAddress(), place.httpAddress(), place.zone(), place.name());
+        identity.id(),
+        identity.peerAddress(),
+        identity.httpAddress(),
+        identity.zone(),
+        identity.name());
   }
 
   // ---- the membership itself
 
   public boolean isMember() {
-    return names(current().members(), place.id());
+    return names(current().members(), identity.id());
   }
 
   /** A member, or the newcomer of a change under way, which takes entries but leads nothing yet. */
   public boolean isReplica() {
-    return isMember() || names(current().next(), place.id());
+    return isMember() || names(current().next(), identity.id());
   }
 
   private static boolean names(List<QuorumMember> members, String id) {
@@ -79,11 +83,11 @@
 
   /** Whether a member or newcomer is at this address. */
   public boolean includes(String peerAddress) {
-    return membersAndNewcomers().stream()
+    return membersAndJoining().stream()
         .anyMatch(member -> member.peerAddress().equals(peerAddress));
   }
 
-  public Set<QuorumMember> membersAndNewcomers() {
+  public Set<QuorumMember> membersAndJoining() {
     Set<QuorumMember> all = new LinkedHashSet<>(current().members());
     all.addAll(current().next());
     return all;
@@ -112,25 +116,25 @@
   // ---- contact with its members
 
   /** Makes every member and newcomer a peer. */
-  public void meetMembers() {
-    membersAndNewcomers().forEach(member -> peer(member.peerAddress()));
-    peers.remove(place.peerAddress());
+  public void addMembersAsPeers() {
+    membersAndJoining().forEach(member -> peer(member.peerAddress()));
+    peers.remove(identity.peerAddress());
   }
 
   /** Drops silent peers that the membership does not name any more. */
-  public void forgetStrangers() {
-    peers.entrySet().removeIf(each -> !includes(each.getKey()) && !alive(each.getValue()));
+  public void removeFormerPeers() {
+    peers.entrySet().removeIf(each -> !includes(each.getKey()) && !isAlive(each.getValue()));
   }
 
   /** Whether the peer was heard lately; it may be deaf to this process. */
-  public boolean alive(QuorumPeer peer) {
+  public boolean isAlive(QuorumPeer peer) {
     return peer.member != null
-        && surroundings.now() - peer.heardAt < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
+        && environment.nowMs() - peer.lastHeardAt < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
   /** Whether each side hears the other. */
-  boolean inContact(QuorumPeer peer) {
-    return alive(peer) && peer.hearsUs;
+  boolean isInContact(QuorumPeer peer) {
+    return isAlive(peer) && peer.hearsThisNode;
   }
 
   /** Ids of the members in contact, this node included if it is one. */
@@ -138,8 +142,8 @@
     Set<String> live = new LinkedHashSet<>();
     for (QuorumMember member : current().members()) {
       QuorumPeer peer = peers.get(member.peerAddress());
-      if (member.id().equals(place.id())
-          || peer != null && inContact(peer) && peer.member.id().equals(member.id())) {
+      if (member.id().equals(identity.id())
+          || peer != null && isInContact(peer) && peer.member.id().equals(member.id())) {
         live.add(member.id());
       }
     }
@@ -147,11 +151,11 @@
   }
 
   /** Whether this node comes first for a key among the live members. */
-  public boolean isFirstFor(String key) {
-    return place.id().equals(RendezvousHashing.first(key, liveMembers()));
+  public boolean isPreferredLeaderOf(String key) {
+    return identity.id().equals(RendezvousHashing.first(key, liveMembers()));
   }
 
-  public boolean hearsMajority() {
+  public boolean isInContactWithMajority() {
     return liveMembers().size() * 2 > current().members().size();
   }
 
@@ -159,9 +163,9 @@
    * A member that hears no majority can neither lead nor read: it says so at once. A process that
    * started just now waits for the first pings instead.
    */
-  public boolean cutOff() {
+  public boolean isIsolated() {
     return isMember()
-        && !hearsMajority()
-        && surroundings.now() - startedAt >= MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
+        && !isInContactWithMajority()
+        && environment.nowMs() - startedAt >= MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/StaticBootstrap.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/StaticBootstrap.java
@@ -16,18 +16,18 @@
 public final class StaticBootstrap {
   private static final String PART = "core";
 
-  private final Environment surroundings;
-  private final NodeIdentity place;
-  private final QuorumView membership;
+  private final Environment environment;
+  private final NodeIdentity identity;
+  private final QuorumView quorum;
 
   /** Peer addresses; empty where the founders are found by the seeds. */
   private final List<String> addresses;
 
   public StaticBootstrap(
-      Environment surroundings, NodeIdentity place, QuorumView membership, List<String> addresses) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.membership = membership;
+      Environment environment, NodeIdentity identity, QuorumView quorum, List<String> addresses) {
+    this.environment = environment;
+    this.identity = identity;
+    this.quorum = quorum;
     this.addresses = addresses;
   }
 
@@ -41,18 +41,18 @@
 
   /** The membership to start with, once this process may form it. */
   public Optional<QuorumMembership> form() {
-    if (isEmpty() || !addresses.get(0).equals(place.peerAddress())) {
+    if (isEmpty() || !addresses.get(0).equals(identity.peerAddress())) {
       return Optional.empty();
     }
-    List<QuorumMember> members = new ArrayList<>(List.of(membership.self()));
+    List<QuorumMember> members = new ArrayList<>(List.of(quorum.self()));
     for (String address : addresses.subList(1, addresses.size())) {
-      QuorumPeer peer = membership.peers().get(address);
-      if (!membership.inContact(peer) || !peer.blank) {
+      QuorumPeer peer = quorum.peers().get(address);
+      if (!quorum.isInContact(peer) || !peer.uninitialized) {
         return Optional.empty();
       }
       members.add(peer.member);
     }
-    surroundings.log(PART, "Roster 1 formed.");
+    environment.log(PART, "Roster 1 formed.");
     return Optional.of(new QuorumMembership(1, members, List.of()));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -43,7 +43,7 @@
 
   private final class Asking {
     final IntFunction<NodeAddress> targets;
-    final String duty;
+    final String operation;
     final String key;
     final byte[] body;
     final long tryMs;
@@ -66,14 +66,14 @@
 
     Asking(
         IntFunction<NodeAddress> targets,
-        String duty,
+        String operation,
         String key,
         byte[] body,
         long tryMs,
         long expiresAt,
         Consumer<Response> then) {
       this.targets = targets;
-      this.duty = duty;
+      this.operation = operation;
       this.key = key;
       this.body = body;
       this.tryMs = tryMs;
@@ -85,14 +85,14 @@
       if (over) {
         return;
       }
-      long left = expiresAt - surroundings.now();
+      long left = expiresAt - environment.nowMs();
       if (left <= 0) {
         finish(lastResponse);
         return;
       }
       NodeAddress target = targets.apply(tries++);
       if (target == null) {
-        surroundings.after(Math.min(left, PeerRequestConstants.RETRY_DELAY_MS), this::tryOnce);
+        environment.schedule(Math.min(left, PeerRequestConstants.RETRY_DELAY_MS), this::tryOnce);
         return;
       }
       long correlation = ++lastCorrelation;
@@ -103,10 +103,10 @@
           target.id(),
           new PeerRequest(
               correlation,
-              duty,
+              operation,
               key,
-              place.id(),
-              place.peerAddress(),
+              identity.id(),
+              identity.peerAddress(),
               PeerRequestConstants.MAX_FORWARDS,
               body));
       awaitAnswer(correlation);
@@ -116,9 +116,9 @@
       if (silence != null) {
         silence.cancel();
       }
-      long left = expiresAt - surroundings.now();
+      long left = expiresAt - environment.nowMs();
       silence =
-          surroundings.after(
+          environment.schedule(
               Math.max(0, Math.min(left, tryMs)),
               () -> {
                 if (!over && isLatest(correlation) && open.containsKey(correlation)) {
@@ -140,10 +140,10 @@
     }
 
     void responded(long correlation, Response response) {
-      if (NOTHING_DONE.contains(response.faultType())) {
+      if (NOTHING_DONE.contains(response.errorType())) {
         if (isLatest(correlation)) {
           lastResponse = response;
-          surroundings.after(PeerRequestConstants.RETRY_DELAY_MS, this::tryOnce);
+          environment.schedule(PeerRequestConstants.RETRY_DELAY_MS, this::tryOnce);
         }
       } else {
         finish(response);
@@ -162,12 +162,12 @@
     }
   }
 
-  protected final Environment surroundings;
-  protected final NodeIdentity place;
-  protected final TraceLog journal;
+  protected final Environment environment;
+  protected final NodeIdentity identity;
+  protected final TraceLog traceLog;
 
   /** Newest roster known; its number never falls. */
-  protected QuorumMembership roster = new QuorumMembership(0, List.of(), List.of());
+  protected QuorumMembership membership = new QuorumMembership(0, List.of(), List.of());
 
   public boolean stopping;
 
@@ -178,11 +178,11 @@
   private long lastCorrelation;
   private final Map<String, Long> counters = new LinkedHashMap<>();
 
-  protected Node(Environment surroundings, NodeIdentity place) {
-    this.surroundings = surroundings;
-    this.place = place;
-    this.seeds = place.seeds();
-    this.journal = new TraceLog(surroundings);
+  protected Node(Environment environment, NodeIdentity identity) {
+    this.environment = environment;
+    this.identity = identity;
+    this.seeds = identity.seeds();
+    this.traceLog = new TraceLog(environment);
   }
 
   public abstract void start();
@@ -191,12 +191,12 @@
    * What the process was told at its start has changed; of the bounds, only what may change while
    * it runs.
    */
-  public void startupChanged(List<String> newSeeds, NodeSettings newBounds) {
+  public void reload(List<String> newSeeds, NodeSettings newBounds) {
     seeds = List.copyOf(newSeeds);
-    boundsChanged(newBounds);
+    settingsChanged(newBounds);
   }
 
-  protected void boundsChanged(NodeSettings newer) {}
+  protected void settingsChanged(NodeSettings newer) {}
 
   /** Replays one record of the log; called before start, in order. */
   public void recover(LogRecord record) {}
@@ -213,35 +213,35 @@
 
   protected abstract void handle(Message message, String fromId, String fromAddress);
 
-  protected abstract void handleAsk(PeerRequest ask);
+  protected abstract void handleRequest(PeerRequest request);
 
   public abstract ObjectNode status();
 
-  public NodeIdentity place() {
-    return place;
+  public NodeIdentity identity() {
+    return identity;
   }
 
-  public TraceLog journal() {
-    return journal;
+  public TraceLog traceLog() {
+    return traceLog;
   }
 
   public Map<String, Long> counters() {
     return counters;
   }
 
-  protected void count(String counter) {
+  protected void incrementCounter(String counter) {
     counters.merge(counter, 1L, Long::sum);
   }
 
   /** Counts a violated invariant and tells of it. */
-  protected void violated(Invariant invariant, String detail) {
-    count(invariant.counter());
-    surroundings.log("invariant", "Violated: " + invariant + " " + detail + ".");
-    surroundings.violated(invariant, detail);
+  protected void reportViolation(Invariant invariant, String detail) {
+    incrementCounter(invariant.counter());
+    environment.log("invariant", "Violated: " + invariant + " " + detail + ".");
+    environment.invariantViolated(invariant, detail);
   }
 
   public void receive(Envelope envelope) {
-    if (!envelope.toId().isEmpty() && !envelope.toId().equals(place.id())) {
+    if (!envelope.toId().isEmpty() && !envelope.toId().equals(identity.id())) {
       return;
     }
     Message message = envelope.message();
@@ -251,111 +251,113 @@
         asking.responded(
             response.correlation(),
             Response.encoded(
-                response.status(), response.body(), response.comeBackSeconds() * 1_000L));
+                response.status(), response.body(), response.retryAfterSeconds() * 1_000L));
       }
     } else if (message instanceof PeerRequestProgress progress) {
       Asking asking = open.get(progress.correlation());
       if (asking != null) {
         asking.progressed(progress.correlation());
       }
-    } else if (message instanceof PeerRequest ask) {
-      handleAsk(ask);
+    } else if (message instanceof PeerRequest request) {
+      handleRequest(request);
     } else if (message instanceof QuorumDiscoveryRequest) {
-      if (roster.number() > 0) {
+      if (membership.number() > 0) {
         send(
             envelope.fromAddress(),
             envelope.fromId(),
-            new QuorumDiscoveryResponse(roster.number(), Json.bytes(roster)));
+            new QuorumDiscoveryResponse(membership.number(), Json.bytes(membership)));
       }
     } else if (message instanceof QuorumDiscoveryResponse told) {
-      learnRoster(Json.read(told.body(), QuorumMembership.class));
+      learnMembership(Json.read(told.body(), QuorumMembership.class));
     } else {
       handle(message, envelope.fromId(), envelope.fromAddress());
     }
   }
 
-  protected void learnRoster(QuorumMembership told) {
-    if (told.number() > roster.number()) {
-      roster = told;
-      journal.add("roster", "roster", "number " + told.number());
+  protected void learnMembership(QuorumMembership learned) {
+    if (learned.number() > membership.number()) {
+      membership = learned;
+      traceLog.add("roster", "roster", "number " + learned.number());
     }
   }
 
   public void send(String toAddress, String toId, Message message) {
-    surroundings.send(toAddress, new Envelope(place.id(), place.peerAddress(), toId, message));
+    environment.send(toAddress, new Envelope(identity.id(), identity.peerAddress(), toId, message));
   }
 
-  public void ask(
+  public void sendRequest(
       IntFunction<NodeAddress> targets,
-      String duty,
+      String operation,
       String key,
       Object body,
       long expiryMs,
       Consumer<Response> then) {
-    ask(targets, duty, key, body, PeerRequestConstants.ATTEMPT_TIMEOUT_MS, expiryMs, then);
+    sendRequest(
+        targets, operation, key, body, PeerRequestConstants.ATTEMPT_TIMEOUT_MS, expiryMs, then);
   }
 
   /** tryMs: how long one node may take to respond before the next is tried. */
-  public void ask(
+  public void sendRequest(
       IntFunction<NodeAddress> targets,
-      String duty,
+      String operation,
       String key,
       Object body,
       long tryMs,
       long expiryMs,
       Consumer<Response> then) {
     byte[] bytes = body instanceof byte[] raw ? raw : Json.bytes(body);
-    new Asking(targets, duty, key, bytes, tryMs, surroundings.now() + expiryMs, then).tryOnce();
+    new Asking(targets, operation, key, bytes, tryMs, environment.nowMs() + expiryMs, then)
+        .tryOnce();
   }
 
-  public void respond(PeerRequest ask, Response response) {
+  public void respond(PeerRequest request, Response response) {
     send(
-        ask.originAddress(),
-        ask.originId(),
+        request.originAddress(),
+        request.originId(),
         new PeerResponse(
-            ask.correlation(),
+            request.correlation(),
             response.status(),
-            response.comeBackSeconds(),
+            response.retryAfterSeconds(),
             response.encodedBody()));
   }
 
   /** Hands an ask on to whom it belongs; the other responds to the origin directly. */
-  protected void handOver(PeerRequest ask, String toId, String toAddress) {
-    if (ask.hops() <= 0 || toAddress.isEmpty() || toId.equals(place.id())) {
-      respond(ask, Response.of(new ApiError.NotLeader(ask.key())));
+  protected void forward(PeerRequest request, String toId, String toAddress) {
+    if (request.hops() <= 0 || toAddress.isEmpty() || toId.equals(identity.id())) {
+      respond(request, Response.of(new ApiError.NotLeader(request.key())));
       return;
     }
     send(
         toAddress,
         toId,
         new PeerRequest(
-            ask.correlation(),
-            ask.duty(),
-            ask.key(),
-            ask.originId(),
-            ask.originAddress(),
-            ask.hops() - 1,
-            ask.body()));
+            request.correlation(),
+            request.operation(),
+            request.key(),
+            request.originId(),
+            request.originAddress(),
+            request.hops() - 1,
+            request.body()));
   }
 
-  protected void every(long millis, Runnable duty) {
-    surroundings.after(
+  protected void repeatEvery(long millis, Runnable duty) {
+    environment.schedule(
         millis,
         () -> {
-          if (!stopped()) {
+          if (!isTerminated()) {
             duty.run();
-            every(millis, duty);
+            repeatEvery(millis, duty);
           }
         });
   }
 
   private boolean ended;
 
-  public boolean stopped() {
+  public boolean isTerminated() {
     return ended;
   }
 
-  protected void end() {
+  protected void terminate() {
     ended = true;
   }
 
@@ -363,15 +365,15 @@
     ObjectNode status = JSON.createObjectNode();
     status
         .put("version", ProductVersion.VERSION)
-        .put("name", place.name())
-        .put("id", place.id())
-        .put("incarnation", place.incarnation())
-        .put("zone", place.zone())
-        .put("role", place.role())
-        .put("peer", place.peerAddress())
+        .put("name", identity.name())
+        .put("id", identity.id())
+        .put("incarnation", identity.incarnation())
+        .put("zone", identity.zone())
+        .put("role", identity.role())
+        .put("peer", identity.peerAddress())
         .put("stopping", stopping);
     status.set("seeds", JSON.<JsonNode>valueToTree(seeds));
-    status.set("roster", JSON.<JsonNode>valueToTree(roster));
+    status.set("roster", JSON.<JsonNode>valueToTree(membership));
     return status;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
@@ -13,21 +13,21 @@
   /** Invariant: numbers rise by one; at most JOURNAL_KEPT events are held. */
   private final ArrayDeque<Event> events = new ArrayDeque<>();
 
-  private final Environment surroundings;
+  private final Environment environment;
   private long lastNumber;
 
-  TraceLog(Environment surroundings) {
-    this.surroundings = surroundings;
+  TraceLog(Environment environment) {
+    this.environment = environment;
   }
 
   public void add(String kind, String key, String detail) {
     if (events.size() == LifecycleConstants.MAX_TRACE_EVENTS) {
       events.removeFirst();
     }
-    events.add(new Event(++lastNumber, surroundings.now(), kind, key, detail));
+    events.add(new Event(++lastNumber, environment.nowMs(), kind, key, detail));
   }
 
-  public List<Event> about(String key, int most) {
+  public List<Event> eventsFor(String key, int most) {
     return events.stream()
         .filter(
             event -> key.isEmpty() || event.key().equals(key) || event.key().startsWith(key + "/"))
--- a/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
+++ b/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
@@ -14,11 +14,11 @@
    */
   enum Verdict {
     OK,
-    REFUSED,
-    BUSY,
-    BEHIND,
-    OLD_SET,
-    WOULD_PROMISE
+    STALE_EPOCH,
+    LEADER_ALIVE,
+    LOG_MISMATCH,
+    STALE_CONFIGURATION,
+    WOULD_GRANT
   }
 
   /**
@@ -26,14 +26,14 @@
    * passes on a client's bytes, and is asked for speed on a machine that may have little processor
    * time.
    */
-  default boolean worthDeflating() {
+  default boolean shouldDeflate() {
     return true;
   }
 
   /** One node asks another to carry out a duty for a key; hops bounds how often it is forwarded. */
   record PeerRequest(
       long correlation,
-      String duty,
+      String operation,
       String key,
       String originId,
       String originAddress,
@@ -44,51 +44,59 @@
     public static final String SUBMIT = "submit";
 
     @Override
-    public boolean worthDeflating() {
-      return !duty.equals(SUBMIT);
+    public boolean shouldDeflate() {
+      return !operation.equals(SUBMIT);
     }
   }
 
   /**
-   * The answer to the ask with this correlation; comeBackSeconds is 0 unless a retry should wait.
+   * The answer to the ask with this correlation; retryAfterSeconds is 0 unless a retry should wait.
    */
-  record PeerResponse(long correlation, int status, int comeBackSeconds, byte[] body)
+  record PeerResponse(long correlation, int status, int retryAfterSeconds, byte[] body)
       implements Message {}
 
   /** The node that was asked lives and still works on the ask with this correlation. */
   record PeerRequestProgress(long correlation) implements Message {}
 
   /**
-   * Asks a replica for its promise of an epoch. tailBytesMost: of a log longer than this only the
+   * Asks a replica for its promise of an epoch. maxTailBytes: of a log longer than this only the
    * last entries come with the promise, and the claimant asks for the rest by LogFetchRequest; 0 or
    * less, as from older versions: all of it. A trial only asks whether the replica would give the
    * promise, and changes nothing there.
    */
   record VoteRequest(
-      String key, Epoch epoch, long setNumber, boolean handedOver, int tailBytesMost, boolean trial)
+      String key,
+      Epoch epoch,
+      long configurationVersion,
+      boolean leadershipTransferred,
+      int maxTailBytes,
+      boolean preVote)
       implements Message {}
 
   /**
-   * logStart: the sequence at which the replica's log begins. The entries are the whole log if they
-   * begin there too, else its tail; 0 or less, as from older versions: they are the whole log.
+   * logStartSequence: the sequence at which the replica's log begins. The entries are the whole log
+   * if they begin there too, else its tail; 0 or less, as from older versions: they are the whole
+   * log.
    */
   record VoteResponse(
       String key,
-      Epoch asked,
+      Epoch requestedEpoch,
       Verdict verdict,
-      Epoch promised,
-      String owner,
-      String ownerAddress,
-      long committed,
-      long logStart,
+      Epoch promisedEpoch,
+      String leaderId,
+      String leaderAddress,
+      long committedSequence,
+      long logStartSequence,
       List<LogEntry> entries)
       implements Message {
-    public boolean wholeLog() {
-      return entries.isEmpty() || entries.get(0).sequence() <= logStart || logStart <= 0;
+    public boolean isCompleteLog() {
+      return entries.isEmpty()
+          || entries.get(0).sequence() <= logStartSequence
+          || logStartSequence <= 0;
     }
 
     @Override
-    public boolean worthDeflating() {
+    public boolean shouldDeflate() {
       return !DeflatedEvents.mostlyDeflated(entries);
     }
   }
@@ -97,14 +105,15 @@
    * A claimant asks a replica that promised it this epoch for entries of its log. nextEpoch: of the
    * entry behind the last one asked for; a log that holds another one there is another log.
    */
-  record LogFetchRequest(String key, Epoch epoch, long from, long to, Epoch nextEpoch)
+  record LogFetchRequest(
+      String key, Epoch epoch, long fromSequence, long toSequence, Epoch nextEpoch)
       implements Message {}
 
   /** The first of the entries asked for, as many as fit; refused under a higher promise. */
   record LogFetchResponse(String key, Epoch epoch, Verdict verdict, List<LogEntry> entries)
       implements Message {
     @Override
-    public boolean worthDeflating() {
+    public boolean shouldDeflate() {
       return !DeflatedEvents.mostlyDeflated(entries);
     }
   }
@@ -116,16 +125,16 @@
   record AppendRequest(
       String key,
       Epoch epoch,
-      long setNumber,
+      long configurationVersion,
       long round,
       long previousSequence,
       Epoch previousEpoch,
-      long committed,
-      boolean hearsMajority,
+      long committedSequence,
+      boolean inContactWithQuorum,
       List<LogEntry> entries)
       implements Message {
     @Override
-    public boolean worthDeflating() {
+    public boolean shouldDeflate() {
       return !DeflatedEvents.mostlyDeflated(entries);
     }
   }
@@ -134,7 +143,12 @@
    * A replica's answer to {@link AppendRequest}: up to which sequence its log matches the leader's.
    */
   record AppendResponse(
-      String key, Epoch epoch, long round, Verdict verdict, Epoch promised, long matched)
+      String key,
+      Epoch epoch,
+      long round,
+      Verdict verdict,
+      Epoch promisedEpoch,
+      long matchedSequence)
       implements Message {}
 
   /** The present owner asks its successor to take the key over at once. */
@@ -150,26 +164,27 @@
    * The answer to {@link QuorumDiscoveryRequest}: the members, as JSON, and the number of that
    * membership.
    */
-  record QuorumDiscoveryResponse(long rosterNumber, byte[] body) implements Message {}
+  record QuorumDiscoveryResponse(long membershipVersion, byte[] body) implements Message {}
 
   /**
    * sentAt is the follower's own clock; it comes back with the news, so that old news is never
-   * taken for fresh. sharedDigest is that of the follower's table, bundleSequence that of its
-   * bundle; both 0 where it has none.
+   * taken for fresh. sharedDigest is that of the follower's table, configurationSequence that of
+   * its bundle; both 0 where it has none.
    */
   record ChangeFeedPoll(
-      String coreId,
+      String sourceId,
       long incarnation,
-      long number,
+      long position,
       long sentAt,
       long sharedDigest,
-      long bundleSequence)
+      long configurationSequence)
       implements Message {
     /**
      * Whether the follower is known to hold this value or a newer one: told of the largest only.
      */
-    public boolean holds(MetadataRecord item) {
-      return item.key().equals(MetadataKeys.CONFIGURATION) && item.sequence() <= bundleSequence;
+    public boolean holds(MetadataRecord metadataRecord) {
+      return metadataRecord.key().equals(MetadataKeys.CONFIGURATION)
+          && metadataRecord.sequence() <= configurationSequence;
     }
   }
 
@@ -178,15 +193,15 @@
 
   /** echoedAt is the sentAt of the poll this responds to; 0 when the news was pushed. */
   record ChangeFeedUpdate(
-      String coreId,
+      String sourceId,
       long incarnation,
-      long fromNumber,
-      long number,
-      boolean checkpoint,
+      long fromPosition,
+      long position,
+      boolean snapshot,
       boolean relayed,
       long ageMs,
       long echoedAt,
-      List<MetadataRecord> items)
+      List<MetadataRecord> records)
       implements Message {}
 
   /** How far a key is known. */
@@ -196,7 +211,7 @@
    * The edge at this address works by these keys up to these places. A fellow that gets it hands it
    * on to the core, for an edge that the core can not hear.
    */
-  record AppliedPositions(String edgeAddress, List<KeyPosition> places) implements Message {}
+  record AppliedPositions(String edgeAddress, List<KeyPosition> positions) implements Message {}
 
   /**
    * The core asks an edge how far it knows the keys whose news has to be in force before somebody
@@ -208,7 +223,7 @@
    * The sender leads the batch; with unassigned above 0 there are ranges to pull. host and path say
    * where the items of an opaque batch go; both are empty for a batch of prompts.
    */
-  record BatchOffer(String batch, long dueInMs, int unassigned, String host, String path)
+  record BatchOffer(String batch, long dueInMs, int unassignedRanges, String host, String path)
       implements Message {}
 
   /**
@@ -228,11 +243,11 @@
       long rangeEpoch,
       boolean none,
       long dueInMs,
-      long pulledAt,
+      long requestedAt,
       List<AssignedItem> items)
       implements Message {}
 
-  /** The outcome of one run of an item; faultType is empty if the run finished. */
+  /** The outcome of one run of an item; errorType is empty if the run finished. */
   record ItemOutcome(
       int index, String run, String worker, String finishReason, String faultType, byte[] output) {}
 
@@ -247,7 +262,7 @@
       String worker,
       long reportNumber,
       int offset,
-      boolean giveBack,
+      boolean returned,
       List<ItemOutcome> results)
       implements Message {}
 
@@ -255,7 +270,7 @@
    * The answer to {@link RangeReport}; keep says whether the range stays assigned to the reporter.
    */
   record RangeReportResponse(
-      String batch, int range, long rangeEpoch, String worker, long reportNumber, boolean keep)
+      String batch, int range, long rangeEpoch, String worker, long reportNumber, boolean keepLease)
       implements Message {}
 
   /**
@@ -264,7 +279,7 @@
    */
   record PeerLoadReport(List<OwnLoad> loads) implements Message {
     /** The sender's share of one worker's load. */
-    public record OwnLoad(String worker, int running, int unread) {}
+    public record OwnLoad(String worker, int running, int unreadPromptTokens) {}
   }
 
   /** The batch takes no more results; feeders cancel what still runs of it. */
--- a/core-logic/src/main/java/applespindle/corelogic/replication/Elections.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/Elections.java
@@ -16,40 +16,40 @@
  * outcome too.
  */
 public final class Elections {
-  private final Environment surroundings;
+  private final Environment environment;
   private final String nodeId;
   private final MessageSender sender;
-  private final Function<String, ReplicaConfiguration> setsOf;
-  private final Consumer<ReplicatedLogLeader> whenOwned;
+  private final Function<String, ReplicaConfiguration> configurationOf;
+  private final Consumer<ReplicatedLogLeader> electedListener;
   private final boolean quietWhenIdle;
-  private final Map<String, ReplicatedLogLeader> claiming = new HashMap<>();
+  private final Map<String, ReplicatedLogLeader> candidates = new HashMap<>();
   private final Map<String, List<Consumer<ElectionOutcome>>> waiting = new HashMap<>();
 
   public Elections(
-      Environment surroundings,
+      Environment environment,
       String nodeId,
       MessageSender sender,
       Function<String, ReplicaConfiguration> setsOf,
       Consumer<ReplicatedLogLeader> whenOwned) {
-    this(surroundings, nodeId, sender, setsOf, whenOwned, false);
+    this(environment, nodeId, sender, setsOf, whenOwned, false);
   }
 
   public Elections(
-      Environment surroundings,
+      Environment environment,
       String nodeId,
       MessageSender sender,
       Function<String, ReplicaConfiguration> setsOf,
       Consumer<ReplicatedLogLeader> whenOwned,
       boolean quietWhenIdle) {
     this.quietWhenIdle = quietWhenIdle;
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.nodeId = nodeId;
     this.sender = sender;
-    this.setsOf = setsOf;
-    this.whenOwned = whenOwned;
+    this.configurationOf = setsOf;
+    this.electedListener = whenOwned;
   }
 
-  public void claim(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
+  public void elect(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
     List<Consumer<ElectionOutcome>> others = waiting.get(key);
     if (others != null) {
       others.add(then);
@@ -59,47 +59,47 @@
     ReplicatedLogLeader[] holder = new ReplicatedLogLeader[1];
     holder[0] =
         new ReplicatedLogLeader(
-            surroundings,
+            environment,
             nodeId,
             sender,
             key,
-            setsOf.apply(key),
+            configurationOf.apply(key),
             handedOver,
             quietWhenIdle,
             outcome -> {
-              claiming.remove(key);
-              if (outcome.claim() == ElectionResult.OWNED) {
-                whenOwned.accept(holder[0]);
+              candidates.remove(key);
+              if (outcome.result() == ElectionResult.ELECTED) {
+                electedListener.accept(holder[0]);
               }
               waiting.remove(key).forEach(each -> each.accept(outcome));
             });
-    if (holder[0].state() == ReplicatedLogLeader.LeadershipState.CLAIMING) {
-      claiming.put(key, holder[0]);
+    if (holder[0].state() == ReplicatedLogLeader.LeadershipState.ELECTING) {
+      candidates.put(key, holder[0]);
     }
   }
 
   /** The key while its claim is under way, else null. */
-  public ReplicatedLogLeader claiming(String key) {
-    return claiming.get(key);
+  public ReplicatedLogLeader inProgress(String key) {
+    return candidates.get(key);
   }
 
-  public void promised(VoteResponse message, String fromId) {
-    ReplicatedLogLeader claimedKey = claiming.get(message.key());
-    if (claimedKey != null) {
-      claimedKey.promised(message, fromId);
+  public void handleVoteResponse(VoteResponse message, String fromId) {
+    ReplicatedLogLeader candidate = candidates.get(message.key());
+    if (candidate != null) {
+      candidate.handleVoteResponse(message, fromId);
     }
   }
 
-  public void logPart(LogFetchResponse message) {
-    ReplicatedLogLeader claimedKey = claiming.get(message.key());
-    if (claimedKey != null) {
-      claimedKey.logPart(message);
+  public void handleLogFetchResponse(LogFetchResponse message) {
+    ReplicatedLogLeader candidate = candidates.get(message.key());
+    if (candidate != null) {
+      candidate.handleLogFetchResponse(message);
     }
   }
 
   /** Lets every claim under way go on with the sets as they are known now. */
-  public void changeSets() {
-    List.copyOf(claiming.values())
-        .forEach(claimedKey -> claimedKey.changeSets(setsOf.apply(claimedKey.key)));
+  public void reconfigure() {
+    List.copyOf(candidates.values())
+        .forEach(candidate -> candidate.reconfigure(configurationOf.apply(candidate.key)));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
@@ -43,23 +43,27 @@
    * How many of the sets' present replicas may go while a majority of each set is left. While a
    * change is under way both sets count, and a newcomer counts as absent: it may not hold all yet.
    */
-  public static int bearable(ReplicaConfiguration sets, Predicate<String> present) {
-    List<String> holders = sets.present().stream().map(NodeAddress::id).filter(present).toList();
-    int ofPresent = bearable(sets.present(), holders);
-    return sets.pending() ? Math.min(ofPresent, bearable(sets.next(), holders)) : ofPresent;
+  public static int remainingTolerableFailures(
+      ReplicaConfiguration replicaConfiguration, Predicate<String> present) {
+    List<String> holders =
+        replicaConfiguration.current().stream().map(NodeAddress::id).filter(present).toList();
+    int ofPresent = remainingTolerableFailures(replicaConfiguration.current(), holders);
+    return replicaConfiguration.isChanging()
+        ? Math.min(ofPresent, remainingTolerableFailures(replicaConfiguration.next(), holders))
+        : ofPresent;
   }
 
-  private static int bearable(List<NodeAddress> set, List<String> holders) {
+  private static int remainingTolerableFailures(List<NodeAddress> set, List<String> holders) {
     long left = set.stream().filter(replica -> holders.contains(replica.id())).count();
     return (int) Math.max(0, left - (set.size() / 2 + 1));
   }
 
-  public void look(int bearableByCore, int bearableByWorstShard, long now) {
+  public void update(int bearableByCore, int bearableByWorstShard, long now) {
     core.take(bearableByCore, asked, now);
     shards.take(bearableByWorstShard, asked, now);
   }
 
-  public void show(ObjectNode status, long now) {
+  public void describe(ObjectNode status, long now) {
     status
         .put("lossesAsked", asked)
         .put("coreLossesBearable", core.bearable)
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplica.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplica.java
@@ -9,7 +9,7 @@
 /** One node's replica of one key's log. */
 public final class LogReplica {
   /** Never falls. Every message with a lower epoch is refused. */
-  Epoch promised = Epoch.NONE;
+  Epoch promisedEpoch = Epoch.NONE;
 
   /**
    * Contiguous by sequence. Entries up to committed never change; only a whole entry may begin the
@@ -18,27 +18,27 @@
   public final List<LogEntry> entries = new ArrayList<>();
 
   /** At most the last entry's sequence; never falls. */
-  long committed;
+  long committedSequence;
 
   /** The listener has heard of every committed entry up to here. */
-  long announced;
+  long announcedSequence;
 
-  public String owner = "";
-  public String ownerAddress = "";
-  long heardOwnerAt = Long.MIN_VALUE / 2;
+  public String leaderId = "";
+  public String leaderAddress = "";
+  long leaderHeardAt = Long.MIN_VALUE / 2;
 
   /** Who claims the key or has just claimed it, and when it was heard last. */
-  String claimant = "";
+  String candidateId = "";
 
-  String claimantAddress = "";
-  long heardClaimantAt = Long.MIN_VALUE / 2;
-  long unsynced;
+  String candidateAddress = "";
+  long candidateHeardAt = Long.MIN_VALUE / 2;
+  long unsyncedWrites;
 
   long lastSequence() {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
-  LogEntry at(long sequence) {
+  LogEntry entryAt(long sequence) {
     if (entries.isEmpty() || sequence < entries.get(0).sequence() || sequence > lastSequence()) {
       return null;
     }
@@ -50,17 +50,17 @@
    * replaced: an append that was overtaken on its way may begin with entries that a whole one
    * stands for by now, and taking them would drop what follows.
    */
-  boolean holdsAlready(LogEntry entry) {
-    if (entry.sequence() <= committed) {
+  boolean contains(LogEntry entry) {
+    if (entry.sequence() <= committedSequence) {
       return true;
     }
-    LogEntry present = at(entry.sequence());
+    LogEntry present = entryAt(entry.sequence());
     return present != null && present.epoch().equals(entry.epoch());
   }
 
   /** Adds an entry; it replaces what stands at its place and after, or all if it is apart. */
-  void place(LogEntry entry) {
-    if (at(entry.sequence()) != null) {
+  void put(LogEntry entry) {
+    if (entryAt(entry.sequence()) != null) {
       int index = (int) (entry.sequence() - entries.get(0).sequence());
       entries.subList(index, entries.size()).clear();
     } else if (entry.sequence() != lastSequence() + 1) {
@@ -70,6 +70,6 @@
   }
 
   void trim() {
-    LogEntries.trim(entries, committed);
+    LogEntries.trim(entries, committedSequence);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -1,11 +1,11 @@
 package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.protocol.Message.Verdict.BEHIND;
-import static applespindle.corelogic.protocol.Message.Verdict.BUSY;
+import static applespindle.corelogic.protocol.Message.Verdict.LEADER_ALIVE;
+import static applespindle.corelogic.protocol.Message.Verdict.LOG_MISMATCH;
 import static applespindle.corelogic.protocol.Message.Verdict.OK;
-import static applespindle.corelogic.protocol.Message.Verdict.OLD_SET;
-import static applespindle.corelogic.protocol.Message.Verdict.REFUSED;
-import static applespindle.corelogic.protocol.Message.Verdict.WOULD_PROMISE;
+import static applespindle.corelogic.protocol.Message.Verdict.STALE_CONFIGURATION;
+import static applespindle.corelogic.protocol.Message.Verdict.STALE_EPOCH;
+import static applespindle.corelogic.protocol.Message.Verdict.WOULD_GRANT;
 
 import applespindle.corelogic.constants.ReplicationConstants;
 import applespindle.corelogic.environment.Environment;
@@ -37,117 +37,124 @@
  */
 public final class LogReplicas {
 
-  private final Environment surroundings;
-  private final BiConsumer<String, LogEntry> whenCommitted;
-  private final TreeMap<String, LogReplica> copies = new TreeMap<>();
+  private final Environment environment;
+  private final BiConsumer<String, LogEntry> commitListener;
+  private final TreeMap<String, LogReplica> replicas = new TreeMap<>();
 
-  private final ReplicaConfigurationVersions setNumbers;
-  private final UnaryOperator<String> setNameOf;
-  private final MessageSender replies;
-  private String lastTouched = "";
+  private final ReplicaConfigurationVersions configurationVersions;
+  private final UnaryOperator<String> configurationNameOf;
+  private final MessageSender sender;
+  private String lastChangedKey = "";
 
-  private final UncommittedEntries undecided = new UncommittedEntries();
+  private final UncommittedEntries uncommittedEntries = new UncommittedEntries();
   private final SnapshotPages pages;
 
-  /** setNameOf tells which set a key belongs to: keys of one set change their replicas together. */
+  /**
+   * configurationNameOf tells which set a key belongs to: keys of one set change their replicas
+   * together.
+   */
   public LogReplicas(
-      Environment surroundings,
-      MessageSender replies,
+      Environment environment,
+      MessageSender sender,
       BiConsumer<String, LogEntry> whenCommitted,
       UnaryOperator<String> setNameOf) {
-    this.setNameOf = setNameOf;
-    this.surroundings = surroundings;
-    this.replies = replies;
-    this.whenCommitted = whenCommitted;
-    this.setNumbers = new ReplicaConfigurationVersions(surroundings);
-    this.pages = new SnapshotPages(copies, setNameOf);
+    this.configurationNameOf = setNameOf;
+    this.environment = environment;
+    this.sender = sender;
+    this.commitListener = whenCommitted;
+    this.configurationVersions = new ReplicaConfigurationVersions(environment);
+    this.pages = new SnapshotPages(replicas, setNameOf);
   }
 
-  public Map<String, LogReplica> copies() {
-    return copies;
+  public Map<String, LogReplica> replicas() {
+    return replicas;
   }
 
   /** What a checker of invariants may see of one key. */
   public record View(Epoch promised, List<LogEntry> committedEntries) {}
 
   /** The key of the last message taken, for a checker; empty before the first. */
-  public String lastTouched() {
-    return lastTouched;
+  public String lastChangedKey() {
+    return lastChangedKey;
   }
 
   public View view(String key) {
-    LogReplica copy = copies.get(key);
+    LogReplica replica = replicas.get(key);
     return new View(
-        copy.promised,
-        copy.entries.stream().filter(entry -> entry.sequence() <= copy.committed).toList());
+        replica.promisedEpoch,
+        replica.entries.stream()
+            .filter(entry -> entry.sequence() <= replica.committedSequence)
+            .toList());
   }
 
   /** Whether the entry stands here, or a whole entry after it does. */
   public boolean holds(String key, long sequence, Predicate<LogEntry> same) {
-    LogReplica copy = copies.get(key);
-    if (copy == null || copy.entries.isEmpty()) {
+    LogReplica replica = replicas.get(key);
+    if (replica == null || replica.entries.isEmpty()) {
       return false;
     }
-    LogEntry entry = copy.at(sequence);
-    return entry != null ? same.test(entry) : copy.entries.get(0).sequence() > sequence;
+    LogEntry entry = replica.entryAt(sequence);
+    return entry != null ? same.test(entry) : replica.entries.get(0).sequence() > sequence;
   }
 
-  public LogReplica copy(String key) {
-    lastTouched = key;
-    return copies.computeIfAbsent(key, missing -> new LogReplica());
+  public LogReplica replica(String key) {
+    lastChangedKey = key;
+    return replicas.computeIfAbsent(key, missing -> new LogReplica());
   }
 
   /** Replays one record of this node's log at start. */
   public void recover(LogRecord record) {
     if (record.kind() == Kind.SET) {
-      setNumbers.recover(record);
+      configurationVersions.recover(record);
       return;
     }
-    LogReplica copy = copy(record.key());
+    LogReplica replica = replica(record.key());
     switch (record.kind()) {
       case PROMISE -> {
-        if (copy.promised.below(record.epoch())) {
-          copy.promised = record.epoch();
+        if (replica.promisedEpoch.isBelow(record.epoch())) {
+          replica.promisedEpoch = record.epoch();
         }
       }
       case ENTRY ->
-          copy.place(
-              new LogEntry(record.sequence(), record.epoch(), record.whole(), record.payload()));
+          replica.put(
+              new LogEntry(record.sequence(), record.epoch(), record.snapshot(), record.payload()));
       case COMMITTED -> {
-        copy.committed = Math.max(copy.committed, Math.min(record.sequence(), copy.lastSequence()));
-        copy.trim();
+        replica.committedSequence =
+            Math.max(
+                replica.committedSequence, Math.min(record.sequence(), replica.lastSequence()));
+        replica.trim();
       }
       default -> {}
     }
   }
 
-  public void recovered() {
-    copies.forEach(this::announce);
-    undecided.recovered(copies);
+  public void finishRecovery() {
+    replicas.forEach(this::announce);
+    uncommittedEntries.recovered(replicas);
   }
 
   /** Another replica knows a committed event at this place: what stands up to there is decided. */
   public void committedElsewhere(String key, long sequence) {
-    undecided.committedElsewhere(key, sequence);
+    uncommittedEntries.committedElsewhere(key, sequence);
   }
 
   /** Whether the key may hold an event whose commit is not known; its leader decides that. */
-  public boolean undecided(String key) {
-    return undecided.contains(key, copies);
+  public boolean hasUncommittedEntries(String key) {
+    return uncommittedEntries.contains(key, replicas);
   }
 
-  public boolean anyUndecided(Predicate<String> keys) {
-    return undecided.containsAny(keys, copies);
+  public boolean anyUncommittedEntries(Predicate<String> keys) {
+    return uncommittedEntries.containsAny(keys, replicas);
   }
 
   /** Everything a new log needs in order to stand without the older segments. */
   public List<LogRecord> checkpoint() {
-    List<LogRecord> records = new ArrayList<>(setNumbers.records());
-    copies.forEach(
-        (key, copy) -> {
-          records.add(LogRecords.promise(key, copy.promised));
-          copy.entries.forEach(entry -> records.add(LogRecords.entry(key, entry)));
-          records.add(LogRecords.committed(key, copy.committed));
+    List<LogRecord> records = new ArrayList<>(configurationVersions.records());
+    replicas.forEach(
+        (key, replica) -> {
+          records.add(LogRecords.promise(key, replica.promisedEpoch));
+          replica.entries.forEach(entry -> records.add(LogRecords.entry(key, entry)));
+          records.add(LogRecords.committed(key, replica.committedSequence));
         });
     return records;
   }
@@ -156,95 +163,99 @@
    * Records that the set has this number, and with that refuses lower ones; the callback runs once
    * it is synced.
    */
-  public void learnSet(String name, long number, Runnable whenSynced) {
-    setNumbers.learn(name, number, whenSynced);
+  public void adoptConfiguration(String name, long number, Runnable whenSynced) {
+    configurationVersions.adopt(name, number, whenSynced);
   }
 
-  public long setNumber(String name) {
-    return setNumbers.get(name);
+  public long configurationVersion(String name) {
+    return configurationVersions.get(name);
   }
 
   /**
    * True if the message speaks of an older set than the one known here; a newer one is recorded at
    * once, and afterSync holds the reply back until that record is synced.
    */
-  private boolean oldSet(String key, long setNumber) {
-    return setNumbers.isOld(setNameOf.apply(key), setNumber);
+  private boolean isStaleConfiguration(String key, long setNumber) {
+    return configurationVersions.isStale(configurationNameOf.apply(key), setNumber);
   }
 
-  public void promise(VoteRequest message, String fromId, String fromAddress) {
-    if (!surroundings.takesWrites()) {
+  public void handleVoteRequest(VoteRequest message, String fromId, String fromAddress) {
+    if (!environment.acceptsWrites()) {
       return;
     }
-    if (message.trial()) {
-      replies.send(fromAddress, fromId, triedPromise(message));
+    if (message.preVote()) {
+      sender.send(fromAddress, fromId, preVoteResponse(message));
       return;
     }
-    LogReplica copy = copy(message.key());
-    if (oldSet(message.key(), message.setNumber())) {
-      replies.send(fromAddress, fromId, promised(message, copy, OLD_SET));
+    LogReplica replica = replica(message.key());
+    if (isStaleConfiguration(message.key(), message.configurationVersion())) {
+      sender.send(fromAddress, fromId, voteResponse(message, replica, STALE_CONFIGURATION));
       return;
     }
-    if (message.epoch().compareTo(copy.promised) <= 0) {
+    if (message.epoch().compareTo(replica.promisedEpoch) <= 0) {
       afterSync(
-          copy,
+          replica,
           List.of(),
-          () -> replies.send(fromAddress, fromId, promised(message, copy, REFUSED)));
+          () -> sender.send(fromAddress, fromId, voteResponse(message, replica, STALE_EPOCH)));
       return;
     }
-    if (keptForOwner(copy, message)) {
-      replies.send(fromAddress, fromId, promised(message, copy, BUSY));
+    if (isProtectedForLeader(replica, message)) {
+      sender.send(fromAddress, fromId, voteResponse(message, replica, LEADER_ALIVE));
       return;
     }
-    copy.promised = message.epoch();
-    heardClaimant(copy, message.epoch(), fromAddress);
+    replica.promisedEpoch = message.epoch();
+    noteCandidate(replica, message.epoch(), fromAddress);
     afterSync(
-        copy,
-        List.of(LogRecords.promise(message.key(), copy.promised)),
+        replica,
+        List.of(LogRecords.promise(message.key(), replica.promisedEpoch)),
         () -> {
-          boolean overtaken = message.epoch().below(copy.promised);
-          replies.send(fromAddress, fromId, promised(message, copy, overtaken ? REFUSED : OK));
+          boolean overtaken = message.epoch().isBelow(replica.promisedEpoch);
+          sender.send(
+              fromAddress, fromId, voteResponse(message, replica, overtaken ? STALE_EPOCH : OK));
         });
   }
 
   /** Another owner was heard within the takeover interval, and has not handed the key over. */
-  private boolean keptForOwner(LogReplica copy, VoteRequest message) {
-    return !ownerSilent(copy)
-        && !message.handedOver()
-        && !copy.owner.equals(message.epoch().node());
+  private boolean isProtectedForLeader(LogReplica replica, VoteRequest message) {
+    return !isLeaderSilent(replica)
+        && !message.leadershipTransferred()
+        && !replica.leaderId.equals(message.epoch().node());
   }
 
   /**
    * What a promise would meet here now; nothing is changed or written. The promised epoch is told,
    * so that the claimant's next is above it.
    */
-  private VoteResponse triedPromise(VoteRequest message) {
-    LogReplica known = copies.get(message.key());
-    LogReplica copy = known == null ? new LogReplica() : known;
-    boolean old = message.setNumber() < setNumber(setNameOf.apply(message.key()));
+  private VoteResponse preVoteResponse(VoteRequest message) {
+    LogReplica known = replicas.get(message.key());
+    LogReplica replica = known == null ? new LogReplica() : known;
+    boolean old =
+        message.configurationVersion()
+            < configurationVersion(configurationNameOf.apply(message.key()));
     if (old) {
-      return promised(message, copy, OLD_SET);
+      return voteResponse(message, replica, STALE_CONFIGURATION);
     }
-    return promised(message, copy, keptForOwner(copy, message) ? BUSY : WOULD_PROMISE);
+    return voteResponse(
+        message, replica, isProtectedForLeader(replica, message) ? LEADER_ALIVE : WOULD_GRANT);
   }
 
-  private VoteResponse promised(VoteRequest message, LogReplica copy, Verdict verdict) {
+  private VoteResponse voteResponse(VoteRequest message, LogReplica replica, Verdict verdict) {
     return new VoteResponse(
         message.key(),
         message.epoch(),
         verdict,
-        copy.promised,
-        copy.owner,
-        copy.ownerAddress,
-        copy.committed,
-        copy.entries.isEmpty() ? 0 : copy.entries.get(0).sequence(),
-        verdict == OK ? LogEntries.tail(copy.entries, message.tailBytesMost()) : List.of());
+        replica.promisedEpoch,
+        replica.leaderId,
+        replica.leaderAddress,
+        replica.committedSequence,
+        replica.entries.isEmpty() ? 0 : replica.entries.get(0).sequence(),
+        verdict == OK ? LogEntries.tail(replica.entries, message.maxTailBytes()) : List.of());
   }
 
-  private void heardClaimant(LogReplica copy, Epoch epoch, String address) {
-    copy.claimant = epoch.node();
-    copy.claimantAddress = address;
-    copy.heardClaimantAt = surroundings.now();
+  private void noteCandidate(LogReplica replica, Epoch epoch, String address) {
+    replica.candidateId = epoch.node();
+    replica.candidateAddress = address;
+    replica.candidateHeardAt = environment.nowMs();
   }
 
   /**
@@ -252,108 +263,124 @@
    * that holds another entry behind the part, as after a copy was taken in, is refused, so that no
    * log is put together of two.
    */
-  public void tellLog(LogFetchRequest message, String fromId, String fromAddress) {
-    LogReplica copy = copies.get(message.key());
-    if (copy == null || copy.promised.below(message.epoch())) {
+  public void handleLogFetchRequest(LogFetchRequest message, String fromId, String fromAddress) {
+    LogReplica replica = replicas.get(message.key());
+    if (replica == null || replica.promisedEpoch.isBelow(message.epoch())) {
       return;
     }
-    LogEntry next = copy.at(message.to() + 1);
+    LogEntry next = replica.entryAt(message.toSequence() + 1);
     boolean sameLog = next != null && next.epoch().equals(message.nextEpoch());
-    boolean overtaken = message.epoch().below(copy.promised) || !sameLog;
+    boolean overtaken = message.epoch().isBelow(replica.promisedEpoch) || !sameLog;
     if (!overtaken) {
-      heardClaimant(copy, message.epoch(), fromAddress);
+      noteCandidate(replica, message.epoch(), fromAddress);
     }
-    replies.send(
+    sender.send(
         fromAddress,
         fromId,
         new LogFetchResponse(
             message.key(),
             message.epoch(),
-            overtaken ? REFUSED : OK,
-            overtaken ? List.of() : LogEntries.part(copy.entries, message.from(), message.to())));
+            overtaken ? STALE_EPOCH : OK,
+            overtaken
+                ? List.of()
+                : LogEntries.slice(replica.entries, message.fromSequence(), message.toSequence())));
   }
 
   /** A claimant counts for as long as it would wait for promises, an owner until its takeover. */
-  public NodeAddress holder(LogReplica copy) {
-    long now = surroundings.now();
-    boolean claimed = now - copy.heardClaimantAt < ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
-    if (claimed && copy.heardClaimantAt > copy.heardOwnerAt) {
-      return new NodeAddress(copy.claimant, copy.claimantAddress);
+  public NodeAddress knownLeader(LogReplica replica) {
+    long now = environment.nowMs();
+    boolean claimed = now - replica.candidateHeardAt < ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
+    if (claimed && replica.candidateHeardAt > replica.leaderHeardAt) {
+      return new NodeAddress(replica.candidateId, replica.candidateAddress);
     }
-    return ownerSilent(copy) ? NodeAddress.NONE : new NodeAddress(copy.owner, copy.ownerAddress);
+    return isLeaderSilent(replica)
+        ? NodeAddress.NONE
+        : new NodeAddress(replica.leaderId, replica.leaderAddress);
   }
 
-  public void append(AppendRequest message, String fromId, String fromAddress) {
-    if (!surroundings.takesWrites()) {
+  public void handleAppendRequest(AppendRequest message, String fromId, String fromAddress) {
+    if (!environment.acceptsWrites()) {
       return;
     }
-    LogReplica copy = copy(message.key());
-    if (oldSet(message.key(), message.setNumber())) {
-      replies.send(fromAddress, fromId, appended(message, OLD_SET, copy.promised, 0));
+    LogReplica replica = replica(message.key());
+    if (isStaleConfiguration(message.key(), message.configurationVersion())) {
+      sender.send(
+          fromAddress,
+          fromId,
+          appendResponse(message, STALE_CONFIGURATION, replica.promisedEpoch, 0));
       return;
     }
-    if (message.epoch().below(copy.promised)) {
-      replies.send(fromAddress, fromId, appended(message, REFUSED, copy.promised, 0));
+    if (message.epoch().isBelow(replica.promisedEpoch)) {
+      sender.send(
+          fromAddress, fromId, appendResponse(message, STALE_EPOCH, replica.promisedEpoch, 0));
       return;
     }
     List<LogRecord> records = new ArrayList<>();
-    raisePromise(message.key(), copy, message.epoch(), records);
-    heardOwner(copy, message, fromAddress);
-    if (!follows(copy, message)) {
+    raisePromisedEpoch(message.key(), replica, message.epoch(), records);
+    noteLeader(replica, message, fromAddress);
+    if (!follows(replica, message)) {
       long previous = message.previousSequence();
-      long hint = previous > copy.lastSequence() ? copy.lastSequence() : copy.committed;
+      long hint =
+          previous > replica.lastSequence() ? replica.lastSequence() : replica.committedSequence;
       afterSync(
-          copy,
+          replica,
           records,
-          () -> replies.send(fromAddress, fromId, appended(message, BEHIND, copy.promised, hint)));
+          () ->
+              sender.send(
+                  fromAddress,
+                  fromId,
+                  appendResponse(message, LOG_MISMATCH, replica.promisedEpoch, hint)));
       return;
     }
-    placeNew(message.key(), copy, message.entries(), records);
+    putNewEntries(message.key(), replica, message.entries(), records);
     long matched = lastSequence(message);
     afterSync(
-        copy,
+        replica,
         records,
         () -> {
-          boolean overtaken = message.epoch().below(copy.promised);
-          Verdict verdict = overtaken ? REFUSED : OK;
-          replies.send(fromAddress, fromId, appended(message, verdict, copy.promised, matched));
+          boolean overtaken = message.epoch().isBelow(replica.promisedEpoch);
+          Verdict verdict = overtaken ? STALE_EPOCH : OK;
+          sender.send(
+              fromAddress,
+              fromId,
+              appendResponse(message, verdict, replica.promisedEpoch, matched));
         });
-    commit(message.key(), copy, Math.min(message.committed(), matched));
+    commit(message.key(), replica, Math.min(message.committedSequence(), matched));
   }
 
   /** Promises this epoch if it is higher than the one promised, and adds the record of that. */
-  private static void raisePromise(
-      String key, LogReplica copy, Epoch epoch, List<LogRecord> records) {
-    if (copy.promised.below(epoch)) {
-      copy.promised = epoch;
+  private static void raisePromisedEpoch(
+      String key, LogReplica replica, Epoch epoch, List<LogRecord> records) {
+    if (replica.promisedEpoch.isBelow(epoch)) {
+      replica.promisedEpoch = epoch;
       records.add(LogRecords.promise(key, epoch));
     }
   }
 
-  private void heardOwner(LogReplica copy, AppendRequest message, String fromAddress) {
-    copy.owner = message.epoch().node();
-    copy.ownerAddress = fromAddress;
+  private void noteLeader(LogReplica replica, AppendRequest message, String fromAddress) {
+    replica.leaderId = message.epoch().node();
+    replica.leaderAddress = fromAddress;
     // An owner that waits for this very disk is not cut off.
-    if (message.hearsMajority() || copy.unsynced > 0) {
-      copy.heardOwnerAt = surroundings.now();
+    if (message.inContactWithQuorum() || replica.unsyncedWrites > 0) {
+      replica.leaderHeardAt = environment.nowMs();
     }
   }
 
   /** Whether the entries of the message follow on what is held here. */
-  private static boolean follows(LogReplica copy, AppendRequest message) {
+  private static boolean follows(LogReplica replica, AppendRequest message) {
     if (message.previousSequence() == 0) {
-      return !message.entries().isEmpty() || copy.entries.isEmpty();
+      return !message.entries().isEmpty() || replica.entries.isEmpty();
     }
-    LogEntry predecessor = copy.at(message.previousSequence());
+    LogEntry predecessor = replica.entryAt(message.previousSequence());
     return predecessor != null && predecessor.epoch().equals(message.previousEpoch());
   }
 
   /** Places the entries that are not held yet, and adds their records. */
-  private static void placeNew(
-      String key, LogReplica copy, List<LogEntry> entries, List<LogRecord> records) {
+  private static void putNewEntries(
+      String key, LogReplica replica, List<LogEntry> entries, List<LogRecord> records) {
     for (LogEntry entry : entries) {
-      if (!copy.holdsAlready(entry)) {
-        copy.place(entry);
+      if (!replica.contains(entry)) {
+        replica.put(entry);
         records.add(LogRecords.entry(key, entry));
       }
     }
@@ -371,17 +398,17 @@
    * between the two must not leave a mark that covers a tail which those entries replace. No reply
    * speaks of the mark, so none waits for it.
    */
-  private void commit(String key, LogReplica copy, long committed) {
-    if (committed <= copy.committed) {
+  private void commit(String key, LogReplica replica, long committed) {
+    if (committed <= replica.committedSequence) {
       return;
     }
-    copy.committed = committed;
-    surroundings.write(List.of(LogRecords.committed(key, committed)), () -> {});
-    announce(key, copy);
-    copy.trim();
+    replica.committedSequence = committed;
+    environment.write(List.of(LogRecords.committed(key, committed)), () -> {});
+    announce(key, replica);
+    replica.trim();
   }
 
-  private AppendResponse appended(
+  private AppendResponse appendResponse(
       AppendRequest message, Verdict verdict, Epoch promised, long matched) {
     return new AppendResponse(
         message.key(), message.epoch(), message.round(), verdict, promised, matched);
@@ -391,22 +418,22 @@
    * No reply leaves before what it speaks of is synced, be it written by this message or an earlier
    * one.
    */
-  private void afterSync(LogReplica copy, List<LogRecord> records, Runnable reply) {
-    if (records.isEmpty() && copy.unsynced == 0 && setNumbers.synced()) {
+  private void afterSync(LogReplica replica, List<LogRecord> records, Runnable reply) {
+    if (records.isEmpty() && replica.unsyncedWrites == 0 && configurationVersions.synced()) {
       reply.run();
       return;
     }
-    copy.unsynced++;
-    surroundings.write(
+    replica.unsyncedWrites++;
+    environment.write(
         records,
         () -> {
-          copy.unsynced--;
+          replica.unsyncedWrites--;
           reply.run();
         });
   }
 
   /** Of the keys of a set after the given one, how far each is held here. */
-  Map<String, LogEndPosition> heldOf(String setName, String afterKey) {
+  Map<String, LogEndPosition> logEndsOf(String setName, String afterKey) {
     return pages.heldOf(setName, afterKey);
   }
 
@@ -414,7 +441,7 @@
    * The next keys of a set after the given one, up to a size; what a newcomer starts from. Of a log
    * that it holds a part of, the last entry of that part and what follows.
    */
-  List<ReplicaSnapshot> copiesOf(
+  List<ReplicaSnapshot> snapshotsOf(
       String setName, String afterKey, Map<String, LogEndPosition> held, int bytesMost) {
     return pages.copiesOf(setName, afterKey, held, bytesMost);
   }
@@ -425,35 +452,36 @@
    * False, and nothing is taken, if it is a part that does not follow on what is held here any
    * more.
    */
-  boolean absorb(ReplicaSnapshot other, Runnable whenSynced) {
-    LogReplica copy = copy(other.key());
+  boolean merge(ReplicaSnapshot other, Runnable whenSynced) {
+    LogReplica replica = replica(other.key());
     if (other.partial()) {
-      LogEntry shared = copy.at(other.entries().get(0).sequence());
+      LogEntry shared = replica.entryAt(other.entries().get(0).sequence());
       if (shared == null || !shared.epoch().equals(other.entries().get(0).epoch())) {
         return false;
       }
     }
     List<LogRecord> records = new ArrayList<>();
-    raisePromise(other.key(), copy, other.promised(), records);
-    if (ReplicatedLogLeader.newer(other.entries(), copy.entries)) {
-      placeNew(other.key(), copy, other.entries(), records);
+    raisePromisedEpoch(other.key(), replica, other.promised(), records);
+    if (ReplicatedLogLeader.isMoreUpToDate(other.entries(), replica.entries)) {
+      putNewEntries(other.key(), replica, other.entries(), records);
     }
-    long committed = Math.min(other.committed(), copy.lastSequence());
-    if (committed > copy.committed) {
-      copy.committed = committed;
+    long committed = Math.min(other.committed(), replica.lastSequence());
+    if (committed > replica.committedSequence) {
+      replica.committedSequence = committed;
       records.add(LogRecords.committed(other.key(), committed));
-      announce(other.key(), copy);
-      copy.trim();
+      announce(other.key(), replica);
+      replica.trim();
     }
-    afterSync(copy, records, whenSynced);
+    afterSync(replica, records, whenSynced);
     return true;
   }
 
-  private void announce(String key, LogReplica copy) {
-    for (LogEntry entry : List.copyOf(copy.entries)) {
-      if (entry.sequence() > copy.announced && entry.sequence() <= copy.committed) {
-        copy.announced = entry.sequence();
-        whenCommitted.accept(key, entry);
+  private void announce(String key, LogReplica replica) {
+    for (LogEntry entry : List.copyOf(replica.entries)) {
+      if (entry.sequence() > replica.announcedSequence
+          && entry.sequence() <= replica.committedSequence) {
+        replica.announcedSequence = entry.sequence();
+        commitListener.accept(key, entry);
       }
     }
   }
@@ -466,16 +494,16 @@
    * The owner's process said that it still owns the key; as good as a beat, unless another owner
    * was heard since.
    */
-  public void ownerLives(String key, String ownerId, String ownerAddress) {
-    LogReplica copy = copies.get(key);
-    if (copy != null && (copy.owner.isEmpty() || copy.owner.equals(ownerId))) {
-      copy.owner = ownerId;
-      copy.ownerAddress = ownerAddress;
-      copy.heardOwnerAt = surroundings.now();
+  public void noteLeaderContact(String key, String ownerId, String ownerAddress) {
+    LogReplica replica = replicas.get(key);
+    if (replica != null && (replica.leaderId.isEmpty() || replica.leaderId.equals(ownerId))) {
+      replica.leaderId = ownerId;
+      replica.leaderAddress = ownerAddress;
+      replica.leaderHeardAt = environment.nowMs();
     }
   }
 
-  public boolean ownerSilent(LogReplica copy) {
-    return surroundings.now() - copy.heardOwnerAt >= ReplicationConstants.LEADER_TIMEOUT_MS;
+  public boolean isLeaderSilent(LogReplica replica) {
+    return environment.nowMs() - replica.leaderHeardAt >= ReplicationConstants.LEADER_TIMEOUT_MS;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
@@ -20,7 +20,7 @@
  * kept: a slow link delays the claim and doesn't begin it anew.
  */
 final class LogTransfer {
-  private final Environment surroundings;
+  private final Environment environment;
   private final MessageSender sender;
   private final String key;
   private final Epoch epoch;
@@ -37,7 +37,7 @@
 
   /** tail: the last entries of the log, as the sources told them with their promises. */
   LogTransfer(
-      Environment surroundings,
+      Environment environment,
       MessageSender sender,
       String key,
       Epoch epoch,
@@ -46,7 +46,7 @@
       List<LogEntry> tail,
       Consumer<List<LogEntry>> whenWhole,
       Runnable whenFailed) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.sender = sender;
     this.key = key;
     this.epoch = epoch;
@@ -55,7 +55,7 @@
     this.whenWhole = whenWhole;
     this.whenFailed = whenFailed;
     nextSequence = logStart;
-    progressAt = surroundings.now();
+    progressAt = environment.nowMs();
     askOn();
   }
 
@@ -69,11 +69,11 @@
         source.address(),
         source.id(),
         new LogFetchRequest(key, epoch, nextSequence, tailStart() - 1, tail.get(0).epoch()));
-    retry = surroundings.after(waitMs, this::askAnother);
+    retry = environment.schedule(waitMs, this::askAnother);
   }
 
   private void askAnother() {
-    if (surroundings.now() - progressAt >= ReplicationConstants.LOG_TRANSFER_TIMEOUT_MS) {
+    if (environment.nowMs() - progressAt >= ReplicationConstants.LOG_TRANSFER_TIMEOUT_MS) {
       whenFailed.run();
       return;
     }
@@ -92,7 +92,7 @@
       return;
     }
     retry.cancel();
-    progressAt = surroundings.now();
+    progressAt = environment.nowMs();
     waitMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
     if (nextSequence < tailStart()) {
       askOn();
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -29,7 +29,7 @@
   /** A page of a set; last is empty on the last one. Claims come with the first. */
   public record Page(List<ReplicaSnapshot> keys, Map<String, String> claims, String last) {}
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final Node node;
   private final LogReplicas replicas;
 
@@ -39,19 +39,19 @@
   private final Function<String, String> setNameOfClaim;
 
   public ReplicaCatchUp(
-      Environment surroundings,
+      Environment environment,
       Node node,
       LogReplicas replicas,
       Map<String, String> claims,
       Function<String, String> setNameOfClaim) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.node = node;
     this.replicas = replicas;
     this.claims = claims;
     this.setNameOfClaim = setNameOfClaim;
   }
 
-  public void copyIn(
+  public void catchUp(
       String name,
       long number,
       List<NodeAddress> sources,
@@ -111,7 +111,7 @@
               next();
             }
           });
-      surroundings.after(
+      environment.schedule(
           ReplicationConstants.CATCH_UP_NEXT_SOURCE_DELAY_MS,
           () -> {
             if (begun == source + 1) {
@@ -131,18 +131,18 @@
     if (!stillPending.getAsBoolean()) {
       return;
     }
-    node.ask(
+    node.sendRequest(
         attempt -> new NodeAddress(source.id(), source.address()),
         "copy",
         name,
         JSON.createObjectNode()
             .put("setNumber", number)
             .put("after", after)
-            .set("held", JSON.valueToTree(replicas.heldOf(name, after))),
+            .set("held", JSON.valueToTree(replicas.logEndsOf(name, after))),
         PeerRequestConstants.REQUEST_TIMEOUT_MS,
         response -> {
-          if (!response.good()) {
-            surroundings.after(
+          if (!response.isSuccess()) {
+            environment.schedule(
                 ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS,
                 () -> copyPage(name, number, source, after, stillPending, whenDone));
             return;
@@ -152,39 +152,39 @@
               .forEach(
                   (id, token) -> {
                     if (claims.putIfAbsent(id, token) == null) {
-                      surroundings.write(List.of(onceRecord(id, token)), () -> {});
+                      environment.write(List.of(onceClaimRecord(id, token)), () -> {});
                     }
                   });
           boolean fits = true;
           for (ReplicaSnapshot copied : page.keys()) {
-            fits &= replicas.absorb(copied, () -> {});
+            fits &= replicas.merge(copied, () -> {});
           }
           if (!fits) {
-            surroundings.after(
+            environment.schedule(
                 ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
                 () -> copyPage(name, number, source, after, stillPending, whenDone));
           } else if (page.last().isEmpty()) {
-            surroundings.write(List.of(), whenDone);
+            environment.write(List.of(), whenDone);
           } else {
-            surroundings.after(
+            environment.schedule(
                 ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
                 () -> copyPage(name, number, source, page.last(), stillPending, whenDone));
           }
         });
   }
 
-  public void copyOut(PeerRequest ask) {
-    JsonNode body = Json.tree(ask.body());
+  public void servePage(PeerRequest request) {
+    JsonNode body = Json.tree(request.body());
     String after = body.path("after").asText();
-    replicas.learnSet(
-        ask.key(),
+    replicas.adoptConfiguration(
+        request.key(),
         body.path("setNumber").asLong(),
         () -> {
           Map<String, LogEndPosition> held =
               JSON.convertValue(body.path("held"), new TypeReference<>() {});
           List<ReplicaSnapshot> keys =
-              replicas.copiesOf(
-                  ask.key(),
+              replicas.snapshotsOf(
+                  request.key(),
                   after,
                   held == null ? Map.of() : held,
                   ReplicationConstants.MAX_CATCH_UP_PAGE_BYTES);
@@ -192,17 +192,17 @@
           if (after.isEmpty()) {
             claims.forEach(
                 (id, token) -> {
-                  if (setNameOfClaim.apply(id).equals(ask.key())) {
+                  if (setNameOfClaim.apply(id).equals(request.key())) {
                     ofSet.put(id, token);
                   }
                 });
           }
           String last = keys.isEmpty() ? "" : keys.get(keys.size() - 1).key();
-          node.respond(ask, Response.of(200, new Page(keys, ofSet, last)));
+          node.respond(request, Response.of(200, new Page(keys, ofSet, last)));
         });
   }
 
-  public static LogRecord onceRecord(String id, String token) {
+  public static LogRecord onceClaimRecord(String id, String token) {
     return new LogRecord(LogRecord.Kind.ONCE, id, new Epoch(0, token), 0, false, new byte[0]);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
@@ -15,7 +15,8 @@
  * needs a majority of the present set and one of the next; so neither an owner that has not heard
  * of the change nor one that is ahead of it can act on replicas that the other does not meet.
  */
-public record ReplicaConfiguration(long number, List<NodeAddress> present, List<NodeAddress> next) {
+public record ReplicaConfiguration(
+    long version, List<NodeAddress> current, List<NodeAddress> next) {
   public static final ReplicaConfiguration NONE = new ReplicaConfiguration(0, List.of(), List.of());
 
   /** The replicas of a shard. */
@@ -29,23 +30,23 @@
   }
 
   public boolean isEmpty() {
-    return present.isEmpty();
+    return current.isEmpty();
   }
 
-  boolean pending() {
+  boolean isChanging() {
     return !next.isEmpty();
   }
 
   /** Each replica of either set, once. */
-  public Collection<NodeAddress> all() {
+  public Collection<NodeAddress> allReplicas() {
     Map<String, NodeAddress> byId = new LinkedHashMap<>();
-    present.forEach(replica -> byId.put(replica.id(), replica));
+    current.forEach(replica -> byId.put(replica.id(), replica));
     next.forEach(replica -> byId.putIfAbsent(replica.id(), replica));
     return new ArrayList<>(byId.values());
   }
 
-  public boolean quorum(Collection<String> ids) {
-    return majority(present, ids) && (next.isEmpty() || majority(next, ids));
+  public boolean isQuorum(Collection<String> ids) {
+    return majority(current, ids) && (next.isEmpty() || majority(next, ids));
   }
 
   private static boolean majority(List<NodeAddress> set, Collection<String> ids) {
@@ -53,12 +54,12 @@
   }
 
   /** The highest value that a quorum has reached. */
-  long reached(ToLongFunction<String> valueOf) {
-    long ofPresent = reached(present, valueOf);
-    return next.isEmpty() ? ofPresent : Math.min(ofPresent, reached(next, valueOf));
+  long valueReachedByQuorum(ToLongFunction<String> valueOf) {
+    long ofPresent = valueReachedByQuorum(current, valueOf);
+    return next.isEmpty() ? ofPresent : Math.min(ofPresent, valueReachedByQuorum(next, valueOf));
   }
 
-  private static long reached(List<NodeAddress> set, ToLongFunction<String> valueOf) {
+  private static long valueReachedByQuorum(List<NodeAddress> set, ToLongFunction<String> valueOf) {
     long[] values =
         set.stream().mapToLong(replica -> valueOf.applyAsLong(replica.id())).sorted().toArray();
     return values[values.length - (set.size() / 2 + 1)];
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
@@ -12,7 +12,7 @@
  * with a lower one is refused; no reply leaves before each number known is synced.
  */
 final class ReplicaConfigurationVersions {
-  private final Environment surroundings;
+  private final Environment environment;
 
   /** By set name. */
   private final Map<String, Long> numbers = new TreeMap<>();
@@ -20,8 +20,8 @@
   /** How many numbers are recorded in memory and not yet synced. */
   private long unsynced;
 
-  ReplicaConfigurationVersions(Environment surroundings) {
-    this.surroundings = surroundings;
+  ReplicaConfigurationVersions(Environment environment) {
+    this.environment = environment;
   }
 
   /** Replays a record of this node's log. */
@@ -42,14 +42,14 @@
   }
 
   /** Records that the set has this number; the callback runs once that is synced. */
-  void learn(String name, long number, Runnable whenSynced) {
+  void adopt(String name, long number, Runnable whenSynced) {
     if (number <= get(name)) {
-      surroundings.write(List.of(), whenSynced);
+      environment.write(List.of(), whenSynced);
       return;
     }
     numbers.put(name, number);
     unsynced++;
-    surroundings.write(
+    environment.write(
         List.of(LogRecords.setNumber(name, number)),
         () -> {
           unsynced--;
@@ -58,10 +58,10 @@
   }
 
   /** True if this is an older number than the one known here; a newer one is recorded at once. */
-  boolean isOld(String name, long number) {
+  boolean isStale(String name, long number) {
     long known = get(name);
     if (number > known) {
-      learn(name, number, () -> {});
+      adopt(name, number, () -> {});
     }
     return number < known;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -1,10 +1,10 @@
 package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.protocol.Message.Verdict.BUSY;
+import static applespindle.corelogic.protocol.Message.Verdict.LEADER_ALIVE;
 import static applespindle.corelogic.protocol.Message.Verdict.OK;
-import static applespindle.corelogic.protocol.Message.Verdict.OLD_SET;
-import static applespindle.corelogic.protocol.Message.Verdict.REFUSED;
-import static applespindle.corelogic.protocol.Message.Verdict.WOULD_PROMISE;
+import static applespindle.corelogic.protocol.Message.Verdict.STALE_CONFIGURATION;
+import static applespindle.corelogic.protocol.Message.Verdict.STALE_EPOCH;
+import static applespindle.corelogic.protocol.Message.Verdict.WOULD_GRANT;
 
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.constants.ReplicationConstants;
@@ -37,9 +37,9 @@
 public final class ReplicatedLogLeader {
 
   enum LeadershipState {
-    CLAIMING,
-    SETTLING,
-    OWNED,
+    ELECTING,
+    ESTABLISHING,
+    LEADING,
     LOST
   }
 
@@ -47,23 +47,23 @@
     final NodeAddress replica;
 
     /** The replica has synced our log up to here. Never falls. */
-    long matched;
+    long matchedSequence;
 
     /**
      * The next sequence to send; may run ahead of matched, falls back when the replica is behind.
      */
-    long next = 1;
+    long nextSequence = 1;
 
-    long heardRound;
-    boolean heardSinceBeat;
+    long lastAnsweredRound;
+    boolean heardSinceHeartbeat;
 
     /** Beats since the replica last showed that it hears this owner. */
-    int silentBeats;
+    int silentHeartbeats;
 
     /** How far the replica was last told that entries are committed, and beats since. */
-    long toldCommitted = -1;
+    long notifiedCommittedSequence = -1;
 
-    int beatsSince;
+    int heartbeatsSinceNotified;
 
     final InFlightAppends inFlight = new InFlightAppends();
 
@@ -80,16 +80,16 @@
   private static final Runnable NO_EFFECT = () -> {};
   private static final String PART = "owned-key";
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final String nodeId;
   private final MessageSender sender;
   public final String key;
 
   /** Replaced only by one of a higher number. */
-  private ReplicaConfiguration sets;
+  private ReplicaConfiguration replicaConfiguration;
 
-  private final Map<String, FollowerProgress> progress = new LinkedHashMap<>();
-  private final boolean handedOver;
+  private final Map<String, FollowerProgress> followers = new LinkedHashMap<>();
+  private final boolean leadershipTransferred;
 
   /**
    * Replicas hear by other ways that this owner lives: one that lacks nothing gets a beat only now
@@ -97,38 +97,38 @@
    */
   private final boolean quietWhenIdle;
 
-  private long claimExpiresAt;
+  private long electionExpiresAt;
 
   /** Of the claim; its rounds are marked when they end. */
-  private final StageTimer claimTrace;
+  private final StageTimer electionTimer;
 
-  private int claimRounds;
+  private int electionRounds;
 
   /** Of a claim that has its promises and reads a long log; else null. */
   private LogTransfer transfer;
 
-  private Consumer<ElectionOutcome> whenClaimed;
-  private Runnable whenLost = () -> {};
+  private Consumer<ElectionOutcome> electionListener;
+  private Runnable leadershipLostListener = () -> {};
 
-  private LeadershipState state = LeadershipState.CLAIMING;
+  private LeadershipState state = LeadershipState.ELECTING;
 
   /** Rises with each claim round; never used again once refused. */
   private Epoch epoch;
 
-  private long seenCounter;
+  private long highestSeenCounter;
 
   /** Whether the present claim round only asks if a majority would promise. */
-  private boolean trial;
+  private boolean preVote;
 
-  private final Map<String, VoteResponse> promises = new LinkedHashMap<>();
+  private final Map<String, VoteResponse> votes = new LinkedHashMap<>();
 
   /** Our log: contiguous; nothing before the takeover entry changes after the claim. */
   private final List<LogEntry> entries = new ArrayList<>();
 
-  private long takeoverSequence;
+  private long firstOwnSequence;
 
   /** Highest sequence synced on a majority in our own epoch. Never falls. */
-  private long committed;
+  private long committedSequence;
 
   private long round;
 
@@ -137,43 +137,45 @@
    * this node leads, every committed entry is applied exactly once and in log order, however long
    * its commit takes; only a caller's wait for it has a time limit.
    */
-  private final ArrayDeque<PendingApply> waitingToApply = new ArrayDeque<>();
+  private final ArrayDeque<PendingApply> pendingApplies = new ArrayDeque<>();
 
-  private final ArrayDeque<PendingCommit> waitingForCommit = new ArrayDeque<>();
-  private final ArrayDeque<PendingCommit> waitingForRound = new ArrayDeque<>();
-  private boolean flushPlanned;
-  private ScheduledTask beat = () -> {};
-  private ScheduledTask claimRound = () -> {};
+  private final ArrayDeque<PendingCommit> pendingCommits = new ArrayDeque<>();
+  private final ArrayDeque<PendingCommit> pendingConfirmations = new ArrayDeque<>();
+  private boolean flushScheduled;
+  private ScheduledTask heartbeat = () -> {};
+  private ScheduledTask electionRound = () -> {};
 
   ReplicatedLogLeader(
-      Environment surroundings,
+      Environment environment,
       String nodeId,
       MessageSender sender,
       String key,
-      ReplicaConfiguration sets,
+      ReplicaConfiguration replicaConfiguration,
       boolean handedOver,
       boolean quietWhenIdle,
       Consumer<ElectionOutcome> whenClaimed) {
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.nodeId = nodeId;
     this.sender = sender;
     this.key = key;
-    this.handedOver = handedOver;
+    this.leadershipTransferred = handedOver;
     this.quietWhenIdle = quietWhenIdle;
-    this.whenClaimed = whenClaimed;
-    this.claimExpiresAt = surroundings.now() + ReplicationConstants.ELECTION_TIMEOUT_MS;
-    this.sets = sets;
-    claimTrace = new StageTimer(surroundings);
-    sets.all().forEach(replica -> progress.put(replica.id(), new FollowerProgress(replica)));
-    trialRound();
+    this.electionListener = whenClaimed;
+    this.electionExpiresAt = environment.nowMs() + ReplicationConstants.ELECTION_TIMEOUT_MS;
+    this.replicaConfiguration = replicaConfiguration;
+    electionTimer = new StageTimer(environment);
+    replicaConfiguration
+        .allReplicas()
+        .forEach(replica -> followers.put(replica.id(), new FollowerProgress(replica)));
+    startPreVoteRound();
   }
 
   LeadershipState state() {
     return state;
   }
 
-  public boolean owned() {
-    return state == LeadershipState.OWNED;
+  public boolean isLeading() {
+    return state == LeadershipState.LEADING;
   }
 
   public Epoch epoch() {
@@ -189,54 +191,54 @@
   }
 
   /** A replica's process showed, other than by an answer to an append, that it hears this one. */
-  public void heardBy(String replicaId) {
-    FollowerProgress each = progress.get(replicaId);
+  public void noteContact(String replicaId) {
+    FollowerProgress each = followers.get(replicaId);
     if (each != null) {
-      each.silentBeats = 0;
+      each.silentHeartbeats = 0;
     }
   }
 
   /** Whether a majority of the replicas has heard this owner of late. */
-  public boolean hearsMajority() {
-    return majorityHeardWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
+  public boolean isInContactWithQuorum() {
+    return quorumHeardWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
   }
 
   /**
    * Counted in beats, not read from a clock: a process that stood still, or whose clock was
    * stepped, is not cut off.
    */
-  private boolean majorityHeardWithin(long millis) {
+  private boolean quorumHeardWithin(long millis) {
     long beatsMost = millis / ReplicationConstants.HEARTBEAT_INTERVAL_MS;
     List<String> heard =
-        progress.values().stream()
-            .filter(each -> each.silentBeats < beatsMost || each.replica.id().equals(nodeId))
+        followers.values().stream()
+            .filter(each -> each.silentHeartbeats < beatsMost || each.replica.id().equals(nodeId))
             .map(each -> each.replica.id())
             .toList();
-    return sets.quorum(heard);
+    return replicaConfiguration.isQuorum(heard);
   }
 
-  public void whenLost(Runnable whenLost) {
-    this.whenLost = whenLost;
+  public void onLeadershipLost(Runnable whenLost) {
+    this.leadershipLostListener = whenLost;
   }
 
   /**
    * Goes on under newer sets: newcomers get the log from its start, those that left are no longer
    * counted.
    */
-  public void changeSets(ReplicaConfiguration newer) {
-    if (newer.number() <= sets.number() || state == LeadershipState.LOST) {
+  public void reconfigure(ReplicaConfiguration newer) {
+    if (newer.version() <= replicaConfiguration.version() || state == LeadershipState.LOST) {
       return;
     }
-    sets = newer;
-    Map<String, FollowerProgress> before = new LinkedHashMap<>(progress);
-    progress.clear();
-    for (NodeAddress replica : newer.all()) {
+    replicaConfiguration = newer;
+    Map<String, FollowerProgress> before = new LinkedHashMap<>(followers);
+    followers.clear();
+    for (NodeAddress replica : newer.allReplicas()) {
       FollowerProgress known = before.get(replica.id());
-      progress.put(replica.id(), known != null ? known : new FollowerProgress(replica));
+      followers.put(replica.id(), known != null ? known : new FollowerProgress(replica));
     }
-    if (state == LeadershipState.CLAIMING) {
-      claimRound.cancel();
-      trialRound();
+    if (state == LeadershipState.ELECTING) {
+      electionRound.cancel();
+      startPreVoteRound();
     } else {
       advance();
       planFlush();
@@ -247,86 +249,87 @@
    * Asks first whether a majority would promise: a claimant that has none, or that comes while the
    * owner lives, raises no epoch and disturbs nobody.
    */
-  private void trialRound() {
-    claimRound(true);
+  private void startPreVoteRound() {
+    startElectionRound(true);
   }
 
-  private void claimRound(boolean onlyTrial) {
-    if (state != LeadershipState.CLAIMING) {
+  private void startElectionRound(boolean onlyTrial) {
+    if (state != LeadershipState.ELECTING) {
       return;
     }
-    if (surroundings.now() >= claimExpiresAt || sets.isEmpty()) {
-      finishClaim(new ElectionOutcome(ElectionResult.NO_MAJORITY, "", ""));
+    if (environment.nowMs() >= electionExpiresAt || replicaConfiguration.isEmpty()) {
+      finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", ""));
       return;
     }
-    claimRounds++;
-    promises.clear();
+    electionRounds++;
+    votes.clear();
     cancelTransfer();
-    trial = onlyTrial;
-    epoch = new Epoch(seenCounter + 1, nodeId);
-    seenCounter = epoch.counter();
-    for (FollowerProgress each : progress.values()) {
+    preVote = onlyTrial;
+    epoch = new Epoch(highestSeenCounter + 1, nodeId);
+    highestSeenCounter = epoch.counter();
+    for (FollowerProgress each : followers.values()) {
       sender.send(
           each.replica.address(),
           each.replica.id(),
           new VoteRequest(
               key,
               epoch,
-              sets.number(),
-              handedOver,
+              replicaConfiguration.version(),
+              leadershipTransferred,
               ReplicationConstants.MAX_VOTE_TAIL_BYTES,
-              trial));
+              preVote));
     }
-    claimRound =
-        surroundings.after(ReplicationConstants.ELECTION_ROUND_TIMEOUT_MS, this::trialRound);
+    electionRound =
+        environment.schedule(
+            ReplicationConstants.ELECTION_ROUND_TIMEOUT_MS, this::startPreVoteRound);
   }
 
-  void promised(VoteResponse message, String fromId) {
-    seenCounter = Math.max(seenCounter, message.promised().counter());
-    if (state != LeadershipState.CLAIMING
-        || !message.asked().equals(epoch)
-        || !progress.containsKey(fromId)
-        || message.verdict() == WOULD_PROMISE && !trial) {
+  void handleVoteResponse(VoteResponse message, String fromId) {
+    highestSeenCounter = Math.max(highestSeenCounter, message.promisedEpoch().counter());
+    if (state != LeadershipState.ELECTING
+        || !message.requestedEpoch().equals(epoch)
+        || !followers.containsKey(fromId)
+        || message.verdict() == WOULD_GRANT && !preVote) {
       return;
     }
-    promises.put(fromId, message);
+    votes.put(fromId, message);
     if (transfer != null) {
       return;
     }
-    if (sets.quorum(inFavour(true))) {
-      claimRound.cancel();
-      claimTrace.mark(trial ? "trial" : "promise");
-      if (trial) {
-        claimRound(false);
+    if (replicaConfiguration.isQuorum(votersFor(true))) {
+      electionRound.cancel();
+      electionTimer.mark(preVote ? "trial" : "promise");
+      if (preVote) {
+        startElectionRound(false);
       } else {
-        readBestLog();
+        adoptMostRecentLog();
       }
       return;
     }
-    Set<String> stillPossible = new HashSet<>(progress.keySet());
-    stillPossible.removeAll(inFavour(false));
-    if (!sets.quorum(stillPossible)) {
-      var busy = promises.values().stream().filter(each -> each.verdict() == BUSY).findFirst();
+    Set<String> stillPossible = new HashSet<>(followers.keySet());
+    stillPossible.removeAll(votersFor(false));
+    if (!replicaConfiguration.isQuorum(stillPossible)) {
+      var busy = votes.values().stream().filter(each -> each.verdict() == LEADER_ALIVE).findFirst();
       if (busy.isPresent()) {
-        finishClaim(
+        finishElection(
             new ElectionOutcome(
-                ElectionResult.BUSY, busy.get().owner(), busy.get().ownerAddress()));
+                ElectionResult.LEADER_ALIVE, busy.get().leaderId(), busy.get().leaderAddress()));
       } else {
-        claimRound.cancel();
-        claimRound =
-            surroundings.after(
-                1 + surroundings.random().nextLong(ReplicationConstants.MAX_ELECTION_BACKOFF_MS),
-                this::trialRound);
+        electionRound.cancel();
+        electionRound =
+            environment.schedule(
+                1 + environment.random().nextLong(ReplicationConstants.MAX_ELECTION_BACKOFF_MS),
+                this::startPreVoteRound);
       }
     }
   }
 
   /** Replicas that answered this round, for the claim or against it. */
-  private Set<String> inFavour(boolean wanted) {
+  private Set<String> votersFor(boolean wanted) {
     Set<String> ids = new HashSet<>();
-    promises.forEach(
+    votes.forEach(
         (id, promise) -> {
-          boolean favours = promise.verdict() == OK || promise.verdict() == WOULD_PROMISE;
+          boolean favours = promise.verdict() == OK || promise.verdict() == WOULD_GRANT;
           if (favours == wanted) {
             ids.add(id);
           }
@@ -334,49 +337,50 @@
     return ids;
   }
 
-  private void readBestLog() {
+  private void adoptMostRecentLog() {
     VoteResponse best = null;
-    for (VoteResponse each : promises.values()) {
-      if (each.verdict() == OK && (best == null || newer(each.entries(), best.entries()))) {
+    for (VoteResponse each : votes.values()) {
+      if (each.verdict() == OK
+          && (best == null || isMoreUpToDate(each.entries(), best.entries()))) {
         best = each;
       }
     }
-    if (best.wholeLog()) {
-      takeOver(best.entries());
+    if (best.isCompleteLog()) {
+      assumeLeadership(best.entries());
       return;
     }
     transfer =
         new LogTransfer(
-            surroundings,
+            environment,
             sender,
             key,
             epoch,
-            withTheLogOf(best),
-            best.logStart(),
+            replicasWithLogOf(best),
+            best.logStartSequence(),
             best.entries(),
             log -> {
-              claimExpiresAt = surroundings.now() + ReplicationConstants.ELECTION_TIMEOUT_MS;
+              electionExpiresAt = environment.nowMs() + ReplicationConstants.ELECTION_TIMEOUT_MS;
               transfer = null;
-              takeOver(log);
+              assumeLeadership(log);
             },
-            () -> finishClaim(new ElectionOutcome(ElectionResult.NO_MAJORITY, "", "")));
+            () -> finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", "")));
   }
 
   /** Those of the promising replicas whose log ends with the same entry. */
-  private List<NodeAddress> withTheLogOf(VoteResponse best) {
-    return progress.values().stream()
+  private List<NodeAddress> replicasWithLogOf(VoteResponse best) {
+    return followers.values().stream()
         .map(each -> each.replica)
         .filter(
             replica -> {
-              VoteResponse promise = promises.get(replica.id());
+              VoteResponse promise = votes.get(replica.id());
               return promise != null
                   && promise.verdict() == OK
-                  && !newer(best.entries(), promise.entries());
+                  && !isMoreUpToDate(best.entries(), promise.entries());
             })
         .toList();
   }
 
-  void logPart(LogFetchResponse part) {
+  void handleLogFetchResponse(LogFetchResponse part) {
     if (transfer != null && part.epoch().equals(epoch)) {
       transfer.take(part);
     }
@@ -389,39 +393,42 @@
     }
   }
 
-  private void takeOver(List<LogEntry> log) {
+  private void assumeLeadership(List<LogEntry> log) {
     entries.addAll(log);
-    takeoverSequence = lastSequence() + 1;
-    entries.add(new LogEntry(takeoverSequence, epoch, false, new byte[0]));
-    for (FollowerProgress each : progress.values()) {
-      VoteResponse promise = promises.get(each.replica.id());
+    firstOwnSequence = lastSequence() + 1;
+    entries.add(new LogEntry(firstOwnSequence, epoch, false, new byte[0]));
+    for (FollowerProgress each : followers.values()) {
+      VoteResponse promise = votes.get(each.replica.id());
       boolean known = promise != null && promise.verdict() == OK;
-      each.next =
-          known ? Math.min(lastOf(promise.entries()), takeoverSequence - 1) + 1 : takeoverSequence;
+      each.nextSequence =
+          known
+              ? Math.min(lastSequenceOf(promise.entries()), firstOwnSequence - 1) + 1
+              : firstOwnSequence;
     }
-    state = LeadershipState.SETTLING;
-    waitingForCommit.add(
+    state = LeadershipState.ESTABLISHING;
+    pendingCommits.add(
         new PendingCommit(
-            takeoverSequence,
-            claimExpiresAt,
-            fault -> {
-              if (fault == null) {
-                state = LeadershipState.OWNED;
-                finishClaim(new ElectionOutcome(ElectionResult.OWNED, nodeId, ""));
+            firstOwnSequence,
+            electionExpiresAt,
+            error -> {
+              if (error == null) {
+                state = LeadershipState.LEADING;
+                finishElection(new ElectionOutcome(ElectionResult.ELECTED, nodeId, ""));
               } else {
-                stop();
-                finishClaim(new ElectionOutcome(ElectionResult.NO_MAJORITY, "", ""));
+                resign();
+                finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", ""));
               }
             }));
     broadcast();
-    beat = surroundings.after(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::beat);
+    heartbeat =
+        environment.schedule(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
   }
 
   /**
    * Whose log is to be believed: the one whose last entry has the higher epoch, then the higher
    * sequence.
    */
-  static boolean newer(List<LogEntry> one, List<LogEntry> other) {
+  static boolean isMoreUpToDate(List<LogEntry> one, List<LogEntry> other) {
     if (one.isEmpty() || other.isEmpty()) {
       return !one.isEmpty();
     }
@@ -431,27 +438,27 @@
     return byEpoch != 0 ? byEpoch > 0 : lastOne.sequence() > lastOther.sequence();
   }
 
-  private static long lastOf(List<LogEntry> entries) {
+  private static long lastSequenceOf(List<LogEntry> entries) {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
-  private void finishClaim(ElectionOutcome outcome) {
-    claimTrace.mark("settle");
-    surroundings.log(
+  private void finishElection(ElectionOutcome outcome) {
+    electionTimer.mark("settle");
+    environment.log(
         PART,
         "Claim ended: key="
             + key
             + " outcome="
-            + outcome.claim()
+            + outcome.result()
             + " rounds="
-            + claimRounds
-            + claimTrace
+            + electionRounds
+            + electionTimer
             + ".");
-    if (outcome.claim() != ElectionResult.OWNED) {
-      stop();
+    if (outcome.result() != ElectionResult.ELECTED) {
+      resign();
     }
-    Consumer<ElectionOutcome> listener = whenClaimed;
-    whenClaimed = ignored -> {};
+    Consumer<ElectionOutcome> listener = electionListener;
+    electionListener = ignored -> {};
     listener.accept(outcome);
   }
 
@@ -466,7 +473,7 @@
   /**
    * Appends an event.
    *
-   * @param whenCommitted applies the event: runs once a majority has synced the entry, after those
+   * @param commitListener applies the event: runs once a majority has synced the entry, after those
    *     of all earlier entries; without a time limit, but never after the leadership was lost
    * @param then answers the caller: gets null right after that, or a fault when the wait was too
    *     long or the leadership was lost. {@link ApiError.OutcomeUnknown} does not mean that the
@@ -474,16 +481,18 @@
    * @return the entry's sequence, or 0 if this node does not lead
    */
   public long append(boolean whole, byte[] event, Runnable whenCommitted, Consumer<ApiError> then) {
-    if (state != LeadershipState.OWNED) {
+    if (state != LeadershipState.LEADING) {
       then.accept(new ApiError.NotLeader(key));
       return 0;
     }
     long sequence = lastSequence() + 1;
     entries.add(new LogEntry(sequence, epoch, whole, event));
-    waitingToApply.add(new PendingApply(sequence, whenCommitted));
+    pendingApplies.add(new PendingApply(sequence, whenCommitted));
     long expiresAt =
-        surroundings.now() + ReplicationConstants.COMMIT_TIMEOUT_MS + toAllReplicasMs(event.length);
-    waitingForCommit.add(new PendingCommit(sequence, expiresAt, then));
+        environment.nowMs()
+            + ReplicationConstants.COMMIT_TIMEOUT_MS
+            + toAllReplicasMs(event.length);
+    pendingCommits.add(new PendingCommit(sequence, expiresAt, then));
     planFlush();
     return sequence;
   }
@@ -492,8 +501,8 @@
    * Runs the callback with null once all that was appended before is committed and a majority has
    * confirmed, after this call, that our epoch still stands.
    */
-  public void confirm(Consumer<ApiError> then) {
-    confirm(true, then);
+  public void confirmLeadership(Consumer<ApiError> then) {
+    confirmLeadership(true, then);
   }
 
   /**
@@ -501,59 +510,59 @@
    * own.
    */
   public void confirmAtBeat(Consumer<ApiError> then) {
-    confirm(false, then);
+    confirmLeadership(false, then);
   }
 
-  private void confirm(boolean atOnce, Consumer<ApiError> then) {
-    if (state != LeadershipState.OWNED) {
+  private void confirmLeadership(boolean atOnce, Consumer<ApiError> then) {
+    if (state != LeadershipState.LEADING) {
       then.accept(new ApiError.NotLeader(key));
       return;
     }
-    if (lastSequence() > committed) {
-      waitingForCommit.add(
+    if (lastSequence() > committedSequence) {
+      pendingCommits.add(
           new PendingCommit(
               lastSequence(),
-              surroundings.now() + ReplicationConstants.COMMIT_TIMEOUT_MS,
-              fault -> {
-                if (fault == null) {
-                  confirm(atOnce, then);
+              environment.nowMs() + ReplicationConstants.COMMIT_TIMEOUT_MS,
+              error -> {
+                if (error == null) {
+                  confirmLeadership(atOnce, then);
                 } else {
-                  then.accept(fault);
+                  then.accept(error);
                 }
               }));
       return;
     }
-    waitingForRound.add(
+    pendingConfirmations.add(
         new PendingCommit(
-            round + 1, surroundings.now() + ReplicationConstants.COMMIT_TIMEOUT_MS, then));
+            round + 1, environment.nowMs() + ReplicationConstants.COMMIT_TIMEOUT_MS, then));
     if (atOnce) {
       planFlush();
     }
   }
 
   private void planFlush() {
-    if (!flushPlanned) {
-      flushPlanned = true;
-      surroundings.after(
+    if (!flushScheduled) {
+      flushScheduled = true;
+      environment.schedule(
           0,
           () -> {
-            flushPlanned = false;
+            flushScheduled = false;
             broadcast();
           });
     }
   }
 
   private void broadcast() {
-    if (state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
+    if (state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
       return;
     }
     round++;
-    progress.values().forEach(this::sendTo);
+    followers.values().forEach(this::sendTo);
   }
 
   private void sendTo(FollowerProgress each) {
     long first = entries.get(0).sequence();
-    long from = each.next < first || each.next == 1 ? first : each.next;
+    long from = each.nextSequence < first || each.nextSequence == 1 ? first : each.nextSequence;
     List<LogEntry> lacking =
         from > lastSequence()
             ? List.of()
@@ -561,13 +570,13 @@
     long previous = from == first ? 0 : from - 1;
     Epoch previousEpoch =
         from == first ? Epoch.NONE : entries.get((int) (from - 1 - first)).epoch();
-    each.next = lastSequence() + 1;
-    each.toldCommitted = committed;
-    each.beatsSince = 0;
+    each.nextSequence = lastSequence() + 1;
+    each.notifiedCommittedSequence = committedSequence;
+    each.heartbeatsSinceNotified = 0;
     long bytes = lacking.stream().mapToLong(entry -> entry.event().length).sum();
     if (bytes >= ReplicationConstants.LARGE_APPEND_BYTES) {
       long until =
-          surroundings.now() + ReplicationConstants.LARGE_APPEND_MIN_MS + toAllReplicasMs(bytes);
+          environment.nowMs() + ReplicationConstants.LARGE_APPEND_MIN_MS + toAllReplicasMs(bytes);
       each.inFlight.add(from, lastSequence(), until);
     }
     sender.send(
@@ -576,64 +585,66 @@
         new AppendRequest(
             key,
             epoch,
-            sets.number(),
+            replicaConfiguration.version(),
             round,
             previous,
             previousEpoch,
-            committed,
-            hearsMajority(),
+            committedSequence,
+            isInContactWithQuorum(),
             lacking));
   }
 
-  public void appended(AppendResponse message, String fromId) {
-    FollowerProgress from = progress.get(fromId);
-    if (from == null || state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
+  public void handleAppendResponse(AppendResponse message, String fromId) {
+    FollowerProgress from = followers.get(fromId);
+    if (from == null || state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
       return;
     }
-    if (message.verdict() == REFUSED && epoch.below(message.promised())) {
-      lose();
+    if (message.verdict() == STALE_EPOCH && epoch.isBelow(message.promisedEpoch())) {
+      loseLeadership();
       return;
     }
-    if (!message.epoch().equals(epoch) || message.verdict() == OLD_SET) {
+    if (!message.epoch().equals(epoch) || message.verdict() == STALE_CONFIGURATION) {
       return;
     }
-    from.heardSinceBeat = true;
-    from.silentBeats = 0;
-    from.heardRound = Math.max(from.heardRound, message.round());
+    from.heardSinceHeartbeat = true;
+    from.silentHeartbeats = 0;
+    from.lastAnsweredRound = Math.max(from.lastAnsweredRound, message.round());
     if (message.verdict() == OK) {
-      from.matched = Math.max(from.matched, message.matched());
-      from.next = Math.max(from.next, from.matched + 1);
-      from.inFlight.arrived(from.matched);
-    } else if (!onItsWay(from, message.matched() + 1)) {
-      from.next = Math.max(1, Math.min(message.matched() + 1, lastSequence()));
+      from.matchedSequence = Math.max(from.matchedSequence, message.matchedSequence());
+      from.nextSequence = Math.max(from.nextSequence, from.matchedSequence + 1);
+      from.inFlight.arrived(from.matchedSequence);
+    } else if (!onItsWay(from, message.matchedSequence() + 1)) {
+      from.nextSequence = Math.max(1, Math.min(message.matchedSequence() + 1, lastSequence()));
       sendTo(from);
     }
     advance();
   }
 
   private boolean onItsWay(FollowerProgress each, long sequence) {
-    return each.inFlight.holds(sequence, surroundings.now());
+    return each.inFlight.holds(sequence, environment.nowMs());
   }
 
   /** How long it takes at the most, on a slow link that they share, to send so much to each. */
   private long toAllReplicasMs(long bytes) {
-    return bytes * progress.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
+    return bytes * followers.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
   }
 
   private void advance() {
-    long majorityMatched = sets.reached(id -> progress.get(id).matched);
-    if (majorityMatched >= takeoverSequence && majorityMatched > committed) {
-      committed = majorityMatched;
-      LogReplicas.trim(entries, committed);
+    long majorityMatched =
+        replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).matchedSequence);
+    if (majorityMatched >= firstOwnSequence && majorityMatched > committedSequence) {
+      committedSequence = majorityMatched;
+      LogReplicas.trim(entries, committedSequence);
       planFlush();
     }
     answerCommitted();
     if (state == LeadershipState.LOST) {
       return;
     }
-    long majorityRound = sets.reached(id -> progress.get(id).heardRound);
-    while (!waitingForRound.isEmpty() && waitingForRound.peek().mark() <= majorityRound) {
-      waitingForRound.poll().then().accept(null);
+    long majorityRound =
+        replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).lastAnsweredRound);
+    while (!pendingConfirmations.isEmpty() && pendingConfirmations.peek().mark() <= majorityRound) {
+      pendingConfirmations.poll().then().accept(null);
       if (state == LeadershipState.LOST) {
         return;
       }
@@ -645,87 +656,91 @@
    */
   private void answerCommitted() {
     while (state != LeadershipState.LOST) {
-      if (!waitingToApply.isEmpty()
-          && waitingToApply.peek().sequence() <= committed
-          && (waitingForCommit.isEmpty()
-              || waitingToApply.peek().sequence() <= waitingForCommit.peek().mark())) {
-        waitingToApply.poll().whenCommitted().run();
-      } else if (!waitingForCommit.isEmpty() && waitingForCommit.peek().mark() <= committed) {
-        waitingForCommit.poll().then().accept(null);
+      if (!pendingApplies.isEmpty()
+          && pendingApplies.peek().sequence() <= committedSequence
+          && (pendingCommits.isEmpty()
+              || pendingApplies.peek().sequence() <= pendingCommits.peek().mark())) {
+        pendingApplies.poll().whenCommitted().run();
+      } else if (!pendingCommits.isEmpty() && pendingCommits.peek().mark() <= committedSequence) {
+        pendingCommits.poll().then().accept(null);
       } else {
         return;
       }
     }
   }
 
-  private void beat() {
-    if (state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
+  private void sendHeartbeats() {
+    if (state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
       return;
     }
-    expire(waitingForCommit, new ApiError.OutcomeUnknown(key));
-    expire(waitingForRound, new ApiError.NoQuorum(key));
-    if (state != LeadershipState.OWNED && state != LeadershipState.SETTLING) {
+    expire(pendingCommits, new ApiError.OutcomeUnknown(key));
+    expire(pendingConfirmations, new ApiError.NoQuorum(key));
+    if (state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
       return;
     }
-    for (FollowerProgress each : progress.values()) {
-      if (!each.heardSinceBeat && !onItsWay(each, each.matched + 1)) {
-        each.next = each.matched + 1;
+    for (FollowerProgress each : followers.values()) {
+      if (!each.heardSinceHeartbeat && !onItsWay(each, each.matchedSequence + 1)) {
+        each.nextSequence = each.matchedSequence + 1;
       }
-      each.heardSinceBeat = false;
-      each.silentBeats++;
+      each.heardSinceHeartbeat = false;
+      each.silentHeartbeats++;
     }
-    if (state == LeadershipState.OWNED
-        && !majorityHeardWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
-      surroundings.log(PART, "Steps down, no majority heard: " + key + ".");
-      lose();
+    if (state == LeadershipState.LEADING
+        && !quorumHeardWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
+      environment.log(PART, "Steps down, no majority heard: " + key + ".");
+      loseLeadership();
       return;
     }
-    if (!quietWhenIdle || state == LeadershipState.SETTLING || !waitingForRound.isEmpty()) {
+    if (!quietWhenIdle
+        || state == LeadershipState.ESTABLISHING
+        || !pendingConfirmations.isEmpty()) {
       broadcast();
     } else {
       beatWhereNeeded();
     }
-    beat = surroundings.after(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::beat);
+    heartbeat =
+        environment.schedule(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
   }
 
   private void beatWhereNeeded() {
     round++;
-    for (FollowerProgress each : progress.values()) {
+    for (FollowerProgress each : followers.values()) {
       boolean lacksNothing =
-          each.matched == lastSequence()
-              && each.toldCommitted == committed
-              && committed == lastSequence();
-      if (!lacksNothing || ++each.beatsSince >= ReplicationConstants.IDLE_HEARTBEAT_ONE_IN) {
+          each.matchedSequence == lastSequence()
+              && each.notifiedCommittedSequence == committedSequence
+              && committedSequence == lastSequence();
+      if (!lacksNothing
+          || ++each.heartbeatsSinceNotified >= ReplicationConstants.IDLE_HEARTBEAT_ONE_IN) {
         sendTo(each);
       }
     }
   }
 
-  private void expire(ArrayDeque<PendingCommit> waiting, ApiError fault) {
-    while (!waiting.isEmpty() && waiting.peek().expiresAt() <= surroundings.now()) {
-      waiting.poll().then().accept(fault);
+  private void expire(ArrayDeque<PendingCommit> waiting, ApiError error) {
+    while (!waiting.isEmpty() && waiting.peek().expiresAt() <= environment.nowMs()) {
+      waiting.poll().then().accept(error);
     }
   }
 
-  private void lose() {
-    stop();
-    whenLost.run();
+  private void loseLeadership() {
+    resign();
+    leadershipLostListener.run();
   }
 
   /** Gives the key up without a word: whoever claims it next reads the log from the replicas. */
-  public void stop() {
+  public void resign() {
     if (state == LeadershipState.LOST) {
       return;
     }
     state = LeadershipState.LOST;
-    beat.cancel();
-    claimRound.cancel();
+    heartbeat.cancel();
+    electionRound.cancel();
     cancelTransfer();
-    List<PendingCommit> unanswered = new ArrayList<>(waitingForCommit);
-    List<PendingCommit> unconfirmed = new ArrayList<>(waitingForRound);
-    waitingToApply.clear();
-    waitingForCommit.clear();
-    waitingForRound.clear();
+    List<PendingCommit> unanswered = new ArrayList<>(pendingCommits);
+    List<PendingCommit> unconfirmed = new ArrayList<>(pendingConfirmations);
+    pendingApplies.clear();
+    pendingCommits.clear();
+    pendingConfirmations.clear();
     unanswered.forEach(each -> each.then().accept(new ApiError.OutcomeUnknown(key)));
     unconfirmed.forEach(each -> each.then().accept(new ApiError.NotLeader(key)));
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/SnapshotPages.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/SnapshotPages.java
@@ -30,11 +30,12 @@
     copies
         .tailMap(afterKey, false)
         .forEach(
-            (key, copy) -> {
-              if (!copy.entries.isEmpty() && setNameOf.apply(key).equals(setName)) {
+            (key, replica) -> {
+              if (!replica.entries.isEmpty() && setNameOf.apply(key).equals(setName)) {
                 held.put(
                     key,
-                    new LogEndPosition(copy.lastSequence(), copy.at(copy.lastSequence()).epoch()));
+                    new LogEndPosition(
+                        replica.lastSequence(), replica.entryAt(replica.lastSequence()).epoch()));
               }
             });
     return held;
@@ -62,13 +63,16 @@
     return page;
   }
 
-  private static ReplicaSnapshot copied(String key, LogReplica copy, LogEndPosition known) {
-    LogEntry shared = known == null ? null : copy.at(known.sequence());
+  private static ReplicaSnapshot copied(String key, LogReplica replica, LogEndPosition known) {
+    LogEntry shared = known == null ? null : replica.entryAt(known.sequence());
     boolean partial = shared != null && shared.epoch().equals(known.epoch());
     List<LogEntry> lacking =
         partial
-            ? copy.entries.stream().filter(entry -> entry.sequence() >= known.sequence()).toList()
-            : List.copyOf(copy.entries);
-    return new ReplicaSnapshot(key, copy.promised, copy.committed, partial, lacking);
+            ? replica.entries.stream()
+                .filter(entry -> entry.sequence() >= known.sequence())
+                .toList()
+            : List.copyOf(replica.entries);
+    return new ReplicaSnapshot(
+        key, replica.promisedEpoch, replica.committedSequence, partial, lacking);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
@@ -17,9 +17,10 @@
   /** To be called once all records of the log are replayed. */
   void recovered(Map<String, LogReplica> copies) {
     copies.forEach(
-        (key, copy) ->
-            copy.entries.stream()
-                .filter(entry -> entry.sequence() > copy.committed && !entry.isTakeover())
+        (key, replica) ->
+            replica.entries.stream()
+                .filter(
+                    entry -> entry.sequence() > replica.committedSequence && !entry.isTakeover())
                 .forEach(entry -> lastByKey.put(key, entry)));
   }
 
@@ -37,10 +38,12 @@
     if (last == null) {
       return false;
     }
-    LogReplica copy = copies.get(key);
-    LogEntry present = copy.at(last.sequence());
+    LogReplica replica = copies.get(key);
+    LogEntry present = replica.entryAt(last.sequence());
     boolean open =
-        copy.committed < last.sequence() && present != null && present.epoch().equals(last.epoch());
+        replica.committedSequence < last.sequence()
+            && present != null
+            && present.epoch().equals(last.epoch());
     if (!open) {
       lastByKey.remove(key);
     }
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -46,7 +46,7 @@
 /** The data plane's storage role: replicas of batch records, and once-claims. */
 public final class StorageNode extends DataPlaneNode {
   private final LogReplicas replicas;
-  private final ReplicaCatchUp copier;
+  private final ReplicaCatchUp catchUp;
 
   /** Batches accepted by a committed entry and not yet committed as finished, ended or refused. */
   private final Set<String> unfinished = new TreeSet<>();
@@ -62,14 +62,14 @@
    */
   private final Map<String, String> claims = new LinkedHashMap<>();
 
-  public StorageNode(Environment surroundings, NodeIdentity place) {
-    this(surroundings, place, NodeSettings.DEFAULT);
+  public StorageNode(Environment environment, NodeIdentity identity) {
+    this(environment, identity, NodeSettings.DEFAULT);
   }
 
-  public StorageNode(Environment surroundings, NodeIdentity place, NodeSettings bounds) {
-    super(surroundings, place, bounds);
-    replicas = new LogReplicas(surroundings, this::send, this::committed, MetadataKeys::shardOf);
-    copier = new ReplicaCatchUp(surroundings, this, replicas, claims, MetadataKeys::shardOf);
+  public StorageNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
+    super(environment, identity, settings);
+    replicas = new LogReplicas(environment, this::send, this::committed, MetadataKeys::shardOf);
+    catchUp = new ReplicaCatchUp(environment, this, replicas, claims, MetadataKeys::shardOf);
   }
 
   public LogReplicas replicas() {
@@ -96,46 +96,49 @@
   @Override
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>(replicas.checkpoint());
-    claims.forEach((id, token) -> records.add(ReplicaCatchUp.onceRecord(id, token)));
+    claims.forEach((id, token) -> records.add(ReplicaCatchUp.onceClaimRecord(id, token)));
     return records;
   }
 
   @Override
   public void start() {
     super.start();
-    replicas.recovered();
-    every(BatchConstants.LEADERLESS_SCAN_INTERVAL_MS, this::reportOrphans);
-    every(BatchConstants.RETENTION_SCAN_INTERVAL_MS, this::removeOld);
+    replicas.finishRecovery();
+    repeatEvery(BatchConstants.LEADERLESS_SCAN_INTERVAL_MS, this::reportOrphans);
+    repeatEvery(BatchConstants.RETENTION_SCAN_INTERVAL_MS, this::removeOld);
   }
 
   /**
    * The first replica of a batch has it removed by the batch's leader once it was kept long enough.
    */
   private void removeOld() {
-    if (bundle == null) {
+    if (configuration == null) {
       return;
     }
-    long now = surroundings.now();
+    long now = environment.nowMs();
     overSince.entrySet().stream()
         .filter(
             entry ->
                 now - entry.getValue()
-                    > (BatchKeys.isOpaque(entry.getKey())
-                        ? bounds.keepBatchesMs()
-                        : bundle.limits().batch().keptMs()))
+                    > (BatchKeys.isProxied(entry.getKey())
+                        ? settings.batchRetentionMs()
+                        : configuration.limits().batch().effectiveRetentionMs()))
         .map(Map.Entry::getKey)
         .filter(
             key ->
-                place
+                identity
                     .id()
                     .equals(
                         RendezvousHashing.first(
-                            key, setsOf(key).present().stream().map(NodeAddress::id).toList())))
+                            key,
+                            replicaConfigurationOf(key).current().stream()
+                                .map(NodeAddress::id)
+                                .toList())))
         .limit(BatchConstants.MAX_REMOVALS_PER_SCAN)
         .toList()
         .forEach(
             key ->
-                ask(
+                sendRequest(
                     attempt -> leaderPlacement().edge(key, attempt),
                     "remove",
                     key,
@@ -156,12 +159,12 @@
         || kind.equals(BatchEvent.ENDED)
         || kind.equals(BatchEvent.REFUSED)) {
       unfinished.remove(key);
-      overSince.put(key, surroundings.now());
+      overSince.put(key, environment.nowMs());
     } else if (kind.equals(BatchEvent.REMOVED)) {
       overSince.remove(key);
       removed++;
     }
-    journal.add("committed", key, "sequence " + entry.sequence() + " " + kind);
+    traceLog.add("committed", key, "sequence " + entry.sequence() + " " + kind);
   }
 
   /**
@@ -171,9 +174,9 @@
   private void reportOrphans() {
     Map<NodeAddress, List<String>> orphans = new HashMap<>();
     for (String key : unfinished) {
-      if (replicas.ownerSilent(replicas.copy(key))) {
+      if (replicas.isLeaderSilent(replicas.replica(key))) {
         NodeAddress chosenEdge = leaderPlacement().edge(key, 0);
-        if (chosenEdge != null && chosenEdge.id().equals(replicas.copy(key).owner)) {
+        if (chosenEdge != null && chosenEdge.id().equals(replicas.replica(key).leaderId)) {
           chosenEdge = leaderPlacement().edge(key, 1);
         }
         if (chosenEdge != null) {
@@ -187,46 +190,47 @@
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
     if (message instanceof AppendRequest append) {
-      replicas.append(append, fromId, fromAddress);
+      replicas.handleAppendRequest(append, fromId, fromAddress);
     } else if (message instanceof VoteRequest promise) {
-      replicas.promise(promise, fromId, fromAddress);
+      replicas.handleVoteRequest(promise, fromId, fromAddress);
     } else if (message instanceof LogFetchRequest logAsk) {
-      replicas.tellLog(logAsk, fromId, fromAddress);
+      replicas.handleLogFetchRequest(logAsk, fromId, fromAddress);
     } else {
       super.handle(message, fromId, fromAddress);
     }
   }
 
   @Override
-  protected void handleAsk(PeerRequest ask) {
-    switch (ask.duty()) {
-      case "copy" -> copier.copyOut(ask);
-      case "peek" -> peek(ask);
-      case "claim" -> claim(ask);
-      case "unclaim" -> unclaim(ask);
-      default -> respond(ask, Response.of(new ApiError.UnknownRequest(ask.duty())));
+  protected void handleRequest(PeerRequest request) {
+    switch (request.operation()) {
+      case "copy" -> catchUp.servePage(request);
+      case "peek" -> peek(request);
+      case "claim" -> claim(request);
+      case "unclaim" -> unclaim(request);
+      default -> respond(request, Response.of(new ApiError.UnknownRequest(request.operation())));
     }
   }
 
   /** True, and told so, if the asker speaks of an older replica set than the one known here. */
-  private boolean refusesOldSet(PeerRequest ask) {
-    long known = replicas.setNumber(MetadataKeys.shardOf(ask.key()));
-    boolean old = Json.tree(ask.body()).path("setNumber").asLong() < known;
+  private boolean refusesOldSet(PeerRequest request) {
+    long known = replicas.configurationVersion(MetadataKeys.shardOf(request.key()));
+    boolean old = Json.tree(request.body()).path("setNumber").asLong() < known;
     if (old) {
-      respond(ask, Response.of(new ApiError.StaleReplicaConfiguration(known)));
+      respond(request, Response.of(new ApiError.StaleReplicaConfiguration(known)));
     }
     return old;
   }
 
-  private void peek(PeerRequest ask) {
-    if (refusesOldSet(ask)) {
+  private void peek(PeerRequest request) {
+    if (refusesOldSet(request)) {
       return;
     }
-    LogReplica copy = replicas.copies().get(ask.key());
-    boolean present = copy != null && copy.entries.stream().anyMatch(entry -> !entry.isTakeover());
-    NodeAddress holder = present ? replicas.holder(copy) : NodeAddress.NONE;
+    LogReplica replica = replicas.replicas().get(request.key());
+    boolean present =
+        replica != null && replica.entries.stream().anyMatch(entry -> !entry.isTakeover());
+    NodeAddress holder = present ? replicas.knownLeader(replica) : NodeAddress.NONE;
     respond(
-        ask,
+        request,
         Response.of(
             200,
             JSON.createObjectNode()
@@ -235,40 +239,41 @@
                 .put("holderAddress", holder.address())));
   }
 
-  private void claim(PeerRequest ask) {
-    if (!surroundings.takesWrites() || refusesOldSet(ask)) {
+  private void claim(PeerRequest request) {
+    if (!environment.acceptsWrites() || refusesOldSet(request)) {
       return;
     }
-    String token = Json.tree(ask.body()).path("token").asText();
-    String holder = claims.putIfAbsent(ask.key(), token);
+    String token = Json.tree(request.body()).path("token").asText();
+    String holder = claims.putIfAbsent(request.key(), token);
     if (holder != null && !holder.equals(token)) {
-      respond(ask, Response.of(new ApiError.AlreadyClaimed(ask.key())));
+      respond(request, Response.of(new ApiError.AlreadyClaimed(request.key())));
       return;
     }
     List<LogRecord> records =
-        holder == null ? List.of(ReplicaCatchUp.onceRecord(ask.key(), token)) : List.of();
-    surroundings.write(
+        holder == null ? List.of(ReplicaCatchUp.onceClaimRecord(request.key(), token)) : List.of();
+    environment.write(
         records,
-        () -> respond(ask, Response.of(200, JSON.createObjectNode().put("claimed", true))));
+        () -> respond(request, Response.of(200, JSON.createObjectNode().put("claimed", true))));
   }
 
   /**
    * Only the token that claimed may take the claim back, and only before anything of it was handed
    * over.
    */
-  private void unclaim(PeerRequest ask) {
-    JsonNode body = Json.tree(ask.body());
-    boolean holds = claims.remove(ask.key(), body.path("token").asText());
-    List<LogRecord> records = holds ? List.of(ReplicaCatchUp.onceRecord(ask.key(), "")) : List.of();
-    surroundings.write(
+  private void unclaim(PeerRequest request) {
+    JsonNode body = Json.tree(request.body());
+    boolean holds = claims.remove(request.key(), body.path("token").asText());
+    List<LogRecord> records =
+        holds ? List.of(ReplicaCatchUp.onceClaimRecord(request.key(), "")) : List.of();
+    environment.write(
         records,
-        () -> respond(ask, Response.of(200, JSON.createObjectNode().put("claimed", false))));
+        () -> respond(request, Response.of(200, JSON.createObjectNode().put("claimed", false))));
   }
 
   // ---- changes of a shard's replicas
 
   @Override
-  protected void changed(String key) {
+  protected void metadataChanged(String key) {
     if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
       follow(key);
     }
@@ -279,7 +284,7 @@
    */
   private void follow(String name) {
     ShardAssignment shard = shards().get(name);
-    replicas.learnSet(
+    replicas.adoptConfiguration(
         name,
         shard.number(),
         () -> {
@@ -297,12 +302,12 @@
   }
 
   private boolean holds(List<ShardReplica> set) {
-    return set.stream().anyMatch(replica -> replica.id().equals(place.id()));
+    return set.stream().anyMatch(replica -> replica.id().equals(identity.id()));
   }
 
   private boolean stillPending(String name, long number) {
     ShardAssignment shard = shards().get(name);
-    return shard.number() == number && !shard.next().isEmpty() && !stopped();
+    return shard.number() == number && !shard.next().isEmpty() && !isTerminated();
   }
 
   /** Said again until the shard's number moves on: the core may be changing hands just now. */
@@ -310,38 +315,38 @@
     if (!stillPending(name, number)) {
       return;
     }
-    askCore(
+    requestControlPlane(
         "copied",
         name,
-        JSON.createObjectNode().put("id", place.id()).put("number", number),
+        JSON.createObjectNode().put("id", identity.id()).put("number", number),
         PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
         response -> {});
-    surroundings.after(
+    environment.schedule(
         ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> sayCopied(name, number));
   }
 
   private void copyIn(String name, ShardAssignment shard) {
-    journal.add("copying", name, "set " + shard.number());
-    copier.copyIn(
+    traceLog.add("copying", name, "set " + shard.number());
+    catchUp.catchUp(
         name,
         shard.number(),
         ReplicaConfiguration.replicas(shard.replicas()),
         () -> stillPending(name, shard.number()),
         () -> {
-          journal.add("copied", name, "set " + shard.number());
+          traceLog.add("copied", name, "set " + shard.number());
           sayCopied(name, shard.number());
         });
   }
 
   @Override
   public String notReadyBecause() {
-    return stopping ? "stopping" : !joined() ? "no grant from the core" : "";
+    return stopping ? "stopping" : !hasLease() ? "no grant from the core" : "";
   }
 
   @Override
   public ObjectNode status() {
     return super.status()
-        .put("keys", replicas.copies().size())
+        .put("keys", replicas.replicas().size())
         .put("unfinished", unfinished.size())
         .put("onceClaims", claims.size())
         .put("removed", removed);
@@ -350,9 +355,9 @@
   @Override
   public void stop(Runnable whenDone) {
     stopping = true;
-    leaveCore(
+    releaseLease(
         () -> {
-          end();
+          terminate();
           whenDone.run();
         });
   }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
@@ -7,15 +7,15 @@
 
 /** What the desk needs of the edge it lives on. */
 public interface EdgeContext {
-  ApiError mayBegin();
+  ApiError rejectionOfNewWork();
 
   /**
    * Null when a request that was already taken may go on to a worker; a polite stop alone does not
    * hinder it.
    */
-  ApiError mayGoOn();
+  ApiError rejectionOfAdmittedWork();
 
-  RoutingConfiguration bundle();
+  RoutingConfiguration configuration();
 
   /** What that bundle says of opaque requests; empty while there is none. */
   RouteTable routes();
@@ -24,5 +24,5 @@
 
   void unclaimOnce(String id, String token);
 
-  void count(String counter);
+  void incrementCounter(String counter);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/OutlierDetection.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/OutlierDetection.java
@@ -12,26 +12,26 @@
   /** A rest doubles at most so many times. */
   private static final int DOUBLINGS_MOST = 10;
 
-  private final Environment surroundings;
+  private final Environment environment;
 
-  OutlierDetection(Environment surroundings) {
-    this.surroundings = surroundings;
+  OutlierDetection(Environment environment) {
+    this.environment = environment;
   }
 
   /**
    * The worker or the way to it failed. Runs that fail while it rests already were begun before and
    * fell with the first: they make the rest no longer.
    */
-  void faulted(WorkerState worker) {
-    noteOutcome(worker, true);
-    long now = surroundings.now();
-    if (now < worker.restsUntil) {
+  void recordConnectionFailure(WorkerState worker) {
+    updateFailureRate(worker, true);
+    long now = environment.nowMs();
+    if (now < worker.ejectedUntil) {
       return;
     }
-    long restMs = doubled(WorkerConstants.BASE_EJECTION_MS, worker.faultsInRow);
-    worker.faultsInRow++;
-    worker.restsUntil = now + restMs;
-    worker.rampFrom = worker.restsUntil;
+    long restMs = doubled(WorkerConstants.BASE_EJECTION_MS, worker.consecutiveFailures);
+    worker.consecutiveFailures++;
+    worker.ejectedUntil = now + restMs;
+    worker.slowStartFrom = worker.ejectedUntil;
   }
 
   private static long doubled(long firstMs, int times) {
@@ -42,58 +42,59 @@
    * It answered, but with a failure of its own: no reason to rest, as another request may do
    * better.
    */
-  void failed(WorkerState worker) {
-    noteOutcome(worker, true);
+  void recordErrorResponse(WorkerState worker) {
+    updateFailureRate(worker, true);
   }
 
   /**
    * It said that it is full: left alone until its next report can tell more, longer if it keeps
    * saying so. Refusals of what was sent before the rest began are one saying.
    */
-  void refused(WorkerState worker) {
-    long now = surroundings.now();
-    if (worker.passive()) {
-      int ownRuns = worker.live + worker.batch;
-      worker.others = Math.max(worker.othersNow(now), worker.capacity() + 1 - ownRuns);
-      worker.othersAt = now;
-    } else if (now >= worker.restsUntil) {
-      worker.restsUntil =
-          now + doubled(WorkerConstants.LOAD_POLL_INTERVAL_MS, worker.refusalsInRow);
-      worker.refusalsInRow++;
+  void recordRejection(WorkerState worker) {
+    long now = environment.nowMs();
+    if (worker.hasListedSlots()) {
+      int ownRuns = worker.liveCalls + worker.batchCalls;
+      worker.otherCalls = Math.max(worker.otherCallsNow(now), worker.capacity() + 1 - ownRuns);
+      worker.otherCallsAt = now;
+    } else if (now >= worker.ejectedUntil) {
+      worker.ejectedUntil =
+          now + doubled(WorkerConstants.LOAD_POLL_INTERVAL_MS, worker.consecutiveRejections);
+      worker.consecutiveRejections++;
     }
   }
 
   /** Bytes of any run came: it is there. */
-  void heard(WorkerState worker) {
-    worker.heardAt = surroundings.now();
+  void recordActivity(WorkerState worker) {
+    worker.lastHeardAt = environment.nowMs();
     if (worker.suspect) {
       worker.suspect = false;
-      worker.restsUntil = worker.heardAt;
-      worker.rampFrom = worker.heardAt;
+      worker.ejectedUntil = worker.lastHeardAt;
+      worker.slowStartFrom = worker.lastHeardAt;
     }
   }
 
-  void served(WorkerState worker) {
-    worker.faultsInRow = 0;
-    worker.refusalsInRow = 0;
-    noteOutcome(worker, false);
+  void recordSuccess(WorkerState worker) {
+    worker.consecutiveFailures = 0;
+    worker.consecutiveRejections = 0;
+    updateFailureRate(worker, false);
   }
 
-  private void noteOutcome(WorkerState worker, boolean faulty) {
-    double kept = faultShare(worker) * (1 - WorkerConstants.MOVING_AVERAGE_WEIGHT);
-    worker.faultShare = kept + (faulty ? WorkerConstants.MOVING_AVERAGE_WEIGHT : 0);
-    worker.faultShareAt = surroundings.now();
+  private void updateFailureRate(WorkerState worker, boolean faulty) {
+    double kept = failureRate(worker) * (1 - WorkerConstants.MOVING_AVERAGE_WEIGHT);
+    worker.failureRate = kept + (faulty ? WorkerConstants.MOVING_AVERAGE_WEIGHT : 0);
+    worker.failureRateAt = environment.nowMs();
   }
 
   /** Part of its recent runs that failed; what is long past counts less. */
-  double faultShare(WorkerState worker) {
-    long age = surroundings.now() - worker.faultShareAt;
-    return worker.faultShare * Math.exp(-age / (double) WorkerConstants.FAILURE_DECAY_MS);
+  double failureRate(WorkerState worker) {
+    long age = environment.nowMs() - worker.failureRateAt;
+    return worker.failureRate * Math.exp(-age / (double) WorkerConstants.FAILURE_DECAY_MS);
   }
 
   /** From 1 at full strength down to a small part of it for a worker that is new or was at rest. */
-  double ramp(WorkerState worker) {
-    double part = (surroundings.now() - worker.rampFrom) / (double) WorkerConstants.SLOW_START_MS;
+  double slowStartWeight(WorkerState worker) {
+    double part =
+        (environment.nowMs() - worker.slowStartFrom) / (double) WorkerConstants.SLOW_START_MS;
     return Math.max(WorkerConstants.MIN_SLOW_START_WEIGHT, Math.min(1, part));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoad.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoad.java
@@ -1,3 +1,3 @@
 package applespindle.corelogic.worker;
 
-record PeerLoad(int running, double unread, long at) {}
+record PeerLoad(int running, double unreadPromptTokens, long at) {}
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
@@ -23,20 +23,20 @@
     void send(String toAddress, String toId, Message message);
   }
 
-  private final Environment surroundings;
-  private final WorkerRegistry book;
+  private final Environment environment;
+  private final WorkerRegistry registry;
   private final Supplier<List<NodeRegistration>> peers;
   private final PeerSender sender;
   private final Set<WorkerState> changed = new LinkedHashSet<>();
   private boolean due;
 
   public PeerLoadReporter(
-      Environment surroundings,
-      WorkerRegistry book,
+      Environment environment,
+      WorkerRegistry registry,
       Supplier<List<NodeRegistration>> peers,
       PeerSender sender) {
-    this.surroundings = surroundings;
-    this.book = book;
+    this.environment = environment;
+    this.registry = registry;
     this.peers = peers;
     this.sender = sender;
   }
@@ -46,14 +46,14 @@
    * as many. A worker that is asked for its load tells it to all.
    */
   public void began(WorkerState worker) {
-    if (!worker.passive()) {
+    if (!worker.hasListedSlots()) {
       return;
     }
     changed.add(worker);
     int many = due ? 0 : peers.get().size();
     if (!due && many > 0) {
       due = true;
-      surroundings.after(WorkerConstants.PEER_LOAD_REPORT_DELAY_MS * many, this::tell);
+      environment.schedule(WorkerConstants.PEER_LOAD_REPORT_DELAY_MS * many, this::tell);
     }
   }
 
@@ -61,9 +61,12 @@
     due = false;
     List<OwnLoad> loads = new ArrayList<>();
     for (WorkerState each : changed) {
-      if (book.listed(each)) {
+      if (registry.listed(each)) {
         loads.add(
-            new OwnLoad(each.worker.id(), each.live + each.batch, (int) Math.round(each.reading)));
+            new OwnLoad(
+                each.worker.id(),
+                each.liveCalls + each.batchCalls,
+                (int) Math.round(each.unreadPromptTokens)));
       }
     }
     changed.clear();
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PrefixCache.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PrefixCache.java
@@ -17,7 +17,7 @@
   private long tokens;
 
   /** Hash of the first parts of a prompt, each behind those before it. */
-  public static long[] chain(List<PromptPart> prompt, String model) {
+  public static long[] prefixHashes(List<PromptPart> prompt, String model) {
     long[] chain = new long[prompt.size()];
     long hash = RendezvousHashing.hash(model);
     for (int index = 0; index < chain.length; index++) {
@@ -28,7 +28,7 @@
   }
 
   /** Tokens at the prompt's beginning that need no reading. */
-  int kept(List<PromptPart> prompt, long[] chain) {
+  int cachedTokens(List<PromptPart> prompt, long[] chain) {
     int kept = 0;
     for (int index = 0; index < chain.length && tokensByChain.containsKey(chain[index]); index++) {
       kept += prompt.get(index).tokens();
@@ -36,7 +36,7 @@
     return kept;
   }
 
-  public void read(List<PromptPart> prompt, long[] chain, long tokensMost) {
+  public void add(List<PromptPart> prompt, long[] chain, long tokensMost) {
     for (int index = 0; index < chain.length; index++) {
       Integer before = tokensByChain.put(chain[index], prompt.get(index).tokens());
       tokens += prompt.get(index).tokens() - (before == null ? 0 : before);
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
@@ -12,12 +12,12 @@
   /** Polls are spread by a random part of the interval, as many edges ask the same workers. */
   private static final long JITTER_MS = WorkerConstants.LOAD_POLL_INTERVAL_MS / 5;
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final Predicate<WorkerState> listed;
   private final Runnable whenChanged;
 
-  WorkerLoadPoller(Environment surroundings, Predicate<WorkerState> listed, Runnable whenChanged) {
-    this.surroundings = surroundings;
+  WorkerLoadPoller(Environment environment, Predicate<WorkerState> listed, Runnable whenChanged) {
+    this.environment = environment;
     this.listed = listed;
     this.whenChanged = whenChanged;
   }
@@ -31,31 +31,32 @@
   }
 
   private void poll(WorkerState worker) {
-    if (!listed.test(worker) || worker.passive()) {
+    if (!listed.test(worker) || worker.hasListedSlots()) {
       worker.polling = false;
       return;
     }
     long jitterMs =
-        surroundings.random().nextLong(JITTER_MS) - WorkerConstants.LOAD_POLL_INTERVAL_MS / 10;
+        environment.random().nextLong(JITTER_MS) - WorkerConstants.LOAD_POLL_INTERVAL_MS / 10;
     long pauseMs = WorkerConstants.LOAD_POLL_INTERVAL_MS + jitterMs;
-    surroundings.readLoad(
+    environment.readLoad(
         worker.worker.address(),
         load -> {
           worker.load = load;
-          worker.loadAt = surroundings.now();
-          worker.sinceReport = 0;
+          worker.loadAt = environment.nowMs();
+          worker.callsSinceReport = 0;
           notePeak(worker);
-          surroundings.after(pauseMs, () -> poll(worker));
+          environment.schedule(pauseMs, () -> poll(worker));
           whenChanged.run();
         },
-        fault -> surroundings.after(pauseMs, () -> poll(worker)));
+        error -> environment.schedule(pauseMs, () -> poll(worker)));
   }
 
   private void notePeak(WorkerState worker) {
-    long now = surroundings.now();
-    double halvings = (now - worker.livePeakAt) / (double) WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
-    double fallen = worker.livePeak * Math.pow(0.5, halvings);
-    worker.livePeak = Math.max(worker.liveRunning(), fallen);
-    worker.livePeakAt = now;
+    long now = environment.nowMs();
+    double halvings =
+        (now - worker.peakLiveCallsAt) / (double) WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
+    double fallen = worker.peakLiveCalls * Math.pow(0.5, halvings);
+    worker.peakLiveCalls = Math.max(worker.liveRunning(), fallen);
+    worker.peakLiveCallsAt = now;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
@@ -20,62 +20,65 @@
  */
 public final class WorkerRegistry {
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final WorkerLoadPoller polling;
   private final OutlierDetection outcomes;
   private Consumer<WorkerState> whenBegan = unheard -> {};
-  private final Map<String, WorkerState> known = new TreeMap<>();
+  private final Map<String, WorkerState> statesById = new TreeMap<>();
 
   /** Workers listed soon after this are only new to this edge; -1 before the first list. */
   private long followedSince = -1;
 
-  public WorkerRegistry(Environment surroundings, Runnable whenChanged) {
-    this.surroundings = surroundings;
-    this.polling = new WorkerLoadPoller(surroundings, this::listed, whenChanged);
-    this.outcomes = new OutlierDetection(surroundings);
+  public WorkerRegistry(Environment environment, Runnable whenChanged) {
+    this.environment = environment;
+    this.polling = new WorkerLoadPoller(environment, this::listed, whenChanged);
+    this.outcomes = new OutlierDetection(environment);
   }
 
-  public void follow(Map<String, WorkerRegistration> workers) {
-    followedSince = followedSince < 0 ? surroundings.now() : followedSince;
-    boolean first = surroundings.now() - followedSince < WorkerConstants.SLOW_START_MS;
-    known.keySet().retainAll(workers.keySet());
+  public void updateWorkers(Map<String, WorkerRegistration> workers) {
+    followedSince = followedSince < 0 ? environment.nowMs() : followedSince;
+    boolean first = environment.nowMs() - followedSince < WorkerConstants.SLOW_START_MS;
+    statesById.keySet().retainAll(workers.keySet());
     workers.forEach(
         (id, worker) -> {
-          WorkerState present = known.get(id);
+          WorkerState present = statesById.get(id);
           if (present == null || !present.worker.address().equals(worker.address())) {
             present = new WorkerState();
             present.idHash = RendezvousHashing.hash(id);
-            present.rampFrom = first ? present.rampFrom : surroundings.now();
-            known.put(id, present);
+            present.slowStartFrom = first ? present.slowStartFrom : environment.nowMs();
+            statesById.put(id, present);
           }
           present.worker = worker;
-          if (!present.passive()) {
+          if (!present.hasListedSlots()) {
             polling.begin(present);
           }
         });
   }
 
   public Collection<WorkerState> all() {
-    return known.values();
+    return statesById.values();
   }
 
   public WorkerState get(String id) {
-    return known.get(id);
+    return statesById.get(id);
   }
 
   boolean listed(WorkerState worker) {
-    return known.get(worker.worker.id()) == worker;
+    return statesById.get(worker.worker.id()) == worker;
   }
 
   /** Listed, heard of lately, not leaving, not at rest after a fault. */
-  public boolean usable(WorkerState worker) {
-    long now = surroundings.now();
-    return listed(worker) && !worker.leaving() && heardOfLately(worker) && now >= worker.restsUntil;
+  public boolean isUsable(WorkerState worker) {
+    long now = environment.nowMs();
+    return listed(worker)
+        && !worker.isDraining()
+        && heardOfLately(worker)
+        && now >= worker.ejectedUntil;
   }
 
   private boolean heardOfLately(WorkerState worker) {
-    return worker.passive()
-        || surroundings.now() - worker.loadAt < WorkerConstants.LOAD_STALE_AFTER_MS;
+    return worker.hasListedSlots()
+        || environment.nowMs() - worker.loadAt < WorkerConstants.LOAD_STALE_AFTER_MS;
   }
 
   /**
@@ -83,8 +86,8 @@
    * for lost.
    */
   public boolean lost(WorkerState worker, long lastTextAt) {
-    long now = surroundings.now();
-    long heardAt = Math.max(worker.loadAt, worker.heardAt);
+    long now = environment.nowMs();
+    long heardAt = Math.max(worker.loadAt, worker.lastHeardAt);
     return now - heardAt > WorkerConstants.LOAD_STALE_AFTER_MS
         && now - lastTextAt > WorkerConstants.LOAD_STALE_AFTER_MS;
   }
@@ -92,9 +95,9 @@
   /** Usable now, or as soon as a rest ends that ends before the expiry. */
   public boolean comesBackBy(WorkerState worker, long expiresAt) {
     return listed(worker)
-        && !worker.leaving()
+        && !worker.isDraining()
         && heardOfLately(worker)
-        && worker.restsUntil < expiresAt;
+        && worker.ejectedUntil < expiresAt;
   }
 
   /**
@@ -102,80 +105,81 @@
    * needs to show.
    */
   public long restMs(WorkerState worker) {
-    long now = surroundings.now();
-    boolean silent = !heardOfLately(worker) || worker.leaving();
-    return Math.max(worker.restsUntil - now, silent ? WorkerConstants.LOAD_STALE_AFTER_MS : 0);
+    long now = environment.nowMs();
+    boolean silent = !heardOfLately(worker) || worker.isDraining();
+    return Math.max(worker.ejectedUntil - now, silent ? WorkerConstants.LOAD_STALE_AFTER_MS : 0);
   }
 
-  public void whenBegan(Consumer<WorkerState> then) {
+  public void onCallStart(Consumer<WorkerState> then) {
     whenBegan = then;
   }
 
-  public void began(WorkerState worker, boolean batch) {
+  public void recordCallStart(WorkerState worker, boolean batch) {
     whenBegan.accept(worker);
-    worker.sinceReport++;
+    worker.callsSinceReport++;
     if (batch) {
-      worker.batch++;
+      worker.batchCalls++;
     } else {
-      worker.live++;
+      worker.liveCalls++;
     }
   }
 
-  public void ended(WorkerState worker, boolean batch) {
-    worker.sinceReport--;
+  public void recordCallEnd(WorkerState worker, boolean batch) {
+    worker.callsSinceReport--;
     if (batch) {
-      worker.batch--;
+      worker.batchCalls--;
     } else {
-      worker.live--;
+      worker.liveCalls--;
     }
   }
 
   /** The worker or the way to it failed: it is left to rest. */
-  public void faulted(WorkerState worker) {
-    outcomes.faulted(worker);
+  public void recordConnectionFailure(WorkerState worker) {
+    outcomes.recordConnectionFailure(worker);
   }
 
   /** It answered, but with a failure of its own. */
-  public void failed(WorkerState worker) {
-    outcomes.failed(worker);
+  public void recordErrorResponse(WorkerState worker) {
+    outcomes.recordErrorResponse(worker);
   }
 
   /** Part of its recent runs that failed; what is long past counts less. */
-  double faultShare(WorkerState worker) {
-    return outcomes.faultShare(worker);
+  double failureRate(WorkerState worker) {
+    return outcomes.failureRate(worker);
   }
 
   /** Bytes of any run came: it is there. */
-  public void heard(WorkerState worker) {
-    outcomes.heard(worker);
+  public void recordActivity(WorkerState worker) {
+    outcomes.recordActivity(worker);
   }
 
   /** What another edge of the zone has at workers; it counts less the longer ago that was. */
-  public void peerTold(String peer, Message.PeerLoadReport told) {
-    long now = surroundings.now();
+  public void recordPeerLoad(String peer, Message.PeerLoadReport told) {
+    long now = environment.nowMs();
     for (Message.PeerLoadReport.OwnLoad load : told.loads()) {
-      WorkerState worker = known.get(load.worker());
+      WorkerState worker = statesById.get(load.worker());
       if (worker != null) {
         worker
             .peers
             .values()
             .removeIf(each -> now - each.at() > WorkerConstants.PEER_LOAD_EXPIRY_MS);
-        worker.peers.put(peer, new PeerLoad(load.running(), load.unread(), now));
+        worker.peers.put(peer, new PeerLoad(load.running(), load.unreadPromptTokens(), now));
       }
     }
   }
 
   /** What a response told of the worker's load; this edge's own runs are in it. */
-  public void told(WorkerState worker, WorkerLoad load) {
-    if (worker.passive()) {
-      worker.others = Math.max(0, load.running() + load.queued() - worker.live - worker.batch);
-      worker.othersAt = surroundings.now();
+  public void recordLoad(WorkerState worker, WorkerLoad load) {
+    if (worker.hasListedSlots()) {
+      worker.otherCalls =
+          Math.max(0, load.running() + load.queued() - worker.liveCalls - worker.batchCalls);
+      worker.otherCallsAt = environment.nowMs();
     }
   }
 
   /** From 1 at full strength down to a small part of it for a worker that is new or was at rest. */
-  public double ramp(WorkerState worker) {
-    return outcomes.ramp(worker);
+  public double slowStartWeight(WorkerState worker) {
+    return outcomes.slowStartWeight(worker);
   }
 
   /** How long a further request is likely to wait there for a slot. */
@@ -185,36 +189,36 @@
   }
 
   /** It said that it is full: it is left alone for a moment. */
-  public void refused(WorkerState worker) {
-    outcomes.refused(worker);
+  public void recordRejection(WorkerState worker) {
+    outcomes.recordRejection(worker);
   }
 
   /** A refusal for want of room, which says nothing against the request. */
-  public static boolean saysFull(ApiError fault) {
-    return fault instanceof ApiError.WorkerRejected refused
+  public static boolean isCapacityRejection(ApiError error) {
+    return error instanceof ApiError.WorkerRejected refused
         && (refused.status() == 429 || refused.status() == 503);
   }
 
-  public void served(WorkerState worker) {
-    outcomes.served(worker);
+  public void recordSuccess(WorkerState worker) {
+    outcomes.recordSuccess(worker);
   }
 
-  public void served(WorkerState worker, long tookMs) {
-    served(worker);
+  public void recordSuccess(WorkerState worker, long tookMs) {
+    recordSuccess(worker);
     worker.serviceMs += (tookMs - worker.serviceMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
   public void describe(ArrayNode rows) {
-    for (WorkerState each : known.values()) {
+    for (WorkerState each : statesById.values()) {
       rows.addObject()
           .put("id", each.worker.id())
           .put("state", each.worker.state())
-          .put("usable", usable(each))
-          .put("running", each.running())
+          .put("usable", isUsable(each))
+          .put("running", each.runningCalls())
           .put("capacity", each.capacity())
-          .put("leaving", each.leaving())
-          .put("ownLive", each.live)
-          .put("ownBatch", each.batch);
+          .put("leaving", each.isDraining())
+          .put("ownLive", each.liveCalls)
+          .put("ownBatch", each.batchCalls);
     }
   }
 }
