--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerSelection.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerSelection.java
@@ -18,38 +18,38 @@
    *
    * @param targetMs the time within which its first byte should come
    * @param sticky its prompt's only part may be kept for a session
-   * @param chain one key for each part of the prompt together with all before it
+   * @param prefixHashes one key for each part of the prompt together with all before it
    * @param promptTokens of all parts of the prompt together
    * @param tokens of its prompt and the most it may put out
-   * @param keptTokensMost memory of a worker of the pool, in tokens; 0 if unknown
+   * @param cacheTokensPerWorker memory of a worker of the pool, in tokens; 0 if unknown
    */
   public record Demand(
       String pool,
       double targetMs,
       boolean sticky,
       List<PromptPart> prompt,
-      long[] chain,
+      long[] prefixHashes,
       int promptTokens,
       long tokens,
-      long keptTokensMost) {
+      long cacheTokensPerWorker) {
     /** Adds the parts up once: each worker that is weighed needs the sum. */
     public Demand(
         String pool,
         double targetMs,
         boolean sticky,
         List<PromptPart> prompt,
-        long[] chain,
+        long[] prefixHashes,
         long tokens,
-        long keptTokensMost) {
+        long cacheTokensPerWorker) {
       this(
           pool,
           targetMs,
           sticky,
           prompt,
-          chain,
+          prefixHashes,
           prompt.stream().mapToInt(PromptPart::tokens).sum(),
           tokens,
-          keptTokensMost);
+          cacheTokensPerWorker);
     }
 
     /** Of all parts but the last, which belongs to the request itself. */
@@ -58,17 +58,17 @@
     }
   }
 
-  private final Environment surroundings;
+  private final Environment environment;
   private final String zone;
   private final EdgeContext edge;
-  private final WorkerRegistry book;
+  private final WorkerRegistry registry;
 
   public WorkerSelection(
-      Environment surroundings, String zone, EdgeContext edge, WorkerRegistry book) {
-    this.surroundings = surroundings;
+      Environment environment, String zone, EdgeContext edge, WorkerRegistry registry) {
+    this.environment = environment;
     this.zone = zone;
     this.edge = edge;
-    this.book = book;
+    this.registry = registry;
   }
 
   /**
@@ -79,13 +79,13 @@
    */
   public WorkerState select(Demand demand, Predicate<WorkerState> allowed, boolean repeatable) {
     List<WorkerState> candidates = new ArrayList<>();
-    for (WorkerState each : book.all()) {
-      if (each.worker.pool().equals(demand.pool()) && !each.leaving() && allowed.test(each)) {
+    for (WorkerState each : registry.all()) {
+      if (each.worker.pool().equals(demand.pool()) && !each.isDraining() && allowed.test(each)) {
         candidates.add(each);
       }
     }
-    WorkerState keeper = keeper(demand, candidates);
-    double usualBusyPart = usualBusyPart(candidates);
+    WorkerState keeper = preferredCacheWorker(demand, candidates);
+    double usualBusyPart = usualBusyShare(candidates);
     WorkerState least = null;
     double leastCost = 0;
     for (WorkerState each : candidates) {
@@ -103,18 +103,18 @@
    * the rendezvous order of these parts, in this edge's own zone where it has workers. Null if
    * nothing is shared.
    */
-  private WorkerState keeper(Demand demand, List<WorkerState> candidates) {
-    int parts = demand.chain().length;
+  private WorkerState preferredCacheWorker(Demand demand, List<WorkerState> candidates) {
+    int parts = demand.prefixHashes().length;
     int shared = demand.sticky() && parts == 1 ? parts : parts - 1;
     if (shared <= 0) {
       return null;
     }
-    long key = demand.chain()[shared - 1];
+    long key = demand.prefixHashes()[shared - 1];
     WorkerState first = null;
     boolean firstNear = false;
     long firstWeight = 0;
     for (WorkerState each : candidates) {
-      boolean near = near(each);
+      boolean near = isInOwnZone(each);
       long weight = RendezvousHashing.mix(key ^ each.idHash);
       if (first == null || near && !firstNear || near == firstNear && weight > firstWeight) {
         first = each;
@@ -129,13 +129,13 @@
    * The part of a worker's slots that requests of other edges and batch items usually take, over
    * the candidates of this edge's own zone; 0 if there are none.
    */
-  private double usualBusyPart(List<WorkerState> candidates) {
-    long now = surroundings.now();
+  private double usualBusyShare(List<WorkerState> candidates) {
+    long now = environment.nowMs();
     double running = 0;
     double slots = 0;
     for (WorkerState each : candidates) {
-      if (near(each)) {
-        running += each.runningNow(now) - each.live;
+      if (isInOwnZone(each)) {
+        running += each.runningCallsNow(now) - each.liveCalls;
         slots += each.capacity();
       }
     }
@@ -148,36 +148,37 @@
    * it as much as those of this zone use theirs.
    */
   private double running(WorkerState worker, double usualBusyPart) {
-    long now = surroundings.now();
-    if (near(worker) || !worker.passive()) {
-      return worker.runningNow(now);
+    long now = environment.nowMs();
+    if (isInOwnZone(worker) || !worker.hasListedSlots()) {
+      return worker.runningCallsNow(now);
     }
-    double guessed = usualBusyPart * worker.capacity() * (1 - worker.toldWeight(now));
-    return worker.live + Math.max(worker.runningNow(now) - worker.live, guessed);
+    double guessed = usualBusyPart * worker.capacity() * (1 - worker.reportWeight(now));
+    return worker.liveCalls + Math.max(worker.runningCallsNow(now) - worker.liveCalls, guessed);
   }
 
-  private boolean near(WorkerState worker) {
+  private boolean isInOwnZone(WorkerState worker) {
     return worker.worker.zone().equals(zone);
   }
 
   private double costMs(
       Demand demand, WorkerState worker, double running, boolean keeper, boolean repeatable) {
-    long now = surroundings.now();
-    double unread = keeper ? unreadAtKeeper(demand, worker) : unreadTokens(demand, worker);
-    double readingMs = (worker.unreadNow(now) + unread) / WorkerConstants.PREFILL_TOKENS_PER_MS;
-    return crowdMs(demand, worker, running)
+    long now = environment.nowMs();
+    double unread = keeper ? unreadTokensAtPreferred(demand, worker) : unreadTokens(demand, worker);
+    double readingMs =
+        (worker.unreadPromptTokensNow(now) + unread) / WorkerConstants.PREFILL_TOKENS_PER_MS;
+    return loadCostMs(demand, worker, running)
         + waitMs(demand, worker, running)
         + readingMs
         + pauseMs(demand, worker, unread)
         + demand.targetMs()
-            * ((near(worker) ? 0 : WorkerConstants.REMOTE_ZONE_WEIGHT)
-                + doubt(worker, repeatable) * WorkerConstants.OUTLIER_WEIGHT
-                + surroundings.random().nextDouble() * WorkerConstants.JITTER_WEIGHT);
+            * ((isInOwnZone(worker) ? 0 : WorkerConstants.REMOTE_ZONE_WEIGHT)
+                + failureRisk(worker, repeatable) * WorkerConstants.OUTLIER_WEIGHT
+                + environment.random().nextDouble() * WorkerConstants.JITTER_WEIGHT);
   }
 
   /** The more run at a worker, the slower is each. */
-  private double crowdMs(Demand demand, WorkerState worker, double running) {
-    double slots = Math.max(1, worker.capacity()) * book.ramp(worker);
+  private double loadCostMs(Demand demand, WorkerState worker, double running) {
+    double slots = Math.max(1, worker.capacity()) * registry.slowStartWeight(worker);
     return demand.targetMs() * (running + 1) / slots;
   }
 
@@ -187,38 +188,39 @@
     if (gapMs <= 0) {
       return 0;
     }
-    double pauseMs = worker.pauseMs(surroundings.now(), unread);
+    double pauseMs = worker.streamPauseMs(environment.nowMs(), unread);
     return WorkerConstants.STREAM_PAUSE_WEIGHT
         * Math.max(0, pauseMs - WorkerConstants.MAX_STREAM_PAUSE_SHARE * gapMs);
   }
 
   /** The part of its runs that failed, and more while it rests or is not proved well again. */
-  private double doubt(WorkerState worker, boolean repeatable) {
-    boolean rests = surroundings.now() < worker.restsUntil;
-    boolean unproved = worker.faultsInRow > 0 && (worker.live > 0 || !repeatable);
-    return book.faultShare(worker) + (rests || unproved ? 1 : 0);
+  private double failureRisk(WorkerState worker, boolean repeatable) {
+    boolean rests = environment.nowMs() < worker.ejectedUntil;
+    boolean unproved = worker.consecutiveFailures > 0 && (worker.liveCalls > 0 || !repeatable);
+    return registry.failureRate(worker) + (rests || unproved ? 1 : 0);
   }
 
   /** Prompt tokens that a worker has to read: what this edge has sent there is kept there. */
   public static double unreadTokens(Demand demand, WorkerState worker) {
-    return demand.promptTokens() - worker.kept.kept(demand.prompt(), demand.chain());
+    return demand.promptTokens()
+        - worker.prefixCache.cachedTokens(demand.prompt(), demand.prefixHashes());
   }
 
   /** Of what other edges sent, the keeper is trusted to have half of the shared parts. */
-  private static double unreadAtKeeper(Demand demand, WorkerState worker) {
+  private static double unreadTokensAtPreferred(Demand demand, WorkerState worker) {
     return Math.min(
         unreadTokens(demand, worker), demand.promptTokens() - demand.sharedTokens() / 2.0);
   }
 
   /** How long a request waits for a slot, and for memory where its size is known. */
   public double waitMs(Demand demand, WorkerState worker) {
-    return waitMs(demand, worker, worker.runningNow(surroundings.now()));
+    return waitMs(demand, worker, worker.runningCallsNow(environment.nowMs()));
   }
 
   private double waitMs(Demand demand, WorkerState worker, double running) {
-    double waitMs = book.waitMs(worker, running);
-    long most = demand.keptTokensMost();
-    int own = worker.live + worker.batch;
+    double waitMs = registry.waitMs(worker, running);
+    long most = demand.cacheTokensPerWorker();
+    int own = worker.liveCalls + worker.batchCalls;
     if (most > 0 && own > 0) {
       double inUse = worker.tokens * running / own + demand.tokens();
       waitMs += Math.max(0, inUse - most) / most * worker.serviceMs;
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerState.java
@@ -15,48 +15,48 @@
   long loadAt = Long.MIN_VALUE / 2;
 
   /** This edge's runs there now. */
-  public int live;
+  public int liveCalls;
 
-  public int batch;
+  public int batchCalls;
 
   /**
    * This edge's runs begun less those ended since the last report: what the report can not know
    * yet.
    */
-  int sinceReport;
+  int callsSinceReport;
 
   /**
    * Highest live running of late; falls slowly, so that batch work does not refill what live will
    * want again.
    */
-  public double livePeak;
+  public double peakLiveCalls;
 
-  long livePeakAt;
-  public int faultsInRow;
-  int refusalsInRow;
-  public long restsUntil = Long.MIN_VALUE / 2;
+  long peakLiveCallsAt;
+  public int consecutiveFailures;
+  int consecutiveRejections;
+  public long ejectedUntil = Long.MIN_VALUE / 2;
   boolean polling;
 
   /** Others' runs there when a response last told. */
-  double others;
+  double otherCalls;
 
-  long othersAt = Long.MIN_VALUE / 2;
+  long otherCallsAt = Long.MIN_VALUE / 2;
 
   /**
    * When bytes last came from there in any run; suspect: a run there stayed silent too long, and
    * none came since.
    */
-  public long heardAt = Long.MIN_VALUE / 2;
+  public long lastHeardAt = Long.MIN_VALUE / 2;
 
   public boolean suspect;
 
-  /** Part of its recent runs that failed, 0 to 1, as of faultShareAt. */
-  double faultShare;
+  /** Part of its recent runs that failed, 0 to 1, as of failureRateAt. */
+  double failureRate;
 
-  long faultShareAt;
+  long failureRateAt;
 
   /** From here on it gets more requests by and by. */
-  long rampFrom = Long.MIN_VALUE / 2;
+  long slowStartFrom = Long.MIN_VALUE / 2;
 
   public double serviceMs = WorkerConstants.INITIAL_SERVICE_TIME_MS;
 
@@ -67,7 +67,7 @@
    * Prompt tokens of this edge's runs there from which nothing has come yet: they delay every
    * stream there.
    */
-  public double reading;
+  public double unreadPromptTokens;
 
   /** By edge of the zone: what it last told of its own runs there. */
   final Map<String, PeerLoad> peers = new HashMap<>();
@@ -76,51 +76,51 @@
    * Prompt tokens read here of late and the time that took, first bytes' way included: a pace that
    * is rather too low.
    */
-  private double paceTokens = WorkerConstants.INITIAL_PREFILL_SAMPLE_TOKENS;
+  private double prefillSampleTokens = WorkerConstants.INITIAL_PREFILL_SAMPLE_TOKENS;
 
-  private double paceMs =
+  private double prefillSampleMs =
       WorkerConstants.INITIAL_PREFILL_SAMPLE_TOKENS / WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS;
-  public final PrefixCache kept = new PrefixCache();
+  public final PrefixCache prefixCache = new PrefixCache();
   long idHash;
 
   /** Never asked for its load. */
-  boolean passive() {
+  boolean hasListedSlots() {
     return worker.slots() > 0;
   }
 
   public int capacity() {
-    return passive() ? worker.slots() : load.capacity();
+    return hasListedSlots() ? worker.slots() : load.capacity();
   }
 
-  public double othersNow(long now) {
+  public double otherCallsNow(long now) {
     double told = 0;
     for (PeerLoad each : peers.values()) {
-      told += each.running() * fading(now - each.at());
+      told += each.running() * decay(now - each.at());
     }
-    return Math.max(told, others * fading(now - othersAt));
+    return Math.max(told, otherCalls * decay(now - otherCallsAt));
   }
 
   /** From 1, if the worker has told its load just now, down to 0. */
-  double toldWeight(long now) {
-    return fading(now - othersAt);
+  double reportWeight(long now) {
+    return decay(now - otherCallsAt);
   }
 
-  private static double fading(long age) {
+  private static double decay(long age) {
     return Math.exp(-age / (double) WorkerConstants.LOAD_REPORT_DECAY_MS);
   }
 
-  public double readTokensPerMs() {
-    return paceTokens / paceMs;
+  public double prefillTokensPerMs() {
+    return prefillSampleTokens / prefillSampleMs;
   }
 
   /**
    * Tokens that were sent there and are still to be read, as far as is known: what peers told is
    * read meanwhile.
    */
-  public double unreadNow(long now) {
-    double unread = reading;
+  public double unreadPromptTokensNow(long now) {
+    double unread = unreadPromptTokens;
     for (PeerLoad each : peers.values()) {
-      unread += Math.max(0, each.unread() - (now - each.at()) * readTokensPerMs());
+      unread += Math.max(0, each.unreadPromptTokens() - (now - each.at()) * prefillTokensPerMs());
     }
     return unread;
   }
@@ -129,39 +129,40 @@
    * The pause that further prompt tokens make there in streams, with what is still to be read
    * before them.
    */
-  public double pauseMs(long now, double further) {
-    return (unreadNow(now) + further) / readTokensPerMs();
+  public double streamPauseMs(long now, double further) {
+    return (unreadPromptTokensNow(now) + further) / prefillTokensPerMs();
   }
 
   /** So many tokens were read in this time. */
-  public void notePace(double tokens, long tookMs) {
+  public void recordPrefill(double tokens, long tookMs) {
     if (tokens >= WorkerConstants.INITIAL_PREFILL_SAMPLE_TOKENS) {
-      paceTokens = paceTokens * WorkerConstants.PREFILL_RATE_RETENTION + tokens;
-      paceMs = paceMs * WorkerConstants.PREFILL_RATE_RETENTION + Math.max(1, tookMs);
+      prefillSampleTokens = prefillSampleTokens * WorkerConstants.PREFILL_RATE_RETENTION + tokens;
+      prefillSampleMs =
+          prefillSampleMs * WorkerConstants.PREFILL_RATE_RETENTION + Math.max(1, tookMs);
     }
   }
 
   /** All runs there as far as is known: this edge's own and the others' as last told. */
-  public double runningNow(long now) {
-    return passive() ? live + batch + othersNow(now) : running();
+  public double runningCallsNow(long now) {
+    return hasListedSlots() ? liveCalls + batchCalls + otherCallsNow(now) : runningCalls();
   }
 
-  public boolean leaving() {
+  public boolean isDraining() {
     return worker.state().equals(WorkerRegistration.LEAVING) || load.leaving();
   }
 
-  public int running() {
-    return passive()
-        ? live + batch + (int) Math.round(others)
-        : Math.max(live + batch, load.running() + load.queued() + sinceReport);
+  public int runningCalls() {
+    return hasListedSlots()
+        ? liveCalls + batchCalls + (int) Math.round(otherCalls)
+        : Math.max(liveCalls + batchCalls, load.running() + load.queued() + callsSinceReport);
   }
 
   /** Runs there that are not this edge's batch items. */
   public int liveRunning() {
-    return running() - batch;
+    return runningCalls() - batchCalls;
   }
 
   public int free() {
-    return capacity() - running();
+    return capacity() - runningCalls();
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/api/ApiErrorFormatTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ApiErrorFormatTest.java
@@ -24,15 +24,15 @@
     assertThat(texts.keySet()).containsExactlyElementsIn(faults().keySet());
     faults()
         .forEach(
-            (name, fault) ->
-                assertWithMessage(name).that(described(fault)).isEqualTo(texts.get(name)));
+            (name, error) ->
+                assertWithMessage(name).that(described(error)).isEqualTo(texts.get(name)));
   }
 
   /** All that programs go by: the sentence for a reader may be put better at any time. */
-  static String described(ApiError fault) {
-    ObjectNode json = (ObjectNode) fault.toJson();
+  static String described(ApiError error) {
+    ObjectNode json = (ObjectNode) error.toJson();
     json.remove("message");
-    return json.put("status", fault.row().status()).toString();
+    return json.put("status", error.description().status()).toString();
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
@@ -54,7 +54,7 @@
   @Test
   void passesWhatTheValidatorPasses() {
     assertThat(ConstraintChecker.passes(bundle(ROUTES, "text"))).isTrue();
-    assertThat(RoutingConfiguration.check(Json.bytes(bundle(ROUTES, "text"))).bundle())
+    assertThat(RoutingConfiguration.validate(Json.bytes(bundle(ROUTES, "text"))).configuration())
         .isEqualTo(bundle(ROUTES, "text"));
   }
 
@@ -87,7 +87,7 @@
           RoutingConfiguration read = Json.read(Json.bytes(tree), RoutingConfiguration.class);
           assertWithMessage(path).that(ConstraintChecker.passes(read)).isFalse();
           assertWithMessage(path)
-              .that(RoutingConfiguration.check(Json.bytes(read)).fault())
+              .that(RoutingConfiguration.validate(Json.bytes(read)).error())
               .isInstanceOf(ApiError.InvalidConfiguration.class);
         });
   }
@@ -110,7 +110,7 @@
             text.replaceFirst("\"sticky\":true", "\"sticky\":null"),
             text.replaceFirst("\\{", "{\"more\":1,"))) {
       assertWithMessage(faulty)
-          .that(RoutingConfiguration.check(faulty.getBytes(UTF_8)).fault())
+          .that(RoutingConfiguration.validate(faulty.getBytes(UTF_8)).error())
           .isInstanceOf(ApiError.InvalidConfiguration.class);
     }
   }
@@ -133,7 +133,8 @@
     SignedConfiguration read = Json.read(told, SignedConfiguration.class);
     assertThat(read.number()).isEqualTo(3);
     assertThat(read.accepted()).isNull();
-    assertThat(RoutingConfiguration.kept(read.bytes()).bundle()).isEqualTo(bundle(ROUTES, null));
+    assertThat(RoutingConfiguration.readCommitted(read.bytes()).configuration())
+        .isEqualTo(bundle(ROUTES, null));
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/api/ResponseTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ResponseTest.java
@@ -15,7 +15,8 @@
   void anEncodedBodyIsPassedOnAsItCame() {
     Response response = Response.encoded(200, ENCODED, 7);
     assertThat(response.encodedBody()).isSameInstanceAs(ENCODED);
-    assertThat(response.withStatus(412).withComeBackMs(0).encodedBody()).isSameInstanceAs(ENCODED);
+    assertThat(response.withStatus(412).withRetryAfterMs(0).encodedBody())
+        .isSameInstanceAs(ENCODED);
   }
 
   @Test
@@ -38,6 +39,6 @@
   void theTypeOfAnEncodedFaultIsKnown() {
     Response refusal = Response.of(new ApiError.NoConfiguration());
     Response passedOn = Response.encoded(refusal.status(), refusal.encodedBody(), 0);
-    assertThat(passedOn.faultType()).isEqualTo("NoBundle");
+    assertThat(passedOn.errorType()).isEqualTo("NoBundle");
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
@@ -33,27 +33,27 @@
 
   final List<Message> toLeader = new ArrayList<>();
   final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
-  BatchDispatcher feeder;
-  final WorkerRegistry book = new WorkerRegistry(this, () -> feeder.pump());
+  BatchDispatcher batchDispatcher;
+  final WorkerRegistry registry = new WorkerRegistry(this, () -> batchDispatcher.pump());
 
   /** Whether the leader answers reports. */
   boolean answers = true;
 
-  RoutingConfiguration bundle;
+  RoutingConfiguration configuration;
   ApiError mayBegin;
 
   BatchDispatcherFixture() {
     super(10_000);
-    feeder = new BatchDispatcher(this, "near", this, book);
+    batchDispatcher = new BatchDispatcher(this, "near", this, registry);
     routes(route("p", 1));
     tick();
   }
 
   private void tick() {
-    after(
+    schedule(
         WorkerConstants.LOAD_POLL_INTERVAL_MS,
         () -> {
-          feeder.tick();
+          batchDispatcher.tick();
           tick();
         });
   }
@@ -83,7 +83,7 @@
         new RoutingConfiguration.Limits(
             Map.of("c", new RoutingConfiguration.ClassLimit(0, 0)),
             new RoutingConfiguration.BatchLimits("q", 0, 0, 0, false, 1_000, null));
-    bundle =
+    configuration =
         new RoutingConfiguration(
             1,
             Map.of("p", pool, "q", pool, "none", pool),
@@ -100,7 +100,7 @@
         id,
         new WorkerRegistration(
             id, "10.0.0.1:" + (1000 + workers.size()), pool, WorkerRegistration.READY, "z", slots));
-    book.follow(workers);
+    registry.updateWorkers(workers);
     return this;
   }
 
@@ -108,11 +108,12 @@
     WorkerRegistration old = workers.get(id);
     workers.put(
         id, new WorkerRegistration(id, old.address(), old.pool(), state, old.zone(), old.slots()));
-    book.follow(workers);
+    registry.updateWorkers(workers);
   }
 
   BatchDispatcherFixture offer(String batch) {
-    feeder.offered(new BatchOffer(batch, 10_000, 5, HOST, "/l/b"), "leader", "10.0.0.9:1");
+    batchDispatcher.handleOffer(
+        new BatchOffer(batch, 10_000, 5, HOST, "/l/b"), "leader", "10.0.0.9:1");
     return this;
   }
 
@@ -127,8 +128,8 @@
   }
 
   void handOut(String worker, int range, long dueInMs, List<AssignedItem> items) {
-    feeder.handedOut(
-        new RangeAssignment("o-1", worker, range, 1, false, dueInMs, now(), items),
+    batchDispatcher.handleAssignment(
+        new RangeAssignment("o-1", worker, range, 1, false, dueInMs, nowMs(), items),
         "leader",
         "10.0.0.9:1");
   }
@@ -167,49 +168,49 @@
 
   boolean gaveBack() {
     return toLeader.stream()
-        .anyMatch(message -> message instanceof RangeReport report && report.giveBack());
+        .anyMatch(message -> message instanceof RangeReport report && report.returned());
   }
 
   @Override
   public void send(String toAddress, String toId, Message message) {
     toLeader.add(message);
     if (message instanceof RangeReport report && answers) {
-      after(
+      schedule(
           1,
           () ->
-              feeder.answered(
+              batchDispatcher.handleReportResponse(
                   new RangeReportResponse(
                       report.batch(),
                       report.range(),
                       report.rangeEpoch(),
                       report.worker(),
                       report.reportNumber(),
-                      !report.giveBack())));
+                      !report.returned())));
     }
   }
 
   @Override
-  public boolean feeds(String worker) {
+  public boolean dispatchesTo(String worker) {
     return true;
   }
 
   @Override
-  public ApiError mayBegin() {
+  public ApiError rejectionOfNewWork() {
     return mayBegin;
   }
 
   @Override
-  public RoutingConfiguration bundle() {
-    return bundle;
+  public RoutingConfiguration configuration() {
+    return configuration;
   }
 
   @Override
   public RouteTable routes() {
-    return bundle == null ? RouteTable.EMPTY : RouteTable.compile(bundle);
+    return configuration == null ? RouteTable.EMPTY : RouteTable.compile(configuration);
   }
 
   @Override
-  public boolean stopping() {
+  public boolean isStopping() {
     return false;
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
@@ -164,7 +164,7 @@
     fixture.run(2 * BatchConstants.RESULT_RESEND_MS);
     assertThat(carried(0)).isEqualTo(2);
     assertThat(carried(1)).isEqualTo(1);
-    assertThat(fixture.feeder.heldRanges()).isEqualTo(0);
+    assertThat(fixture.batchDispatcher.heldRanges()).isEqualTo(0);
   }
 
   @Test
@@ -172,7 +172,7 @@
     fixture.answers = false;
     Sent run = handOne();
     serve(run);
-    fixture.feeder.leaderMoved("o-1", "next", "10.0.0.8:1");
+    fixture.batchDispatcher.leaderMoved("o-1", "next", "10.0.0.8:1");
     fixture.run(BatchConstants.RANGE_REPORT_INTERVAL_MS + WorkerConstants.LOAD_POLL_INTERVAL_MS);
     assertThat(carried(0)).isEqualTo(2);
   }
@@ -183,7 +183,7 @@
     run.worker.head(STREAM);
     run.event(1, "a");
     run.event(2, "b");
-    run.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     run.event(3, "late");
     fixture.run(500);
     ItemOutcome part = fixture.outcomes(0).get(0);
@@ -219,7 +219,7 @@
     fixture.mark("w", WorkerRegistration.LEAVING);
     fixture.run(300);
     assertThat(run.cancelled).isFalse();
-    run.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(500);
     ItemOutcome part = fixture.outcomes(0).get(0);
     assertThat(part.faultType()).isEqualTo("WorkerCut");
@@ -246,7 +246,7 @@
   void onlyAWhole500IsAFailedAttempt() {
     Sent run = handOne();
     run.worker.head(new ResponseHead(500, List.of()));
-    run.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(2_000);
     assertThat(fixture.outcomes(0)).isEmpty();
     fixture.handOut("w", 1, 0);
@@ -270,14 +270,14 @@
     run.worker.head(new ResponseHead(504, List.of()));
     run.worker.end();
     fixture.run(500);
-    fixture.sent.get(1).worker.fault(new ApiError.WorkerRejected(503), false);
+    fixture.sent.get(1).worker.fail(new ApiError.WorkerRejected(503), false);
     fixture.run(500);
     Sent page = fixture.sent.get(2);
     page.worker.head(new ResponseHead(200, List.of(new Header("Content-Type", "text/plain"))));
-    page.worker.piece(new ResponseChunk("", "data: x".getBytes(UTF_8)));
+    page.worker.chunk(new ResponseChunk("", "data: x".getBytes(UTF_8)));
     page.worker.end();
     fixture.run(500);
-    fixture.sent.get(3).worker.fault(new ApiError.MalformedWorkerResponse("w"), true);
+    fixture.sent.get(3).worker.fail(new ApiError.MalformedWorkerResponse("w"), true);
     fixture.run(1_000);
     assertThat(fixture.outcomes(0)).isEmpty();
     assertThat(fixture.gaveBack()).isTrue();
@@ -317,7 +317,7 @@
   @Test
   void leavesTheReserveFreeBesideLiveRequests() {
     fed("w", 8);
-    fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad("w", 2, 0))));
+    fixture.registry.recordPeerLoad("other", new PeerLoadReport(List.of(new OwnLoad("w", 2, 0))));
     fixture.handOut("w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
     begun();
     assertThat(fixture.sent).hasSize(5);
@@ -381,7 +381,7 @@
             (150
                 * BatchConstants.MAX_STREAM_PAUSE_SHARE
                 * WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS);
-    fixture.book.peerTold(
+    fixture.registry.recordPeerLoad(
         "other", new PeerLoadReport(List.of(new OwnLoad("w", 1, pauseTokens + 2_000))));
     fixture.handOut("w", 0, 0);
     assertThat(fixture.sent).isEmpty();
@@ -394,12 +394,12 @@
   @Test
   void itsOwnItemsCountAsToBeReadUntilSomethingComes() {
     fed("w", 8).handOut("w", 0, 0);
-    WorkerState worker = fixture.book.get("w");
-    assertThat(worker.reading).isEqualTo(35.0);
+    WorkerState worker = fixture.registry.get("w");
+    assertThat(worker.unreadPromptTokens).isEqualTo(35.0);
     fixture.sent.get(0).worker.head(STREAM);
-    assertThat(worker.reading).isEqualTo(0.0);
-    fixture.sent.get(0).worker.fault(new ApiError.WorkerTimeout("w"), true);
-    assertThat(worker.reading).isEqualTo(0.0);
+    assertThat(worker.unreadPromptTokens).isEqualTo(0.0);
+    fixture.sent.get(0).worker.fail(new ApiError.WorkerTimeout("w"), true);
+    assertThat(worker.unreadPromptTokens).isEqualTo(0.0);
   }
 
   @Test
@@ -440,7 +440,7 @@
   @Test
   void anEndCancelsWhatRuns() {
     Sent run = handOne();
-    fixture.feeder.ended("o-1");
+    fixture.batchDispatcher.batchEnded("o-1");
     assertThat(run.cancelled).isTrue();
     fixture.run(1_000);
     assertThat(fixture.sent).hasSize(1);
@@ -451,8 +451,8 @@
   void aWorkerThatIsListedNoMoreGivesItsRangesBack() {
     fixture.worker("w", "p", 2).handOut("w", 0, 0, 1);
     fixture.workers.clear();
-    fixture.book.follow(fixture.workers);
-    fixture.sent.get(0).worker.fault(new ApiError.WorkerUnreachable("w"), false);
+    fixture.registry.updateWorkers(fixture.workers);
+    fixture.sent.get(0).worker.fail(new ApiError.WorkerUnreachable("w"), false);
     fixture.run(500);
     assertThat(fixture.gaveBack()).isTrue();
   }
@@ -466,7 +466,7 @@
     run.worker.end();
     fixture.run(10_000);
     fixture.toLeader.clear();
-    fixture.feeder.leaderMoved("o-1", "next", "10.0.0.8:1");
+    fixture.batchDispatcher.leaderMoved("o-1", "next", "10.0.0.8:1");
     fixture.run(500);
     assertThat(fixture.outcomes(0)).hasSize(1);
   }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchStateTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchStateTest.java
@@ -16,10 +16,10 @@
 
 /** The fold of an opaque batch's log. */
 final class BatchStateTest {
-  private final BatchState view = new BatchState();
+  private final BatchState batchState = new BatchState();
 
   private void fold(BatchEvent event) {
-    view.fold(Json.bytes(event));
+    batchState.apply(Json.bytes(event));
   }
 
   private void accept() {
@@ -55,11 +55,11 @@
   @Test
   void waitsForTheTokensOfItemsWithoutAResult() {
     accept();
-    assertThat(view.waitingRoom()).isEqualTo(123);
+    assertThat(batchState.remainingCapacity()).isEqualTo(123);
     record(0, null, "x");
-    assertThat(view.waitingRoom()).isEqualTo(23);
+    assertThat(batchState.remainingCapacity()).isEqualTo(23);
     record(2, "ItemImpossible", null);
-    assertThat(view.waitingRoom()).isEqualTo(20);
+    assertThat(batchState.remainingCapacity()).isEqualTo(20);
   }
 
   @Test
@@ -67,8 +67,8 @@
     accept();
     fold(BatchEvent.plain(BatchEvent.ENDED, 0));
     record(0, null, "x");
-    assertThat(view.waitingRoom()).isEqualTo(0);
-    assertThat(view.results).isEmpty();
+    assertThat(batchState.remainingCapacity()).isEqualTo(0);
+    assertThat(batchState.results).isEmpty();
   }
 
   @Test
@@ -77,10 +77,10 @@
     record(1, null, "x");
     record(0, null, "y");
     record(1, null, "z");
-    assertThat(view.results.stream().map(Result::output).toList())
+    assertThat(batchState.results.stream().map(Result::output).toList())
         .containsExactly("x", "y")
         .inOrder();
-    assertThat(view.waitingRoom()).isEqualTo(3);
+    assertThat(batchState.remainingCapacity()).isEqualTo(3);
   }
 
   @Test
@@ -89,14 +89,14 @@
     var attempt = new Recorded(0, 1, List.of(), List.of(new Attempt(0, "run", "ItemFailed")));
     fold(BatchEvent.recorded(0, attempt));
     fold(BatchEvent.recorded(0, attempt));
-    assertThat(view.attempts(0)).isEqualTo(1);
+    assertThat(batchState.attempts(0)).isEqualTo(1);
   }
 
   @Test
   void keepsTheBodyByteForByte() {
     accept();
     ProxiedBatch.Item item =
-        JSON.convertValue(view.accepted.items().get(1), ProxiedBatch.Item.class);
+        JSON.convertValue(batchState.accepted.items().get(1), ProxiedBatch.Item.class);
     assertThat(new String(item.body(), UTF_8)).isEqualTo("body");
   }
 
@@ -105,6 +105,6 @@
     fold(
         BatchEvent.accepted(
             new Accepted("s", "d", 1, 1, List.of(JSON.createObjectNode().put("id", "a")), null)));
-    assertThat(view.waitingRoom()).isEqualTo(1);
+    assertThat(batchState.remainingCapacity()).isEqualTo(1);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/RecordFormatTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/RecordFormatTest.java
@@ -288,7 +288,8 @@
         JSON.createObjectNode().put("id", "i0").put("prompt", "Good day").put("max_tokens", 160);
     JsonNode request =
         JSON.createObjectNode().put("id", "x7").put("target", "/batch-0/b5/x7").put("tokens", 290);
-    ProxiedRoute opaque = new ProxiedRoute("h0.example", "/batch-0/b5", "batch-0", 12, 3, 5000);
+    ProxiedRoute proxiedRoute =
+        new ProxiedRoute("h0.example", "/batch-0/b5", "batch-0", 12, 3, 5000);
     events.put(
         "accepted-prompts",
         BatchEvent.accepted(
@@ -296,7 +297,7 @@
     events.put(
         "accepted-opaque",
         BatchEvent.accepted(
-            new Accepted("", "fields:7cea1ead", 10000, 3600000, List.of(request), opaque)));
+            new Accepted("", "fields:7cea1ead", 10000, 3600000, List.of(request), proxiedRoute)));
     events.put("ordered", BatchEvent.ordered(List.of(2, 0, 1), 2));
     events.put("assigned", BatchEvent.assigned(12, new Assigned(1, 2, "d1529810cb40", "w1")));
     events.put(
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
@@ -9,9 +9,9 @@
   @Test
   void theSampleIsReadWithoutFault() {
     BatchFormat.ParsedBatch read =
-        BatchFormat.OWN.read(BatchFormat.OWN.sample("id", "h.example", "/p/id", 60));
+        BatchFormat.OWN.parse(BatchFormat.OWN.sample("id", "h.example", "/p/id", 60));
 
-    assertThat(read.fault()).isNull();
+    assertThat(read.error()).isNull();
     assertThat(read.batch().items()).hasSize(60);
     assertThat(read.batch().path()).isEqualTo("/p/id");
   }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
@@ -13,7 +13,7 @@
 
 /** A submission is passed on as it came and becomes the accepting event at its leader. */
 class SubmissionReaderTest {
-  private final SubmissionReader intake = new SubmissionReader(BatchFormat.OWN);
+  private final SubmissionReader submissionReader = new SubmissionReader(BatchFormat.OWN);
 
   private static ProxiedBatch batch(String body) {
     var item =
@@ -40,14 +40,16 @@
   void theVersionBeforeSentTheEventItself() {
     byte[] body = Json.bytes(new Accepted("", "digest", 10, 20, List.of(), null));
 
-    assertThat(intake.take(body, null, RouteTable.EMPTY).accepted().digest()).isEqualTo("digest");
+    assertThat(submissionReader.read(body, null, RouteTable.EMPTY).accepted().digest())
+        .isEqualTo("digest");
   }
 
   @Test
   void withoutAConfigurationNothingIsTaken() {
-    SubmissionReader.ReadResult taken = intake.take(sent(batch("x"), 3), null, RouteTable.EMPTY);
+    SubmissionReader.ReadResult taken =
+        submissionReader.read(sent(batch("x"), 3), null, RouteTable.EMPTY);
 
-    assertThat(taken.fault()).isInstanceOf(ApiError.NotReady.class);
+    assertThat(taken.error()).isInstanceOf(ApiError.NotReady.class);
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/changefeed/ChangeFeedTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/changefeed/ChangeFeedTest.java
@@ -21,7 +21,7 @@
     feed.add(item("one", 2));
     feed.add(other);
     feed.add(newest);
-    assertThat(feed.number()).isEqualTo(4);
+    assertThat(feed.position()).isEqualTo(4);
     assertThat(feed.after(0)).containsExactly(other, newest).inOrder();
     assertThat(feed.after(3)).containsExactly(newest);
     assertThat(feed.after(4)).isEmpty();
@@ -32,7 +32,7 @@
     for (int change = 1; change <= 10_000; change++) {
       feed.add(item("key-" + change % 3, change));
     }
-    assertThat(feed.number()).isEqualTo(10_000);
+    assertThat(feed.position()).isEqualTo(10_000);
     assertThat(feed.after(0)).hasSize(3);
     assertThat(feed.after(9_999)).isEqualTo(List.of(feed.after(0).get(2)));
   }
--- a/core-logic/src/test/java/applespindle/corelogic/configuration/ConfigurationPatchTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/ConfigurationPatchTest.java
@@ -18,7 +18,7 @@
       """;
 
   private static ConfigurationPatch.ParsedPatch read(String patch) {
-    return ConfigurationPatch.read(
+    return ConfigurationPatch.parse(
         ConfigurationFormat.OWN, patch.replace('\'', '"').getBytes(UTF_8));
   }
 
@@ -37,7 +37,7 @@
                 "{'number': 9, 'upsert': {'routes': [{'name': 'r3'}, {'name': 'r1', 'host':"
                     + " 'new'}], 'pools': {'c': {}}}, 'remove': {'routes': ['r2'], 'pools':"
                     + " ['a']}}")
-            .whole();
+            .configuration();
 
     assertThat(whole.toString())
         .isEqualTo(
@@ -58,15 +58,15 @@
         read("{'number': 1, 'upsert': {'routes': [{'name': 'r'}], 'pools': {'a': {}}}}")
             .patch()
             .applyTo(Json.JSON.createObjectNode())
-            .whole();
+            .configuration();
     assertThat(whole.path("routes")).hasSize(1);
     assertThat(whole.path("pools")).hasSize(1);
   }
 
   @Test
   void changesOfNothingButTheRevisionAreAllowed() {
-    assertThat(applied("{'number': 9}").whole().path("number").asLong()).isEqualTo(9);
-    assertThat(applied("{'number': 9, 'upsert': null, 'remove': {}}").faults()).isEmpty();
+    assertThat(applied("{'number': 9}").configuration().path("number").asLong()).isEqualTo(9);
+    assertThat(applied("{'number': 9, 'upsert': null, 'remove': {}}").errors()).isEmpty();
   }
 
   @Test
@@ -103,7 +103,7 @@
   @Test
   void whatIsToBeRemovedMustBeThere() {
     List<ApiError.Field> faults =
-        applied("{'number': 9, 'remove': {'routes': ['r1', 'r9'], 'pools': ['z']}}").faults();
+        applied("{'number': 9, 'remove': {'routes': ['r1', 'r9'], 'pools': ['z']}}").errors();
     assertThat(faults.stream().map(ApiError.Field::path))
         .containsExactly("$.remove.routes[1]", "$.remove.pools[0]");
   }
@@ -112,7 +112,7 @@
     ConfigurationPatch.ParsedPatch read = read(patch);
     assertWithMessage(patch).that(read.patch()).isNull();
     assertWithMessage(patch)
-        .that(read.faults().stream().map(ApiError.Field::path).toList())
+        .that(read.errors().stream().map(ApiError.Field::path).toList())
         .containsExactly(path);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
@@ -24,19 +24,19 @@
       """;
 
   private static RoutingConfiguration.ValidationResult check(String text) {
-    return RoutingConfiguration.check(text.getBytes(UTF_8));
+    return RoutingConfiguration.validate(text.getBytes(UTF_8));
   }
 
   private static void rejects(String text, String... paths) {
-    ApiError fault = check(text).fault();
-    assertThat(fault).isInstanceOf(ApiError.InvalidConfiguration.class);
-    assertThat(((ApiError.InvalidConfiguration) fault).fields().stream().map(ApiError.Field::path))
+    ApiError error = check(text).error();
+    assertThat(error).isInstanceOf(ApiError.InvalidConfiguration.class);
+    assertThat(((ApiError.InvalidConfiguration) error).fields().stream().map(ApiError.Field::path))
         .containsExactlyElementsIn(List.of(paths));
   }
 
   @Test
   void rulesRunInOrder() {
-    CompiledRules rules = CompiledRules.compile(check(GOOD).bundle());
+    CompiledRules rules = CompiledRules.compile(check(GOOD).configuration());
     var longOne = new CompiledRules.Subject(null, "authority", "", Map.of(), 101);
     var shortOne = new CompiledRules.Subject(null, "authority", "", Map.of("x-kind", "short"), 100);
     var neither = new CompiledRules.Subject(null, "other", "", Map.of(), 101);
@@ -59,18 +59,19 @@
 
   @Test
   void namesThePositionOfAFaultyExpression() {
-    ApiError fault = check(GOOD.replace("promptChars > 100", "promptChars > 'x'")).fault();
-    ApiError.Field field = ((ApiError.InvalidConfiguration) fault).fields().get(0);
+    ApiError error = check(GOOD.replace("promptChars > 100", "promptChars > 'x'")).error();
+    ApiError.Field field = ((ApiError.InvalidConfiguration) error).fields().get(0);
     assertThat(field.path()).isEqualTo("$.rules[0].when");
     assertThat(field.reason()).startsWith("line 1, column 13: ");
-    assertThat(check(GOOD.replace("promptChars > 100", "[1].exists(x, x > 0)")).fault().type())
+    assertThat(check(GOOD.replace("promptChars > 100", "[1].exists(x, x > 0)")).error().type())
         .isEqualTo("InvalidBundle");
   }
 
   @Test
   void anUnknownSignerAndAWrongSignatureAreRefusedBeforeAnythingIsRead() {
     byte[] bytes = "not json".getBytes(UTF_8);
-    assertThat(RoutingConfiguration.check(bytes, "nobody", new byte[64], Map.of()).fault().type())
+    assertThat(
+            RoutingConfiguration.validate(bytes, "nobody", new byte[64], Map.of()).error().type())
         .isEqualTo("SignatureRefused");
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/environment/FakeEnvironment.java
+++ b/core-logic/src/test/java/applespindle/corelogic/environment/FakeEnvironment.java
@@ -38,7 +38,7 @@
     }
 
     public void event(int id, String data) {
-      worker.piece(
+      worker.chunk(
           new ResponseChunk("" + id, ("id: " + id + "\ndata: " + data + "\n\n").getBytes(UTF_8)));
     }
   }
@@ -72,12 +72,12 @@
   }
 
   @Override
-  public long now() {
+  public long nowMs() {
     return now;
   }
 
   @Override
-  public ScheduledTask after(long millis, Runnable task) {
+  public ScheduledTask schedule(long millis, Runnable task) {
     Planned planned = new Planned(now + millis, order++, task);
     plan.add(planned);
     return () -> plan.remove(planned);
@@ -97,12 +97,12 @@
   public void write(List<LogRecord> records, Runnable whenSynced) {}
 
   @Override
-  public boolean takesWrites() {
+  public boolean acceptsWrites() {
     return true;
   }
 
   @Override
-  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+  public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     throw new AssertionError("no such run");
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
@@ -33,9 +33,9 @@
   static final String POOL = "p";
 
   final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
-  final WorkerRegistry book = new WorkerRegistry(this, () -> {});
-  final ProxyDispatcher desk = new ProxyDispatcher(this, "near", this, book);
-  RoutingConfiguration bundle;
+  final WorkerRegistry registry = new WorkerRegistry(this, () -> {});
+  final ProxyDispatcher desk = new ProxyDispatcher(this, "near", this, registry);
+  RoutingConfiguration configuration;
   ApiError mayBegin;
   ApiError mayGoOn;
 
@@ -53,7 +53,7 @@
             WorkerRegistration.READY,
             zone,
             slots));
-    book.follow(workers);
+    registry.updateWorkers(workers);
     return this;
   }
 
@@ -61,7 +61,7 @@
     WorkerRegistration old = workers.get(id);
     workers.put(
         id, new WorkerRegistration(id, old.address(), old.pool(), state, old.zone(), old.slots()));
-    book.follow(workers);
+    registry.updateWorkers(workers);
   }
 
   ProxyDispatcherFixture routes(Route... routes) {
@@ -71,7 +71,8 @@
             new RoutingConfiguration.Pool(64, 4, 1.5),
             "q",
             new RoutingConfiguration.Pool(64, 4, 1.5));
-    bundle = new RoutingConfiguration(1, pools, List.of(), null, Arrays.asList(routes), null, null);
+    configuration =
+        new RoutingConfiguration(1, pools, List.of(), null, Arrays.asList(routes), null, null);
     return this;
   }
 
@@ -86,23 +87,23 @@
   }
 
   @Override
-  public ApiError mayBegin() {
+  public ApiError rejectionOfNewWork() {
     return mayBegin == null ? mayGoOn : mayBegin;
   }
 
   @Override
-  public ApiError mayGoOn() {
+  public ApiError rejectionOfAdmittedWork() {
     return mayGoOn;
   }
 
   @Override
-  public RoutingConfiguration bundle() {
-    return bundle;
+  public RoutingConfiguration configuration() {
+    return configuration;
   }
 
   @Override
   public RouteTable routes() {
-    return bundle == null ? RouteTable.EMPTY : RouteTable.compile(bundle);
+    return configuration == null ? RouteTable.EMPTY : RouteTable.compile(configuration);
   }
 
   @Override
@@ -112,7 +113,7 @@
   public void unclaimOnce(String id, String token) {}
 
   @Override
-  public void count(String counter) {}
+  public void incrementCounter(String counter) {}
 
   /** Writes down what it hears. */
   static final class Client implements ProxiedResponseListener {
@@ -127,7 +128,7 @@
     }
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       heard.add(new String(piece.bytes(), UTF_8));
     }
 
@@ -143,8 +144,8 @@
     }
 
     @Override
-    public void cut(ApiError fault) {
-      cut = fault;
+    public void cut(ApiError error) {
+      cut = error;
       heard.add("cut");
     }
   }
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
@@ -91,9 +91,9 @@
     fixture.mayBegin = new ApiError.NodeStopping();
     Client client = fixture.pass(request("1"));
     assertThat(client.refusal.status()).isEqualTo(503);
-    assertThat(client.refusal.comeBackMs()).isGreaterThan(0);
+    assertThat(client.refusal.retryAfterMs()).isGreaterThan(0);
     fixture.mayBegin = null;
-    fixture.bundle = null;
+    fixture.configuration = null;
     assertThat(fixture.pass(request("2")).heard).containsExactly("refused 503");
     assertThat(fixture.sent).isEmpty();
   }
@@ -137,8 +137,8 @@
     }
     assertThat(taken).isAtLeast(2);
     assertThat(last.refusal.status()).isEqualTo(503);
-    assertThat(last.refusal.comeBackMs()).isAtLeast(LiveRequestConstants.MIN_RETRY_AFTER_MS);
-    assertThat(last.refusal.comeBackMs()).isAtMost(LiveRequestConstants.MAX_RETRY_AFTER_MS);
+    assertThat(last.refusal.retryAfterMs()).isAtLeast(LiveRequestConstants.MIN_RETRY_AFTER_MS);
+    assertThat(last.refusal.retryAfterMs()).isAtMost(LiveRequestConstants.MAX_RETRY_AFTER_MS);
   }
 
   @Test
@@ -146,7 +146,7 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
     Client client = fixture.pass(request("1"));
     fixture.mayGoOn = new ApiError.NodeIsolated(9_000);
-    fixture.last().worker.fault(new ApiError.WorkerRejected(503), false);
+    fixture.last().worker.fail(new ApiError.WorkerRejected(503), false);
     assertThat(client.heard).containsExactly("refused 503");
     assertThat(fixture.sent).hasSize(1);
   }
@@ -157,21 +157,21 @@
   void goesOnAfterAWorkersWordForEveryTypeUpToTheAttempts() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 2, false));
     Client client = fixture.pass(request("1"));
-    fixture.last().worker.fault(new ApiError.WorkerRejected(503), false);
+    fixture.last().worker.fail(new ApiError.WorkerRejected(503), false);
     assertThat(fixture.sent).hasSize(2);
     assertThat(fixture.sent.get(1).call.workerId())
         .isNotEqualTo(fixture.sent.get(0).call.workerId());
-    fixture.last().worker.fault(new ApiError.WorkerRejected(421), false);
+    fixture.last().worker.fail(new ApiError.WorkerRejected(421), false);
     assertThat(fixture.sent).hasSize(2);
     assertThat(client.refusal.status()).isEqualTo(503);
-    assertThat(client.refusal.comeBackMs()).isGreaterThan(0);
+    assertThat(client.refusal.retryAfterMs()).isGreaterThan(0);
   }
 
   @Test
   void attemptsOfZeroCountAsOne() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 0, false));
     Client client = fixture.pass(request("1"));
-    fixture.last().worker.fault(new ApiError.WorkerRejected(503), false);
+    fixture.last().worker.fail(new ApiError.WorkerRejected(503), false);
     assertThat(fixture.sent).hasSize(1);
     assertThat(client.heard).containsExactly("refused 503");
   }
@@ -180,10 +180,10 @@
   void doesNotCountAConnectionThatWasNeverMade() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     Client client = fixture.pass(request("1"));
-    fixture.last().worker.fault(new ApiError.WorkerUnreachable("w"), false);
-    fixture.last().worker.fault(new ApiError.WorkerUnreachable("w"), false);
+    fixture.last().worker.fail(new ApiError.WorkerUnreachable("w"), false);
+    fixture.last().worker.fail(new ApiError.WorkerUnreachable("w"), false);
     assertThat(fixture.sent).hasSize(3);
-    fixture.last().worker.fault(new ApiError.WorkerUnreachable("w"), false);
+    fixture.last().worker.fail(new ApiError.WorkerUnreachable("w"), false);
     assertThat(client.heard).containsExactly("refused 503");
   }
 
@@ -191,7 +191,7 @@
   void neverSendsAOnceRequestAgainWhenItMayHaveRun() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 3, false));
     Client client = fixture.pass(request("1"));
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(fixture.sent).hasSize(1);
     assertThat(client.heard).containsExactly("refused 502");
   }
@@ -201,7 +201,7 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 3, false));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(fixture.sent).hasSize(1);
     assertThat(client.heard).containsExactly("refused 502");
   }
@@ -210,8 +210,8 @@
   void promisesNothingOnceSomethingMayHaveRun() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 2, false));
     Client client = fixture.pass(request("1"));
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
-    fixture.last().worker.fault(new ApiError.WorkerRejected(503), false);
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.fail(new ApiError.WorkerRejected(503), false);
     assertThat(client.heard).containsExactly("refused 504");
   }
 
@@ -220,9 +220,9 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(new ResponseChunk("", "whole".getBytes(UTF_8)));
+    fixture.last().worker.chunk(new ResponseChunk("", "whole".getBytes(UTF_8)));
     fixture.last().worker.end();
     assertThat(client.heard).containsExactly("head 200", "whole", "end").inOrder();
   }
@@ -232,8 +232,8 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(new ResponseChunk("", "half".getBytes(UTF_8)));
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.chunk(new ResponseChunk("", "half".getBytes(UTF_8)));
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(client.heard).containsExactly("head 200", "half", "cut").inOrder();
     assertThat(fixture.sent).hasSize(1);
   }
@@ -243,7 +243,7 @@
     ProxyDispatcherFixture repeatable = fixture(route(RouteType.REPEATABLE, 2, false));
     Client first = repeatable.pass(request("1"));
     repeatable.last().worker.head(new ResponseHead(500, List.of()));
-    repeatable.last().worker.piece(new ResponseChunk("", "sorry".getBytes(UTF_8)));
+    repeatable.last().worker.chunk(new ResponseChunk("", "sorry".getBytes(UTF_8)));
     repeatable.last().worker.end();
     repeatable.last().worker.head(GOOD);
     repeatable.last().worker.end();
@@ -252,7 +252,7 @@
     ProxyDispatcherFixture once = fixture(route(RouteType.ONCE, 2, false));
     Client second = once.pass(request("1"));
     once.last().worker.head(new ResponseHead(500, List.of()));
-    once.last().worker.piece(new ResponseChunk("", "sorry".getBytes(UTF_8)));
+    once.last().worker.chunk(new ResponseChunk("", "sorry".getBytes(UTF_8)));
     once.last().worker.end();
     assertThat(second.heard).containsExactly("head 500", "sorry", "end").inOrder();
     assertThat(once.sent).hasSize(1);
@@ -264,7 +264,7 @@
       ProxyDispatcherFixture once = fixture(route(RouteType.ONCE, 2, false));
       Client first = once.pass(request("1"));
       once.last().worker.head(new ResponseHead(status, List.of()));
-      once.last().worker.piece(new ResponseChunk("", "it may have run".getBytes(UTF_8)));
+      once.last().worker.chunk(new ResponseChunk("", "it may have run".getBytes(UTF_8)));
       once.last().worker.end();
       assertThat(first.heard).containsExactly("refused 502");
       assertThat(once.sent).hasSize(1);
@@ -284,10 +284,11 @@
   void sendsNoRequestThatCanNotBeWrittenToAnyOtherWorker() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
     Client client = fixture.pass(request("1"));
-    fixture.last().worker.fault(new ApiError.InvalidInput(List.of()), false);
+    fixture.last().worker.fail(new ApiError.InvalidInput(List.of()), false);
     assertThat(fixture.sent).hasSize(1);
     assertThat(client.heard).containsExactly("refused 400");
-    assertThat(fixture.book.all().stream().noneMatch(worker -> worker.faultsInRow > 0)).isTrue();
+    assertThat(fixture.registry.all().stream().noneMatch(worker -> worker.consecutiveFailures > 0))
+        .isTrue();
   }
 
   /** Those that a try reached in vain, as no connection was made, do not count. */
@@ -299,10 +300,10 @@
         fixture.worker("w" + index, POOL, "near", 8);
       }
       Client client = fixture.pass(request("1"));
-      fixture.last().worker.fault(new ApiError.WorkerUnreachable("w"), false);
-      fixture.last().worker.fault(new ApiError.WorkerRejected(503), false);
-      fixture.last().worker.fault(new ApiError.WorkerUnreachable("w"), false);
-      fixture.last().worker.fault(new ApiError.WorkerRejected(429), false);
+      fixture.last().worker.fail(new ApiError.WorkerUnreachable("w"), false);
+      fixture.last().worker.fail(new ApiError.WorkerRejected(503), false);
+      fixture.last().worker.fail(new ApiError.WorkerUnreachable("w"), false);
+      fixture.last().worker.fail(new ApiError.WorkerRejected(429), false);
       assertThat(client.heard).containsExactly("refused 503");
       assertThat(fixture.sent).hasSize(4);
       assertThat(fixture.sent.stream().map(sent -> sent.call.workerId()).distinct().count())
@@ -327,7 +328,7 @@
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
     assertThat(client.heard).isEmpty();
-    fixture.last().worker.piece(event(1));
+    fixture.last().worker.chunk(event(1));
     fixture.last().worker.end();
     assertThat(client.heard).containsExactly("head 200", "e1", "end").inOrder();
   }
@@ -337,16 +338,16 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 3, true));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(event(1));
-    fixture.last().worker.piece(event(2));
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.chunk(event(1));
+    fixture.last().worker.chunk(event(2));
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(fixture.last().call.resumeAfter()).isEqualTo("2");
     fixture
         .last()
         .worker
         .head(new ResponseHead(200, List.of(new ProxiedRequest.Header("X", "second"))));
-    fixture.last().worker.piece(event(2));
-    fixture.last().worker.piece(event(3));
+    fixture.last().worker.chunk(event(2));
+    fixture.last().worker.chunk(event(3));
     fixture.last().worker.end();
     assertThat(client.heard).containsExactly("head 200", "e1", "e2", "e3", "end").inOrder();
   }
@@ -356,13 +357,13 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 3, true));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(event(1));
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.chunk(event(1));
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.last().worker.head(new ResponseHead(404, List.of()));
-    fixture.last().worker.piece(new ResponseChunk("", "no such".getBytes(UTF_8)));
+    fixture.last().worker.chunk(new ResponseChunk("", "no such".getBytes(UTF_8)));
     fixture.last().worker.end();
     assertThat(fixture.sent).hasSize(3);
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(client.heard).containsExactly("head 200", "e1", "cut").inOrder();
   }
 
@@ -371,8 +372,8 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 3, true));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(new ResponseChunk("", "e?".getBytes(UTF_8)));
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
+    fixture.last().worker.chunk(new ResponseChunk("", "e?".getBytes(UTF_8)));
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     assertThat(client.heard).containsExactly("head 200", "e?", "cut").inOrder();
     assertThat(fixture.sent).hasSize(1);
   }
@@ -408,7 +409,7 @@
     silent.worker.head(GOOD);
     silent.worker.end();
     assertThat(client.heard).containsExactly("head 200", "end").inOrder();
-    assertThat(fixture.book.get(silent.call.workerId()).suspect).isFalse();
+    assertThat(fixture.registry.get(silent.call.workerId()).suspect).isFalse();
   }
 
   @Test
@@ -423,9 +424,9 @@
     speaking.worker.head(GOOD);
     for (int index = 0; index < 15; index++) {
       fixture.run(100);
-      speaking.worker.piece(new ResponseChunk("", new byte[] {'.'}));
+      speaking.worker.chunk(new ResponseChunk("", new byte[] {'.'}));
     }
-    assertThat(fixture.book.get("w1").suspect).isFalse();
+    assertThat(fixture.registry.get("w1").suspect).isFalse();
     assertThat(other.cut).isNull();
   }
 
@@ -436,7 +437,8 @@
       fixture.pass(request("r" + index));
     }
     fixture.run(1_900);
-    assertThat(fixture.book.all().stream().filter(worker -> worker.suspect).count()).isAtMost(1L);
+    assertThat(fixture.registry.all().stream().filter(worker -> worker.suspect).count())
+        .isAtMost(1L);
   }
 
   @Test
@@ -454,7 +456,7 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 2, true));
     Client client = fixture.pass(request("1"));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(event(1));
+    fixture.last().worker.chunk(event(1));
     fixture.run(700);
     assertThat(fixture.sent).hasSize(2);
     assertThat(fixture.sent.get(0).cancelled).isTrue();
@@ -491,7 +493,7 @@
   void theRoutesTimeoutCountsWhatTheRequestWaitedBefore() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     Client client = new Client();
-    fixture.desk.take(request("1", "a.example", "/a/x", 60_000), client, fixture.now() - 500);
+    fixture.desk.take(request("1", "a.example", "/a/x", 60_000), client, fixture.nowMs() - 500);
     fixture.run(3_500 + LiveRequestConstants.MIN_EXPIRY_CHECK_INTERVAL_MS);
     assertThat(client.heard).containsExactly("refused 504");
   }
@@ -501,7 +503,7 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     Client client = fixture.pass(request("1", "a.example", "/a/x", 60_000));
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(event(1));
+    fixture.last().worker.chunk(event(1));
     fixture.run(4_200);
     assertThat(client.heard).containsExactly("head 200", "e1", "cut").inOrder();
   }
@@ -513,8 +515,8 @@
     fixture.last().worker.head(GOOD);
     client.handle.cancel();
     assertThat(fixture.last().cancelled).isTrue();
-    fixture.last().worker.piece(event(1));
+    fixture.last().worker.chunk(event(1));
     assertThat(client.heard).isEmpty();
-    assertThat(fixture.book.get(fixture.last().call.workerId()).live).isEqualTo(0);
+    assertThat(fixture.registry.get(fixture.last().call.workerId()).liveCalls).isEqualTo(0);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
@@ -56,14 +56,15 @@
     for (int index = 0; index < 12; index++) {
       fixture.pass(request("r" + index));
     }
-    fixture.book.all().forEach(worker -> assertThat(worker.live).isEqualTo(4));
+    fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls).isEqualTo(4));
   }
 
   @Test
   void passesOverAWorkerThatReadsWhatAFellowSentThere() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     for (String busy : List.of("w1", "w3")) {
-      fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad(busy, 1, 1_500))));
+      fixture.registry.recordPeerLoad(
+          "other", new PeerLoadReport(List.of(new OwnLoad(busy, 1, 1_500))));
     }
     fixture.pass(request("1", "a", "b"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w2");
@@ -72,37 +73,38 @@
   @Test
   void whatAFellowToldFadesAsTheWorkerReads() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
-    fixture.book.peerTold(
+    fixture.registry.recordPeerLoad(
         "other",
         new PeerLoadReport(List.of(new OwnLoad("w1", 2, 1_000), new OwnLoad("gone", 1, 1))));
-    WorkerState worker = fixture.book.get("w1");
-    assertThat(worker.unreadNow(fixture.now())).isEqualTo(1_000.0);
+    WorkerState worker = fixture.registry.get("w1");
+    assertThat(worker.unreadPromptTokensNow(fixture.nowMs())).isEqualTo(1_000.0);
     fixture.run(10);
-    assertThat(worker.unreadNow(fixture.now()))
+    assertThat(worker.unreadPromptTokensNow(fixture.nowMs()))
         .isWithin(0.001)
         .of(1_000 - 10 * WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS);
     fixture.run(20);
-    assertThat(worker.unreadNow(fixture.now())).isEqualTo(0.0);
-    assertThat(worker.runningNow(fixture.now())).isGreaterThan(1.5);
-    fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad("w1", 1, 200))));
-    assertThat(worker.unreadNow(fixture.now())).isEqualTo(200.0);
+    assertThat(worker.unreadPromptTokensNow(fixture.nowMs())).isEqualTo(0.0);
+    assertThat(worker.runningCallsNow(fixture.nowMs())).isGreaterThan(1.5);
+    fixture.registry.recordPeerLoad(
+        "other", new PeerLoadReport(List.of(new OwnLoad("w1", 1, 200))));
+    assertThat(worker.unreadPromptTokensNow(fixture.nowMs())).isEqualTo(200.0);
   }
 
   @Test
   void learnsHowFastAWorkerReads() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
-    double guessed = fixture.book.get("w1").readTokensPerMs();
+    double guessed = fixture.registry.get("w1").prefillTokensPerMs();
     for (int index = 0; index < 60; index++) {
       fixture.pass(request("r" + index, "a" + index, "b" + index));
       fixture.run(50);
       fixture.last().worker.head(GOOD);
-      fixture.last().worker.piece(event(1));
+      fixture.last().worker.chunk(event(1));
       fixture.last().worker.end();
     }
     fixture
-        .book
+        .registry
         .all()
-        .forEach(worker -> assertThat(worker.readTokensPerMs()).isWithin(2.0).of(16.0));
+        .forEach(worker -> assertThat(worker.prefillTokensPerMs()).isWithin(2.0).of(16.0));
     assertThat(guessed).isGreaterThan(18.0);
   }
 
@@ -112,11 +114,12 @@
     fixture.pass(request("1", "a", "b", "c"));
     String keeper = fixture.last().call.workerId();
     fixture.last().worker.head(GOOD);
-    fixture.last().worker.piece(event(1));
+    fixture.last().worker.chunk(event(1));
     fixture.last().worker.end();
     fixture.pass(request("2", "a", "b", "d"));
     assertThat(fixture.last().call.workerId()).isEqualTo(keeper);
-    fixture.book.peerTold("other", new PeerLoadReport(List.of(new OwnLoad(keeper, 1, 5_000))));
+    fixture.registry.recordPeerLoad(
+        "other", new PeerLoadReport(List.of(new OwnLoad(keeper, 1, 5_000))));
     fixture.pass(request("3", "a", "b", "e"));
     assertThat(fixture.last().call.workerId()).isNotEqualTo(keeper);
   }
@@ -130,10 +133,10 @@
             new NodeRegistration("e3", 1, "e3", "near", "edge", "10.0.0.3:1", "", true));
     List<String> told = new ArrayList<>();
     List<OwnLoad> loads = new ArrayList<>();
-    fixture.book.whenBegan(
+    fixture.registry.onCallStart(
         new PeerLoadReporter(
                 fixture,
-                fixture.book,
+                fixture.registry,
                 () -> fellows,
                 (address, id, message) -> {
                   told.add(id);
@@ -146,7 +149,7 @@
     assertThat(told).isEmpty();
     fixture.run(1);
     assertThat(told).containsExactly("e2", "e3").inOrder();
-    assertThat(loads.stream().mapToInt(OwnLoad::unread).sum()).isEqualTo(2 * 2 * 800);
+    assertThat(loads.stream().mapToInt(OwnLoad::unreadPromptTokens).sum()).isEqualTo(2 * 2 * 800);
     fixture.run(1_000);
     assertThat(told).hasSize(2);
   }
@@ -168,7 +171,7 @@
     for (int index = 0; index < 24; index++) {
       fixture.pass(request("r" + index, "shared", "own" + index));
     }
-    fixture.book.all().forEach(worker -> assertThat(worker.live).isAtLeast(5));
+    fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls).isAtLeast(5));
   }
 
   @Test
@@ -181,7 +184,7 @@
     assertThat(fixture.sent.stream().map(sent -> sent.call.workerId()).distinct().count())
         .isEqualTo(3);
     fixture.sent.forEach(sent -> sent.worker.head(GOOD));
-    fixture.book.all().forEach(worker -> assertThat(worker.reading).isEqualTo(0.0));
+    fixture.registry.all().forEach(worker -> assertThat(worker.unreadPromptTokens).isEqualTo(0.0));
   }
 
   @Test
@@ -197,7 +200,7 @@
     for (int index = 0; index < 9; index++) {
       fixture.pass(request("r" + index));
     }
-    assertThat(fixture.book.get("w1").live).isAtLeast(2);
+    assertThat(fixture.registry.get("w1").liveCalls).isAtLeast(2);
   }
 
   /** Nobody tells what runs in other zones: silence is no sign of an idle worker. */
@@ -205,7 +208,7 @@
   void takesWorkersOfOtherZonesForAsBusyAsItsOwn() {
     ProxyDispatcherFixture fixture = nearAndFar();
     List<OwnLoad> loads = List.of(new OwnLoad("w1", 5, 0), new OwnLoad("w2", 5, 0));
-    fixture.book.peerTold("other", new PeerLoadReport(loads));
+    fixture.registry.recordPeerLoad("other", new PeerLoadReport(loads));
     fixture.pass(request("1"));
     assertThat(fixture.workers.get(fixture.last().call.workerId()).zone()).isEqualTo("near");
   }
@@ -213,9 +216,9 @@
   @Test
   void takesAWorkerOfAnotherZoneThatToldThatItIsIdle() {
     ProxyDispatcherFixture fixture = nearAndFar();
-    fixture.book.told(fixture.book.get("w3"), new WorkerLoad(0, 0, 8, false));
+    fixture.registry.recordLoad(fixture.registry.get("w3"), new WorkerLoad(0, 0, 8, false));
     List<OwnLoad> loads = List.of(new OwnLoad("w1", 5, 0), new OwnLoad("w2", 5, 0));
-    fixture.book.peerTold("other", new PeerLoadReport(loads));
+    fixture.registry.recordPeerLoad("other", new PeerLoadReport(loads));
     fixture.pass(request("1"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w3");
   }
@@ -252,8 +255,9 @@
               sent.worker.end();
             });
     fixture.run(10_000);
-    first.worker.fault(new ApiError.WorkerStreamTruncated("w"), true);
-    assertThat(fixture.book.get(first.call.workerId()).othersNow(fixture.now())).isLessThan(0.1);
+    first.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
+    assertThat(fixture.registry.get(first.call.workerId()).otherCallsNow(fixture.nowMs()))
+        .isLessThan(0.1);
   }
 
   @Test
@@ -267,9 +271,9 @@
     for (int index = 0; index < 9; index++) {
       fixture.pass(request("r" + index));
     }
-    assertThat(fixture.book.get("w2").live).isAtMost(3);
+    assertThat(fixture.registry.get("w2").liveCalls).isAtMost(3);
     fixture.run(WorkerConstants.SLOW_START_MS);
-    assertThat(fixture.book.ramp(fixture.book.get("w2"))).isEqualTo(1.0);
+    assertThat(fixture.registry.slowStartWeight(fixture.registry.get("w2"))).isEqualTo(1.0);
   }
 
   @Test
@@ -277,7 +281,7 @@
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
     fixture.pass(request("1"));
     String faulty = fixture.last().call.workerId();
-    fixture.last().worker.fault(new ApiError.WorkerStreamTruncated(faulty), true);
+    fixture.last().worker.fail(new ApiError.WorkerStreamTruncated(faulty), true);
     for (int index = 0; index < 10; index++) {
       fixture.pass(request("r" + index));
       assertThat(fixture.last().call.workerId()).isNotEqualTo(faulty);
@@ -291,6 +295,6 @@
     for (int index = 0; index < 6; index++) {
       fixture.pass(request("s" + index));
     }
-    assertThat(fixture.book.get(faulty).live).isAtMost(1);
+    assertThat(fixture.registry.get(faulty).liveCalls).isAtMost(1);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/protocol/MessageTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/protocol/MessageTest.java
@@ -25,7 +25,7 @@
 
   @Test
   void aPromiseIsDeflatedOnlyIfItsEntriesAreNot() {
-    assertThat(promiseWith("short").worthDeflating()).isTrue();
-    assertThat(promiseWith("long ".repeat(10_000)).worthDeflating()).isFalse();
+    assertThat(promiseWith("short").shouldDeflate()).isTrue();
+    assertThat(promiseWith("long ".repeat(10_000)).shouldDeflate()).isFalse();
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/FaultToleranceMonitorTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/FaultToleranceMonitorTest.java
@@ -17,7 +17,7 @@
   }
 
   private static int bearable(List<NodeAddress> present, List<NodeAddress> next, String... alive) {
-    return FaultToleranceMonitor.bearable(
+    return FaultToleranceMonitor.remainingTolerableFailures(
         new ReplicaConfiguration(1, present, next), Set.of(alive)::contains);
   }
 
@@ -46,17 +46,17 @@
   @Test
   void tellsHowLongItHasBeenFewerThanAsked() {
     FaultToleranceMonitor margin = new FaultToleranceMonitor(1);
-    margin.look(1, 0, 1_000);
-    margin.look(1, 0, 3_000);
+    margin.update(1, 0, 1_000);
+    margin.update(1, 0, 3_000);
     ObjectNode status = Json.JSON.createObjectNode();
-    margin.show(status, 4_000);
+    margin.describe(status, 4_000);
     assertThat(status.path("lossesAsked").asInt()).isEqualTo(1);
     assertThat(status.path("coreLossesBearable").asInt()).isEqualTo(1);
     assertThat(status.path("coreFewerForMs").asLong()).isEqualTo(0);
     assertThat(status.path("shardLossesBearable").asInt()).isEqualTo(0);
     assertThat(status.path("shardFewerForMs").asLong()).isEqualTo(3_000);
-    margin.look(0, 1, 5_000);
-    margin.show(status, 5_500);
+    margin.update(0, 1, 5_000);
+    margin.describe(status, 5_500);
     assertThat(status.path("coreFewerForMs").asLong()).isEqualTo(500);
     assertThat(status.path("shardFewerForMs").asLong()).isEqualTo(0);
   }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return 0;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       return () -> {};
     }
 
@@ -77,12 +77,12 @@
     public void send(String peerAddress, Envelope envelope) {}
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return true;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       return () -> {};
     }
 
@@ -120,7 +120,7 @@
       Epoch previousEpoch,
       long committed,
       LogEntry... entries) {
-    replicas.append(
+    replicas.handleAppendRequest(
         new AppendRequest(
             KEY, epoch, setNumber, 1, previous, previousEpoch, committed, true, List.of(entries)),
         epoch.node(),
@@ -148,7 +148,7 @@
     append(1, FIRST, 0, Epoch.NONE, 0, entry(1, FIRST));
     disk.syncAll();
     replies.clear();
-    replicas.learnSet(SET, 2, () -> {});
+    replicas.adoptConfiguration(SET, 2, () -> {});
     append(2, FIRST, 1, FIRST, 0);
     assertThat(replies).isEmpty();
     disk.syncAll();
@@ -160,10 +160,10 @@
     append(1, SECOND, 0, Epoch.NONE, 0, entry(1, SECOND));
     disk.syncAll();
     replies.clear();
-    replicas.promise(new VoteRequest(KEY, FIRST, 2, false, 0, false), FIRST.node(), "");
+    replicas.handleVoteRequest(new VoteRequest(KEY, FIRST, 2, false, 0, false), FIRST.node(), "");
     assertThat(replies).isEmpty();
     disk.syncAll();
-    assertThat(((VoteResponse) replies.get(0)).verdict()).isEqualTo(Verdict.REFUSED);
+    assertThat(((VoteResponse) replies.get(0)).verdict()).isEqualTo(Verdict.STALE_EPOCH);
   }
 
   @Test
@@ -176,8 +176,8 @@
           new LogReplicas(
               new SlowDisk(), (address, id, message) -> {}, (key, entry) -> {}, key -> SET);
       disk.written.subList(0, kept).forEach(again::recover);
-      again.recovered();
-      if (!again.copies().containsKey(KEY)) {
+      again.finishRecovery();
+      if (!again.replicas().containsKey(KEY)) {
         continue;
       }
       assertWithMessage("after " + kept + " records")
@@ -198,8 +198,9 @@
         new LogReplicas(
             new SlowDisk(), (address, id, message) -> {}, (key, entry) -> {}, key -> SET);
     disk.written.forEach(again::recover);
-    again.recovered();
-    assertThat(sequences(again.copies().get(KEY).entries)).containsExactly(1L, 2L, 3L, 4L, 5L, 6L);
+    again.finishRecovery();
+    assertThat(sequences(again.replicas().get(KEY).entries))
+        .containsExactly(1L, 2L, 3L, 4L, 5L, 6L);
   }
 
   @Test
@@ -208,10 +209,10 @@
     append(1, FIRST, 0, Epoch.NONE, 0, start);
     append(1, FIRST, 2, FIRST, 3, whole(3, FIRST), entry(4, FIRST));
     disk.syncAll();
-    assertThat(sequences(replicas.copies().get(KEY).entries)).containsExactly(3L, 4L).inOrder();
+    assertThat(sequences(replicas.replicas().get(KEY).entries)).containsExactly(3L, 4L).inOrder();
     append(1, FIRST, 0, Epoch.NONE, 0, start);
     disk.syncAll();
-    assertThat(sequences(replicas.copies().get(KEY).entries)).containsExactly(3L, 4L).inOrder();
+    assertThat(sequences(replicas.replicas().get(KEY).entries)).containsExactly(3L, 4L).inOrder();
   }
 
   @Test
@@ -224,8 +225,8 @@
             3,
             false,
             List.of(entry(1, FIRST), entry(2, FIRST), whole(3, FIRST), entry(4, SECOND)));
-    assertThat(replicas.absorb(longer, () -> {})).isTrue();
-    assertThat(sequences(replicas.copies().get(KEY).entries)).containsExactly(3L, 4L).inOrder();
+    assertThat(replicas.merge(longer, () -> {})).isTrue();
+    assertThat(sequences(replicas.replicas().get(KEY).entries)).containsExactly(3L, 4L).inOrder();
   }
 
   @Test
@@ -241,12 +242,14 @@
   void aClaimantGetsPartsOfTheLogThatItKnowsTheTailOfAlone() {
     append(1, FIRST, 0, Epoch.NONE, 0, entry(1, FIRST), entry(2, FIRST));
     disk.syncAll();
-    replicas.promise(new VoteRequest(KEY, SECOND, 1, true, 1, false), SECOND.node(), "");
+    replicas.handleVoteRequest(new VoteRequest(KEY, SECOND, 1, true, 1, false), SECOND.node(), "");
     disk.syncAll();
     replies.clear();
-    replicas.tellLog(new LogFetchRequest(KEY, SECOND, 1, 1, SECOND), SECOND.node(), "");
-    replicas.tellLog(new LogFetchRequest(KEY, SECOND, 1, 1, FIRST), SECOND.node(), "");
-    assertThat(((LogFetchResponse) replies.get(0)).verdict()).isEqualTo(Verdict.REFUSED);
+    replicas.handleLogFetchRequest(
+        new LogFetchRequest(KEY, SECOND, 1, 1, SECOND), SECOND.node(), "");
+    replicas.handleLogFetchRequest(
+        new LogFetchRequest(KEY, SECOND, 1, 1, FIRST), SECOND.node(), "");
+    assertThat(((LogFetchResponse) replies.get(0)).verdict()).isEqualTo(Verdict.STALE_EPOCH);
     assertThat(((LogFetchResponse) replies.get(0)).entries()).isEmpty();
     assertThat(((LogFetchResponse) replies.get(1)).verdict()).isEqualTo(Verdict.OK);
     assertThat(((LogFetchResponse) replies.get(1)).entries()).hasSize(1);
--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
@@ -35,12 +35,12 @@
 
   private final class World implements Environment {
     @Override
-    public long now() {
+    public long nowMs() {
       return now;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       return () -> {};
     }
 
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return true;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       return () -> {};
     }
 
@@ -93,12 +93,12 @@
       replicas.recover(new LogRecord(Kind.ENTRY, KEY, FIRST, sequence, true, "{}".getBytes(UTF_8)));
     }
     replicas.recover(new LogRecord(Kind.COMMITTED, KEY, Epoch.NONE, committed, false, new byte[0]));
-    replicas.recovered();
+    replicas.finishRecovery();
   }
 
   private void append(
       Epoch epoch, long previous, Epoch previousEpoch, long committed, LogEntry... entries) {
-    replicas.append(
+    replicas.handleAppendRequest(
         new AppendRequest(
             KEY, epoch, 1, 1, previous, previousEpoch, committed, true, List.of(entries)),
         epoch.node(),
@@ -108,50 +108,50 @@
   @Test
   void aLogWithoutATailIsDecided() {
     recover(3, 3);
-    assertThat(replicas.undecided(KEY)).isFalse();
-    assertThat(replicas.anyUndecided(key -> true)).isFalse();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
+    assertThat(replicas.anyUncommittedEntries(key -> true)).isFalse();
   }
 
   @Test
   void aTailIsUndecidedUntilItsOwnerCommitsIt() {
     recover(3, 2);
-    assertThat(replicas.undecided(KEY)).isTrue();
-    assertThat(replicas.anyUndecided(key -> !key.equals(KEY))).isFalse();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isTrue();
+    assertThat(replicas.anyUncommittedEntries(key -> !key.equals(KEY))).isFalse();
     append(SECOND, 3, FIRST, 2, entry(4, SECOND));
-    assertThat(replicas.anyUndecided(key -> true)).isTrue();
+    assertThat(replicas.anyUncommittedEntries(key -> true)).isTrue();
     append(SECOND, 4, SECOND, 4);
-    assertThat(replicas.anyUndecided(key -> true)).isFalse();
+    assertThat(replicas.anyUncommittedEntries(key -> true)).isFalse();
   }
 
   @Test
   void aTailThatANewOwnerReplacesIsDecided() {
     recover(3, 2);
     append(SECOND, 2, FIRST, 2, entry(3, SECOND));
-    assertThat(replicas.undecided(KEY)).isFalse();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
   }
 
   @Test
   void aTailIsDecidedOnceAnotherReplicaKnowsACommittedEventThere() {
     recover(3, 2);
     replicas.committedElsewhere(KEY, 2);
-    assertThat(replicas.undecided(KEY)).isTrue();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isTrue();
     replicas.committedElsewhere(KEY, 3);
-    assertThat(replicas.undecided(KEY)).isFalse();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
   }
 
   @Test
   void aTakeoverAloneIsNothingToDecide() {
     recover(2, 2);
     replicas.recover(new LogRecord(Kind.ENTRY, KEY, SECOND, 3, false, new byte[0]));
-    replicas.recovered();
-    assertThat(replicas.undecided(KEY)).isFalse();
+    replicas.finishRecovery();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
   }
 
   @Test
   void entriesThatCameAfterTheStartDoNotCount() {
     recover(2, 2);
     append(SECOND, 2, FIRST, 2, entry(3, SECOND));
-    assertThat(replicas.undecided(KEY)).isFalse();
+    assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
   }
 
   private static LogEntry part(long sequence, Epoch epoch) {
@@ -163,7 +163,7 @@
   }
 
   private List<Long> copied(Map<String, LogEndPosition> held) {
-    return replicas.copiesOf("set", "", held, 1 << 20).get(0).entries().stream()
+    return replicas.snapshotsOf("set", "", held, 1 << 20).get(0).entries().stream()
         .map(LogEntry::sequence)
         .toList();
   }
@@ -176,7 +176,7 @@
     assertThat(copied(Map.of(KEY, held(3, FIRST)))).containsExactly(3L);
     assertThat(copied(Map.of(KEY, held(2, SECOND)))).containsExactly(1L, 2L, 3L).inOrder();
     assertThat(copied(Map.of(KEY, held(9, FIRST)))).containsExactly(1L, 2L, 3L).inOrder();
-    assertThat(replicas.heldOf("set", "")).containsExactly(KEY, held(3, FIRST));
+    assertThat(replicas.logEndsOf("set", "")).containsExactly(KEY, held(3, FIRST));
   }
 
   @Test
@@ -185,9 +185,9 @@
     var follows = new ReplicaSnapshot(KEY, FIRST, 2, true, List.of(part(2, FIRST), part(3, FIRST)));
     var other = new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(part(3, SECOND), part(4, SECOND)));
     var beyond = new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(part(5, FIRST), part(6, FIRST)));
-    assertThat(replicas.absorb(follows, () -> {})).isTrue();
-    assertThat(replicas.absorb(other, () -> {})).isFalse();
-    assertThat(replicas.absorb(beyond, () -> {})).isFalse();
+    assertThat(replicas.merge(follows, () -> {})).isTrue();
+    assertThat(replicas.merge(other, () -> {})).isFalse();
+    assertThat(replicas.merge(beyond, () -> {})).isFalse();
     assertThat(copied(Map.of())).containsExactly(1L, 2L, 3L).inOrder();
   }
 
@@ -198,7 +198,7 @@
     append(FIRST, 2, FIRST, 2, entry(3, FIRST));
     append(FIRST, 3, FIRST, 3);
     append(FIRST, 0, Epoch.NONE, 0, entry(1, FIRST), entry(2, FIRST));
-    assertThat(replicas.heldOf("set", "")).containsExactly(KEY, held(3, FIRST));
+    assertThat(replicas.logEndsOf("set", "")).containsExactly(KEY, held(3, FIRST));
     assertThat(replicas.view(KEY).committedEntries()).hasSize(1);
   }
 
@@ -209,17 +209,18 @@
     append(FIRST, 3, FIRST, 3);
     var older =
         new ReplicaSnapshot(KEY, FIRST, 2, false, List.of(entry(1, FIRST), entry(2, FIRST)));
-    assertThat(replicas.absorb(older, () -> {})).isTrue();
-    assertThat(replicas.heldOf("set", "")).containsExactly(KEY, held(3, FIRST));
+    assertThat(replicas.merge(older, () -> {})).isTrue();
+    assertThat(replicas.logEndsOf("set", "")).containsExactly(KEY, held(3, FIRST));
   }
 
   private Message.Verdict tried(Epoch epoch) {
-    replicas.promise(new Message.VoteRequest(KEY, epoch, 1, false, 0, true), epoch.node(), "");
+    replicas.handleVoteRequest(
+        new Message.VoteRequest(KEY, epoch, 1, false, 0, true), epoch.node(), "");
     return ((Message.VoteResponse) replied).verdict();
   }
 
   private void beat(Epoch epoch, boolean hearsMajority) {
-    replicas.append(
+    replicas.handleAppendRequest(
         new AppendRequest(KEY, epoch, 1, 1, 0, Epoch.NONE, 0, hearsMajority, List.of()),
         epoch.node(),
         "");
@@ -228,14 +229,14 @@
   @Test
   void aTrialChangesNothing() {
     beat(FIRST, false);
-    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_PROMISE);
+    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_GRANT);
     assertThat(replicas.view(KEY).promised()).isEqualTo(FIRST);
   }
 
   @Test
   void anOwnerThatHearsAMajorityKeepsClaimantsAway() {
     beat(FIRST, true);
-    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.BUSY);
+    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.LEADER_ALIVE);
   }
 
   @Test
@@ -243,6 +244,6 @@
     beat(FIRST, true);
     now += ReplicationConstants.LEADER_TIMEOUT_MS;
     beat(FIRST, false);
-    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_PROMISE);
+    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_GRANT);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
@@ -19,7 +19,7 @@
   private final String key;
   private final boolean snapshotValues;
   private final ModelHistory history;
-  private final Elections claims;
+  private final Elections elections;
   private ReplicatedLogLeader led;
 
   /** The entries folded by the leader of now, in the order of folding. */
@@ -38,7 +38,7 @@
     this.snapshotValues = snapshotValues;
     this.history = history;
     BiConsumer<String, Envelope> network = runtime::send;
-    claims =
+    elections =
         new Elections(
             runtime,
             id,
@@ -57,18 +57,18 @@
   }
 
   boolean idle() {
-    return led == null && claims.claiming(key) == null;
+    return led == null && elections.inProgress(key) == null;
   }
 
   /** Claims as one to whom the register is handed over: no replica keeps it away. */
   void claim() {
-    claims.claim(key, true, outcome -> {});
+    elections.elect(key, true, outcome -> {});
   }
 
   private void lead(ReplicatedLogLeader owned) {
     led = owned;
     view.clear();
-    owned.whenLost(() -> led = null);
+    owned.onLeadershipLost(() -> led = null);
     List.copyOf(owned.entries()).forEach(this::fold);
   }
 
@@ -85,8 +85,8 @@
         snapshotValues,
         value,
         () -> fold(entry),
-        fault -> {
-          if (fault == null) {
+        error -> {
+          if (error == null) {
             history.acknowledged(entry);
           }
         });
@@ -100,9 +100,9 @@
             .mapToLong(LogEntry::sequence)
             .max()
             .orElse(0);
-    led.confirm(
-        fault -> {
-          if (fault == null) {
+    led.confirmLeadership(
+        error -> {
+          if (error == null) {
             history.read(id, view, before, last);
           }
         });
@@ -112,29 +112,29 @@
   void release() {
     ReplicatedLogLeader former = led;
     led = null;
-    former.stop();
+    former.resign();
   }
 
-  void changeSets(ReplicaConfiguration sets) {
+  void changeSets(ReplicaConfiguration replicaConfiguration) {
     if (led != null) {
-      led.changeSets(sets);
+      led.reconfigure(replicaConfiguration);
     }
-    claims.changeSets();
+    elections.reconfigure();
   }
 
   void receive(Envelope envelope) {
     if (envelope.message() instanceof VoteResponse promised) {
-      claims.promised(promised, envelope.fromId());
+      elections.handleVoteResponse(promised, envelope.fromId());
     } else if (envelope.message() instanceof AppendResponse appended) {
-      ReplicatedLogLeader receiver = led != null ? led : claims.claiming(key);
+      ReplicatedLogLeader receiver = led != null ? led : elections.inProgress(key);
       if (receiver != null) {
-        receiver.appended(appended, envelope.fromId());
+        receiver.handleAppendResponse(appended, envelope.fromId());
       }
     }
   }
 
   void addTo(StateText text) {
-    text.add(claims).add(led).add(view);
+    text.add(elections).add(led).add(view);
     runtime.addTo(text);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
@@ -60,7 +60,7 @@
 
   void sent(Envelope envelope) {
     if (envelope.message() instanceof VoteResponse promised && promised.verdict() == Verdict.OK) {
-      told.merge(envelope.fromId(), promised.asked(), ModelHistory::higher);
+      told.merge(envelope.fromId(), promised.requestedEpoch(), ModelHistory::higher);
     } else if (envelope.message() instanceof AppendResponse appended
         && appended.verdict() == Verdict.OK) {
       told.merge(envelope.fromId(), appended.epoch(), ModelHistory::higher);
@@ -68,7 +68,7 @@
   }
 
   private static Epoch higher(Epoch one, Epoch other) {
-    return one.below(other) ? other : one;
+    return one.isBelow(other) ? other : one;
   }
 
   /** A leader is about to add an entry to its view. */
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
@@ -19,7 +19,7 @@
   /** What a replica's messages are wired to; the rest of what a node does is not modelled. */
   private final LogReplicas replicas;
 
-  private final ReplicaCatchUp copier;
+  private final ReplicaCatchUp catchUp;
   private final ModelRuntime runtime;
   private boolean copied;
 
@@ -28,7 +28,7 @@
     super(runtime, new NodeIdentity(id, 0, id, "", "", id, "", List.of()));
     this.runtime = runtime;
     replicas = new LogReplicas(runtime, this::send, whenCommitted, key -> setName);
-    copier = new ReplicaCatchUp(runtime, this, replicas, new HashMap<>(), key -> setName);
+    catchUp = new ReplicaCatchUp(runtime, this, replicas, new HashMap<>(), key -> setName);
   }
 
   LogReplicas replicas() {
@@ -46,11 +46,11 @@
 
   /** Learns of the pending set that it is to join, and begins to copy. */
   void copyIn(String setName, long number, List<NodeAddress> sources, LongSupplier numberInForce) {
-    replicas.learnSet(
+    replicas.adoptConfiguration(
         setName,
         number,
         () ->
-            copier.copyIn(
+            catchUp.catchUp(
                 setName,
                 number,
                 sources,
@@ -65,26 +65,26 @@
 
   @Override
   public String stateName() {
-    return place().id();
+    return identity().id();
   }
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
     if (message instanceof AppendRequest append) {
-      replicas.append(append, fromId, fromAddress);
+      replicas.handleAppendRequest(append, fromId, fromAddress);
     } else if (message instanceof VoteRequest promise) {
-      replicas.promise(promise, fromId, fromAddress);
+      replicas.handleVoteRequest(promise, fromId, fromAddress);
     }
   }
 
   @Override
-  protected void handleAsk(PeerRequest ask) {
-    copier.copyOut(ask);
+  protected void handleRequest(PeerRequest request) {
+    catchUp.servePage(request);
   }
 
   @Override
   public void start() {
-    replicas.recovered();
+    replicas.finishRecovery();
   }
 
   @Override
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelRuntime.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelRuntime.java
@@ -83,12 +83,12 @@
   }
 
   @Override
-  public long now() {
+  public long nowMs() {
     return now;
   }
 
   @Override
-  public ScheduledTask after(long millis, Runnable task) {
+  public ScheduledTask schedule(long millis, Runnable task) {
     if (millis == 0) {
       immediate.add(task);
       return () -> immediate.remove(task);
@@ -131,12 +131,12 @@
   }
 
   @Override
-  public boolean takesWrites() {
+  public boolean acceptsWrites() {
     return true;
   }
 
   @Override
-  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+  public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     throw new UnsupportedOperationException();
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
@@ -39,11 +39,11 @@
     List<NodeAddress> replicas =
         Stream.of("a", "b", "c").map(id -> new NodeAddress(id, "address-" + id)).toList();
     leader = claimFor(replicas);
-    leader.whenLost(() -> timesLost++);
+    leader.onLeadershipLost(() -> timesLost++);
     world.run(1);
     answerAppends();
     world.run(1);
-    assertThat(claim).isEqualTo(ElectionResult.OWNED);
+    assertThat(claim).isEqualTo(ElectionResult.ELECTED);
     unanswered.clear();
   }
 
@@ -51,20 +51,20 @@
     return new ReplicatedLogLeader(
         world,
         "leader",
-        (address, id, message) -> world.after(0, () -> delivered(id, message)),
+        (address, id, message) -> world.schedule(0, () -> delivered(id, message)),
         KEY,
         new ReplicaConfiguration(1, replicas, List.of()),
         false,
         false,
-        outcome -> claim = outcome.claim());
+        outcome -> claim = outcome.result());
   }
 
   private void delivered(String replica, Message message) {
     if (message instanceof VoteRequest promise) {
       asked.add(promise);
       Verdict verdict =
-          promise.trial() && promiseVerdict == Verdict.OK ? Verdict.WOULD_PROMISE : promiseVerdict;
-      leader.promised(
+          promise.preVote() && promiseVerdict == Verdict.OK ? Verdict.WOULD_GRANT : promiseVerdict;
+      leader.handleVoteResponse(
           new VoteResponse(KEY, promise.epoch(), verdict, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     } else if (message instanceof AppendRequest append) {
@@ -77,7 +77,7 @@
     for (AppendRequest append : List.copyOf(unanswered)) {
       long matched = append.previousSequence() + append.entries().size();
       for (String replica : List.of("a", "b")) {
-        leader.appended(
+        leader.handleAppendResponse(
             new AppendResponse(
                 KEY, append.epoch(), append.round(), Verdict.OK, append.epoch(), matched),
             replica);
@@ -111,7 +111,7 @@
   void confirmsAReadOnlyOnceAllBeforeItIsApplied() {
     append("written");
     List<List<String>> seen = new ArrayList<>();
-    leader.confirm(fault -> seen.add(List.copyOf(applied)));
+    leader.confirmLeadership(error -> seen.add(List.copyOf(applied)));
     for (int round = 0; round < 3; round++) {
       world.run(1);
       answerAppends();
@@ -123,7 +123,7 @@
   void appliesNothingOnceTheLeadershipIsLost() {
     append("unacknowledged");
     world.run(1);
-    leader.stop();
+    leader.resign();
     answerAppends();
     assertThat(applied).isEmpty();
     assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
@@ -132,14 +132,14 @@
   /** One replica's answer to the newest append. */
   private void answerBeatOf(String replica) {
     AppendRequest newest = unanswered.get(unanswered.size() - 1);
-    leader.appended(
+    leader.handleAppendResponse(
         new AppendResponse(
             KEY, newest.epoch(), newest.round(), Verdict.OK, newest.epoch(), leader.lastSequence()),
         replica);
   }
 
   private boolean saysThatItHearsAMajority() {
-    return unanswered.get(unanswered.size() - 1).hearsMajority();
+    return unanswered.get(unanswered.size() - 1).inContactWithQuorum();
   }
 
   @Test
@@ -151,14 +151,14 @@
     assertThat(saysThatItHearsAMajority()).isTrue();
     world.run(2 * ReplicationConstants.HEARTBEAT_INTERVAL_MS);
     assertThat(saysThatItHearsAMajority()).isFalse();
-    assertThat(leader.owned()).isTrue();
+    assertThat(leader.isLeading()).isTrue();
 
     world.run(ReplicationConstants.LEADER_STEP_DOWN_MS);
     assertThat(leader.state()).isEqualTo(ReplicatedLogLeader.LeadershipState.LOST);
     assertThat(timesLost).isEqualTo(1);
     assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
     List<ApiError> later = new ArrayList<>();
-    leader.confirm(later::add);
+    leader.confirmLeadership(later::add);
     assertThat(later).containsExactly(new ApiError.NotLeader(KEY));
   }
 
@@ -168,7 +168,7 @@
         ms <= ReplicationConstants.LEADER_STEP_DOWN_MS;
         ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
       world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
-      if (leader.owned()) {
+      if (leader.isLeading()) {
         answerBeatOf("a");
       }
     }
@@ -183,7 +183,7 @@
       world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
       answerBeatOf("a");
       answerBeatOf("c");
-      assertThat(leader.hearsMajority()).isTrue();
+      assertThat(leader.isInContactWithQuorum()).isTrue();
     }
     assertThat(timesLost).isEqualTo(0);
   }
@@ -194,10 +194,10 @@
         ms <= 2 * ReplicationConstants.LEADER_STEP_DOWN_MS;
         ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
       world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
-      leader.heardBy("b");
-      leader.heardBy("c");
+      leader.noteContact("b");
+      leader.noteContact("c");
     }
-    assertThat(leader.hearsMajority()).isTrue();
+    assertThat(leader.isInContactWithQuorum()).isTrue();
     assertThat(timesLost).isEqualTo(0);
   }
 
@@ -205,52 +205,51 @@
   void aProcessThatStoodStillIsNotCutOff() {
     world.freeze(20_000);
     world.run(1);
-    assertThat(leader.hearsMajority()).isTrue();
+    assertThat(leader.isInContactWithQuorum()).isTrue();
     assertThat(timesLost).isEqualTo(0);
   }
 
   @Test
   void asksByATrialBeforeItRaisesTheEpoch() {
-    assertThat(asked.subList(0, 3).stream().allMatch(VoteRequest::trial)).isTrue();
-    VoteRequest first = asked.stream().filter(each -> !each.trial()).findFirst().orElseThrow();
-    assertThat(asked.get(0).epoch().below(first.epoch())).isTrue();
+    assertThat(asked.subList(0, 3).stream().allMatch(VoteRequest::preVote)).isTrue();
+    VoteRequest first = asked.stream().filter(each -> !each.preVote()).findFirst().orElseThrow();
+    assertThat(asked.get(0).epoch().isBelow(first.epoch())).isTrue();
   }
 
   @Test
   void raisesNoEpochWhileReplicasKeepTheKeyForItsOwner() {
     asked.clear();
-    promiseVerdict = Verdict.BUSY;
+    promiseVerdict = Verdict.LEADER_ALIVE;
     leader =
         claimFor(
             List.of(
                 new NodeAddress("a", "x"), new NodeAddress("b", "y"), new NodeAddress("c", "z")));
     world.run(ReplicationConstants.ELECTION_TIMEOUT_MS);
-    assertThat(claim).isEqualTo(ElectionResult.BUSY);
-    assertThat(asked.stream().allMatch(VoteRequest::trial)).isTrue();
+    assertThat(claim).isEqualTo(ElectionResult.LEADER_ALIVE);
+    assertThat(asked.stream().allMatch(VoteRequest::preVote)).isTrue();
   }
 
   /** An answer to an earlier trial of the same epoch is no promise. */
   @Test
   void countsNoTrialAnswerAsAPromise() {
-    promiseVerdict = Verdict.REFUSED;
+    promiseVerdict = Verdict.STALE_EPOCH;
     leader =
         claimFor(
             List.of(
                 new NodeAddress("a", "x"), new NodeAddress("b", "y"), new NodeAddress("c", "z")));
     Epoch trialled = leader.epoch();
     for (String replica : List.of("a", "b")) {
-      leader.promised(
-          new VoteResponse(
-              KEY, trialled, Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()),
+      leader.handleVoteResponse(
+          new VoteResponse(KEY, trialled, Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     }
-    assertThat(trialled.below(leader.epoch())).isTrue();
+    assertThat(trialled.isBelow(leader.epoch())).isTrue();
     for (String replica : List.of("a", "b")) {
-      leader.promised(
+      leader.handleVoteResponse(
           new VoteResponse(
-              KEY, leader.epoch(), Verdict.WOULD_PROMISE, Epoch.NONE, "", "", 0, 0, List.of()),
+              KEY, leader.epoch(), Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     }
-    assertThat(leader.state()).isEqualTo(ReplicatedLogLeader.LeadershipState.CLAIMING);
+    assertThat(leader.state()).isEqualTo(ReplicatedLogLeader.LeadershipState.ELECTING);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -47,11 +47,11 @@
   private static final ReplicaConfiguration FIRST =
       new ReplicaConfiguration(1, replicas("r1", "r2", "r3"), List.of());
   private static final ReplicaConfiguration PENDING =
-      new ReplicaConfiguration(PENDING_SET, FIRST.present(), replicas("r1", "r2", "r4"));
+      new ReplicaConfiguration(PENDING_SET, FIRST.current(), replicas("r1", "r2", "r4"));
   private static final ReplicaConfiguration CHANGED =
       new ReplicaConfiguration(3, PENDING.next(), List.of());
   private static final ReplicaConfiguration CALLED_OFF =
-      new ReplicaConfiguration(3, FIRST.present(), List.of());
+      new ReplicaConfiguration(3, FIRST.current(), List.of());
 
   private static final Predicate<InFlight> ALL = message -> true;
   private static final Predicate<InFlight> NOT_TO_FIRST = message -> !message.to.equals("r1");
@@ -105,8 +105,8 @@
 
   ReplicatedLogModel(ModelBounds bounds) {
     this.bounds = bounds;
-    for (NodeAddress replica : PENDING.all()) {
-      boolean member = FIRST.present().contains(replica);
+    for (NodeAddress replica : PENDING.allReplicas()) {
+      boolean member = FIRST.current().contains(replica);
       if (member || bounds.most(ModelEvent.SET_CHANGE) > 0) {
         disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), SET));
         startReplica(replica.id());
@@ -396,10 +396,10 @@
     }
     claimants.forEach(
         (id, claimant) -> {
-          if (known.get(id).number() < inForce.number()) {
+          if (known.get(id).version() < inForce.version()) {
             steps.add(
                 new Step(
-                    () -> id + " learns set " + inForce.number(),
+                    () -> id + " learns set " + inForce.version(),
                     "",
                     () -> {
                       known.put(id, inForce);
@@ -408,12 +408,13 @@
           }
         });
     if (inForce == PENDING && !newcomerKnows()) {
-      steps.add(new Step(() -> NEWCOMER + " learns set " + inForce.number(), "", this::copyIn));
+      steps.add(new Step(() -> NEWCOMER + " learns set " + inForce.version(), "", this::copyIn));
     }
   }
 
-  private Step change(String label, ReplicaConfiguration sets) {
-    return new Step(() -> label, "", counting(ModelEvent.SET_CHANGE, () -> inForce = sets));
+  private Step change(String label, ReplicaConfiguration replicaConfiguration) {
+    return new Step(
+        () -> label, "", counting(ModelEvent.SET_CHANGE, () -> inForce = replicaConfiguration));
   }
 
   private boolean newcomerKnows() {
@@ -425,7 +426,7 @@
     copying.add(newcomer);
     act(
         newcomer.runtime(),
-        () -> newcomer.copyIn(SET, PENDING_SET, FIRST.present(), () -> inForce.number()));
+        () -> newcomer.copyIn(SET, PENDING_SET, FIRST.current(), () -> inForce.version()));
   }
 
   // ---- invariants and state
@@ -452,19 +453,19 @@
   private void checkPromised(String id, ModelReplica replica) {
     Epoch promised = promised(replica.replicas());
     Epoch before = promisedBefore.put(id, promised);
-    if (before != null && promised.below(before)) {
+    if (before != null && promised.isBelow(before)) {
       throw new InvariantViolation(Invariant.PROMISE_KEPT, id + " fell to " + promised);
     }
     Epoch told = history.told(id);
-    if (promised.below(told) || promised(disks.get(id).recoverable()).below(told)) {
+    if (promised.isBelow(told) || promised(disks.get(id).recoverable()).isBelow(told)) {
       throw new InvariantViolation(
           Invariant.PROMISE_KEPT, id + " has promised " + promised + " and told " + told);
     }
   }
 
   private static Epoch promised(LogReplicas replicas) {
-    LogReplica copy = replicas.copies().get(KEY);
-    return copy == null ? Epoch.NONE : copy.promised;
+    LogReplica replica = replicas.replicas().get(KEY);
+    return replica == null ? Epoch.NONE : replica.promisedEpoch;
   }
 
   private void checkKept(LogEntry entry) {
@@ -477,8 +478,8 @@
           }
         });
     ReplicaConfiguration counted =
-        new ReplicaConfiguration(inForce.number(), inForce.present(), List.of());
-    if (!counted.quorum(holders)) {
+        new ReplicaConfiguration(inForce.version(), inForce.current(), List.of());
+    if (!counted.isQuorum(holders)) {
       throw new InvariantViolation(
           Invariant.ACKNOWLEDGED_KEPT,
           ModelHistory.text(entry) + " is recoverable at " + holders + " only");
@@ -496,8 +497,8 @@
     disks.values().forEach(disk -> disk.addTo(text));
     claimants.values().forEach(claimant -> claimant.addTo(text));
     text.add(inFlight.stream().map(InFlight::text).sorted().toList());
-    text.add(taken).add(inForce.number()).add(inForce.present()).add(newcomerPending());
-    known.values().forEach(sets -> text.add(sets.number()));
+    text.add(taken).add(inForce.version()).add(inForce.current()).add(newcomerPending());
+    known.values().forEach(replicaConfiguration -> text.add(replicaConfiguration.version()));
     return text.add(history).add(promisedBefore);
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/SlowLinkElectionTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/SlowLinkElectionTest.java
@@ -63,12 +63,12 @@
     private long linkBytes;
 
     @Override
-    public long now() {
+    public long nowMs() {
       return now;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       boolean[] cancelled = new boolean[1];
       tasks.add(
           new Task(
@@ -86,7 +86,7 @@
     void overLink(long bytes, Runnable arrival) {
       linkBytes += bytes;
       linkFreeAt = Math.max(linkFreeAt, now) + bytes / SLOW_LINK_BYTES_PER_MS;
-      after(linkFreeAt - now + LATENCY_MS, arrival);
+      schedule(linkFreeAt - now + LATENCY_MS, arrival);
     }
 
     void runUntil(long until) {
@@ -103,16 +103,16 @@
 
     @Override
     public void write(List<LogRecord> records, Runnable whenSynced) {
-      after(SYNC_MS, whenSynced);
+      schedule(SYNC_MS, whenSynced);
     }
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return true;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       return () -> {};
     }
 
@@ -135,7 +135,7 @@
   private final List<ReplicatedLogLeader> owned = new ArrayList<>();
   private final List<LogEntry> log = new ArrayList<>();
   private long ownedAt = Long.MAX_VALUE;
-  private Elections claims;
+  private Elections elections;
 
   /** Whom the claimant asked for parts of the log, in order. */
   private final List<String> sources = new ArrayList<>();
@@ -156,7 +156,7 @@
               (address, to, message) -> world.overLink(sizeOf(message), () -> take(message, id)),
               (key, entry) -> {},
               key -> "set");
-      copy.append(
+      copy.handleAppendRequest(
           new AppendRequest(KEY, FORMER, 1, 1, 0, Epoch.NONE, log.size(), true, List.copyOf(log)),
           FORMER.node(),
           FORMER.node());
@@ -174,38 +174,38 @@
   }
 
   private void take(Message message, String fromId) {
-    if (claims == null) {
+    if (elections == null) {
       return;
     }
     if (message instanceof Message.VoteResponse promised) {
-      claims.promised(promised, fromId);
+      elections.handleVoteResponse(promised, fromId);
     } else if (message instanceof Message.LogFetchResponse part) {
-      claims.logPart(part);
+      elections.handleLogFetchResponse(part);
     } else if (message instanceof AppendResponse appended) {
-      ReplicatedLogLeader key = owned.isEmpty() ? claims.claiming(KEY) : owned.get(0);
+      ReplicatedLogLeader key = owned.isEmpty() ? elections.inProgress(KEY) : owned.get(0);
       if (key != null) {
-        key.appended(appended, fromId);
+        key.handleAppendResponse(appended, fromId);
       }
     }
   }
 
   private void claim() {
-    ReplicaConfiguration sets =
+    ReplicaConfiguration replicaConfiguration =
         new ReplicaConfiguration(
             1, replicas.keySet().stream().map(id -> new NodeAddress(id, id)).toList(), List.of());
-    claims =
+    elections =
         new Elections(
             world,
             "edge",
-            (address, id, message) -> world.after(1, () -> atReplica(id, message)),
-            key -> sets,
+            (address, id, message) -> world.schedule(1, () -> atReplica(id, message)),
+            key -> replicaConfiguration,
             owned::add);
-    claims.claim(
+    elections.elect(
         KEY,
         false,
         outcome -> {
           outcomes.add(outcome);
-          ownedAt = world.now();
+          ownedAt = world.nowMs();
         });
   }
 
@@ -218,22 +218,22 @@
       return;
     }
     if (message instanceof Message.VoteRequest promise) {
-      copy.promise(promise, "edge", "edge");
+      copy.handleVoteRequest(promise, "edge", "edge");
     } else if (message instanceof Message.LogFetchRequest ask) {
-      copy.tellLog(ask, "edge", "edge");
+      copy.handleLogFetchRequest(ask, "edge", "edge");
     } else if (message instanceof AppendRequest append) {
-      copy.append(append, "edge", "edge");
+      copy.handleAppendRequest(append, "edge", "edge");
     }
   }
 
   @Test
   void aLogOfMegabytesIsTakenOverWhileAClientStillWaits() {
     givenALargeLog();
-    long askedAt = world.now();
+    long askedAt = world.nowMs();
     claim();
     world.runUntil(askedAt + 20_000);
-    assertThat(outcomes.stream().map(ElectionOutcome::claim).toList())
-        .containsExactly(ElectionResult.OWNED);
+    assertThat(outcomes.stream().map(ElectionOutcome::result).toList())
+        .containsExactly(ElectionResult.ELECTED);
     assertThat(owned.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
     assertThat(ownedAt - askedAt).isLessThan(1_500L);
   }
@@ -242,12 +242,12 @@
   void aSourceThatFallsSilentIsReplacedByAnother() {
     givenALargeLog();
     claim();
-    world.runUntil(world.now() + 500);
+    world.runUntil(world.nowMs() + 500);
     assertThat(outcomes).isEmpty();
     silent = sources.get(0);
-    world.runUntil(world.now() + 3_000);
-    assertThat(outcomes.stream().map(ElectionOutcome::claim).toList())
-        .containsExactly(ElectionResult.OWNED);
+    world.runUntil(world.nowMs() + 3_000);
+    assertThat(outcomes.stream().map(ElectionOutcome::result).toList())
+        .containsExactly(ElectionResult.ELECTED);
     assertThat(owned.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
     assertThat(Set.copyOf(sources)).hasSize(2);
   }
@@ -256,18 +256,18 @@
   void aClaimThatIsOvertakenWhileItReadsEndsAndTakesNothingOver() {
     givenALargeLog();
     claim();
-    world.runUntil(world.now() + 300);
+    world.runUntil(world.nowMs() + 300);
     replicas
         .values()
         .forEach(
             copy ->
-                copy.promise(
+                copy.handleVoteRequest(
                     new Message.VoteRequest(KEY, new Epoch(99, "other"), 1, false, 1, false),
                     "other",
                     ""));
-    world.runUntil(world.now() + 5_000);
-    assertThat(outcomes.stream().map(ElectionOutcome::claim).toList())
-        .containsExactly(ElectionResult.NO_MAJORITY);
+    world.runUntil(world.nowMs() + 5_000);
+    assertThat(outcomes.stream().map(ElectionOutcome::result).toList())
+        .containsExactly(ElectionResult.NO_QUORUM);
     assertThat(owned).isEmpty();
   }
 
@@ -278,17 +278,17 @@
     LogReplicas copy =
         new LogReplicas(
             world, (address, to, message) -> told.add(message), (key, entry) -> {}, key -> "set");
-    copy.append(
+    copy.handleAppendRequest(
         new AppendRequest(KEY, FORMER, 1, 1, 0, Epoch.NONE, 0, true, List.copyOf(log)),
         "former",
         "former");
-    copy.promise(
+    copy.handleVoteRequest(
         new Message.VoteRequest(KEY, new Epoch(8, "former"), 1, false, Integer.MIN_VALUE, false),
         "",
         "");
-    world.runUntil(world.now() + 100);
+    world.runUntil(world.nowMs() + 100);
     Message.VoteResponse last = (Message.VoteResponse) told.get(told.size() - 1);
     assertThat(last.entries()).containsExactlyElementsIn(log).inOrder();
-    assertThat(last.wholeLog()).isTrue();
+    assertThat(last.isCompleteLog()).isTrue();
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
@@ -29,12 +29,12 @@
     Runnable readNext;
 
     @Override
-    public long now() {
+    public long nowMs() {
       return now;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       readNext = task;
       return () -> {};
     }
@@ -46,12 +46,12 @@
     public void write(List<LogRecord> records, Runnable whenSynced) {}
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return true;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       throw new AssertionError("nothing is run here");
     }
 
@@ -71,62 +71,62 @@
   }
 
   private final World world = new World();
-  private final WorkerRegistry book = new WorkerRegistry(world, () -> {});
+  private final WorkerRegistry registry = new WorkerRegistry(world, () -> {});
 
   private WorkerState worker(int slots) {
-    book.follow(
+    registry.updateWorkers(
         Map.of(
             "w",
             new WorkerRegistration("w", "10.0.0.1:1", "p", WorkerRegistration.READY, "", slots)));
-    return book.get("w");
+    return registry.get("w");
   }
 
   @Test
   void refusalsOfRequestsSentTogetherMakeOneRest() {
     WorkerState worker = worker(0);
     for (int number = 0; number < 8; number++) {
-      book.refused(worker);
+      registry.recordRejection(worker);
     }
     world.now += WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
-    assertThat(book.usable(worker)).isFalse();
+    assertThat(registry.isUsable(worker)).isFalse();
     world.now++;
-    assertThat(book.usable(worker)).isTrue();
+    assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
   void aRefusalAfterTheRestMakesALongerOne() {
     WorkerState worker = worker(0);
-    book.refused(worker);
+    registry.recordRejection(worker);
     world.now += WorkerConstants.LOAD_POLL_INTERVAL_MS;
-    book.refused(worker);
+    registry.recordRejection(worker);
     world.now += 2 * WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
-    assertThat(book.usable(worker)).isFalse();
+    assertThat(registry.isUsable(worker)).isFalse();
     world.now++;
-    assertThat(book.usable(worker)).isTrue();
+    assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
   void runsThatFallTogetherMakeOneRest() {
     WorkerState worker = worker(8);
     for (int number = 0; number < 8; number++) {
-      book.faulted(worker);
+      registry.recordConnectionFailure(worker);
     }
     world.now += WorkerConstants.BASE_EJECTION_MS - 1;
-    assertThat(book.usable(worker)).isFalse();
+    assertThat(registry.isUsable(worker)).isFalse();
     world.now++;
-    assertThat(book.usable(worker)).isTrue();
+    assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
   void aFaultAfterTheRestMakesALongerOne() {
     WorkerState worker = worker(8);
-    book.faulted(worker);
+    registry.recordConnectionFailure(worker);
     world.now += WorkerConstants.BASE_EJECTION_MS;
-    book.faulted(worker);
+    registry.recordConnectionFailure(worker);
     world.now += 2 * WorkerConstants.BASE_EJECTION_MS - 1;
-    assertThat(book.usable(worker)).isFalse();
+    assertThat(registry.isUsable(worker)).isFalse();
     world.now++;
-    assertThat(book.usable(worker)).isTrue();
+    assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
@@ -136,9 +136,9 @@
     world.running = 0;
     world.now += WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
     world.readNext.run();
-    assertThat(worker.livePeak).isWithin(0.01).of(4);
+    assertThat(worker.peakLiveCalls).isWithin(0.01).of(4);
     world.now += 2 * WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
     world.readNext.run();
-    assertThat(worker.livePeak).isWithin(0.01).of(1);
+    assertThat(worker.peakLiveCalls).isWithin(0.01).of(1);
   }
 }
--- a/data-plane/src/main/java/applespindle/dataplane/DataPlane.java
+++ b/data-plane/src/main/java/applespindle/dataplane/DataPlane.java
@@ -15,10 +15,10 @@
         null,
         arguments,
         startup ->
-            (surroundings, place) ->
+            (environment, identity) ->
                 startup.role().equals("storage")
-                    ? new StorageNode(surroundings, place)
-                    : new EdgeNode(surroundings, place),
+                    ? new StorageNode(environment, identity)
+                    : new EdgeNode(environment, identity),
         DataPlane::open);
   }
 
--- a/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
@@ -141,7 +141,7 @@
   }
 
   @Override
-  public void fault(Response fault, boolean cut) {
+  public void fail(Response fault, boolean cut) {
     onHttp(
         () -> {
           over = true;
--- a/data-plane/src/main/java/applespindle/dataplane/OpaqueDoor.java
+++ b/data-plane/src/main/java/applespindle/dataplane/OpaqueDoor.java
@@ -97,9 +97,9 @@
   }
 
   public void listen(String address) {
-    gateway.whenBundleChanges(
-        bundle -> {
-          limits = bundle.clients();
+    gateway.onConfigurationChange(
+        configuration -> {
+          limits = configuration.clients();
           process.toHttp(() -> List.copyOf(sockets).forEach(ClientSocket::limitsChanged));
         });
     HttpServer server =
@@ -169,15 +169,15 @@
   }
 
   /** The response is the last on its connection; a body that is still coming is read away. */
-  private Promise<HttpResponse> refuseUnread(HttpRequest request, ApiError fault) {
+  private Promise<HttpResponse> refuseUnread(HttpRequest request, ApiError error) {
     request.takeBodyStream().streamTo(ChannelConsumers.recycling());
-    return refuseAndClose(request, fault);
+    return refuseAndClose(request, error);
   }
 
-  private Promise<HttpResponse> refuseAndClose(HttpRequest request, ApiError fault) {
+  private Promise<HttpResponse> refuseAndClose(HttpRequest request, ApiError error) {
     socket(request).closeAfterWrite();
     return later(
-        HttpInterface.begin(Response.of(fault))
+        HttpInterface.begin(Response.of(error))
             .withHeader(HttpHeaders.CONNECTION, "close")
             .build());
   }
@@ -193,17 +193,17 @@
     ClientSocket socket = socket(request);
     boolean chunked = request.getHeader(HttpHeaders.TRANSFER_ENCODING) != null;
     boolean sound = socket.bodyBegins(chunked);
-    ApiError fault = headFault(request);
-    if (fault == null && !sound) {
-      fault = invalid("body", "must come in sound chunks");
+    ApiError error = headFault(request);
+    if (error == null && !sound) {
+      error = invalid("body", "must come in sound chunks");
     }
     int bodyBytesMost = bodyBytesMost();
     String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-    if (fault == null && length != null && Long.parseLong(length) > bodyBytesMost) {
-      fault = new ApiError.InputTooLarge(bodyBytesMost);
+    if (error == null && length != null && Long.parseLong(length) > bodyBytesMost) {
+      error = new ApiError.InputTooLarge(bodyBytesMost);
     }
-    if (fault != null) {
-      return refuseUnread(request, fault);
+    if (error != null) {
+      return refuseUnread(request, error);
     }
     String target = request.getPathAndQuery();
     String host = request.getHeader(HttpHeaders.HOST);
@@ -346,7 +346,7 @@
               if (arrived.method().equals("POST") && leadsToBatches(request.value())) {
                 process.toHttp(() -> submit(arrived, response, trace));
               } else {
-                exchange.begin(listener -> gateway.pass(request.value(), listener));
+                exchange.begin(listener -> gateway.proxy(request.value(), listener));
               }
             });
     if (!taken) {
@@ -357,9 +357,9 @@
 
   /** Our own responses tell when to come back as the format has it. */
   private HttpResponse render(Response response) {
-    HttpResponse.Builder builder = HttpInterface.begin(response.withComeBackMs(0));
-    if (response.comeBackMs() > 0) {
-      builder.withHeader(HttpHeaders.RETRY_AFTER, format.comeBack(response.comeBackMs()));
+    HttpResponse.Builder builder = HttpInterface.begin(response.withRetryAfterMs(0));
+    if (response.retryAfterMs() > 0) {
+      builder.withHeader(HttpHeaders.RETRY_AFTER, format.comeBack(response.retryAfterMs()));
     }
     return builder.build();
   }
@@ -373,7 +373,7 @@
     trace.mark("receive");
     BatchSubmission submission = format.submission(arrived);
     ask(
-        then -> gateway.submitOpaque(submission, then),
+        then -> gateway.submitProxiedBatch(submission, then),
         answer -> {
           trace.mark("logic");
           process.log(
@@ -394,16 +394,16 @@
     ask(
         then -> {
           if (call instanceof BatchCall.Results results) {
-            gateway.opaqueResults(results.batch(), results.from(), results.holdMs(), then);
+            gateway.readProxiedResults(results.batch(), results.from(), results.holdMs(), then);
           } else if (call instanceof BatchCall.ItemBody item) {
-            gateway.opaqueItem(item.batch(), item.item(), then);
+            gateway.readProxiedItem(item.batch(), item.item(), then);
           } else if (call instanceof BatchCall.End end) {
-            gateway.endOpaque(end.batch(), then);
+            gateway.endProxiedBatch(end.batch(), then);
           }
         },
         answer ->
             response.trySet(
-                answer.good() && call instanceof BatchCall.ItemBody
+                answer.isSuccess() && call instanceof BatchCall.ItemBody
                     ? itemBody(answer)
                     : render(format.show(call, answer))));
   }
--- a/data-plane/src/main/java/applespindle/dataplane/OpaqueExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/OpaqueExchange.java
@@ -102,7 +102,7 @@
   }
 
   @Override
-  public void piece(ResponseChunk piece) {
+  public void chunk(ResponseChunk piece) {
     tell(told -> told.pieces.add(piece.bytes()));
   }
 
@@ -117,7 +117,7 @@
   }
 
   @Override
-  public void cut(ApiError fault) {
+  public void cut(ApiError error) {
     tell(told -> told.cut = true);
   }
 
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueAnswersTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/OpaqueAnswersTest.java
@@ -49,8 +49,8 @@
 
   private static void whole(ProxiedResponseListener listener) {
     listener.head(new ResponseHead(200, List.of(new Header("X-Stamp", "s"))));
-    listener.piece(piece("a body "));
-    listener.piece(piece("in two"));
+    listener.chunk(piece("a body "));
+    listener.chunk(piece("in two"));
     listener.end();
   }
 
@@ -133,13 +133,13 @@
       door.onLogic(
           () -> {
             listener.head(STREAM);
-            listener.piece(piece("data: 1\n\n"));
+            listener.chunk(piece("data: 1\n\n"));
           });
       String begun = readUntil(socket, "data: 1\n\n");
       assertThat(begun.toLowerCase()).contains("connection: close");
       door.onLogic(
           () -> {
-            listener.piece(piece("data: 2\n\n"));
+            listener.chunk(piece("data: 2\n\n"));
             listener.end();
           });
       String rest = readAll(socket);
@@ -170,11 +170,11 @@
       door.onLogic(
           () -> {
             listener.head(STREAM);
-            listener.piece(piece("data: 1\n\n"));
+            listener.chunk(piece("data: 1\n\n"));
           });
       assertThat(readUntil(socket, "data: 1\n\n").toLowerCase())
           .contains("transfer-encoding: chunked");
-      door.onLogic(() -> listener.piece(piece("data: 2\n\n")));
+      door.onLogic(() -> listener.chunk(piece("data: 2\n\n")));
       readUntil(socket, "data: 2\n\n");
       door.onLogic(listener::end);
       readUntil(socket, "0\r\n\r\n");
@@ -192,7 +192,7 @@
       door.onLogic(
           () -> {
             listener.head(STREAM);
-            listener.piece(piece("data: 1\n\n"));
+            listener.chunk(piece("data: 1\n\n"));
             listener.cut(new ApiError.WorkerStreamTruncated("w"));
           });
       String all = readAll(socket);
@@ -215,7 +215,7 @@
     door.onLogic(
         () -> {
           begun.listener().head(STREAM);
-          begun.listener().piece(piece("data: 1\n\n"));
+          begun.listener().chunk(piece("data: 1\n\n"));
         });
     readUntil(midway, "data: 1\n\n");
     midway.close();
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorTest.java
@@ -95,7 +95,7 @@
             Map.of());
     new NodeProcess(
             startup,
-            (surroundings, place) -> new EdgeNode(surroundings, place, NodeSettings.DEFAULT))
+            (environment, identity) -> new EdgeNode(environment, identity, NodeSettings.DEFAULT))
         .start(
             process ->
                 new OpaqueDoor(process, (EdgeNode) process.node(), FORMAT)
--- a/data-plane/src/test/java/applespindle/dataplane/TestDoor.java
+++ b/data-plane/src/test/java/applespindle/dataplane/TestDoor.java
@@ -38,12 +38,12 @@
 
   private final class Gateway implements EdgeGateway {
     @Override
-    public void whenBundleChanges(Consumer<RoutingConfiguration> then) {
+    public void onConfigurationChange(Consumer<RoutingConfiguration> then) {
       bundleChanges = then;
     }
 
     @Override
-    public RequestHandle pass(ProxiedRequest request, ProxiedResponseListener listener) {
+    public RequestHandle proxy(ProxiedRequest request, ProxiedResponseListener listener) {
       CompletableFuture<Void> cancelled = new CompletableFuture<>();
       answer.accept(listener);
       passed.add(new Passed(request, listener, cancelled));
@@ -56,22 +56,22 @@
     }
 
     @Override
-    public void submitOpaque(BatchSubmission submission, Consumer<Response> then) {
+    public void submitProxiedBatch(BatchSubmission submission, Consumer<Response> then) {
       throw new AssertionError("no batches here");
     }
 
     @Override
-    public void opaqueResults(String batch, long from, long holdMs, Consumer<Response> then) {
+    public void readProxiedResults(String batch, long from, long holdMs, Consumer<Response> then) {
       throw new AssertionError("no batches here");
     }
 
     @Override
-    public void opaqueItem(String batch, String item, Consumer<Response> then) {
+    public void readProxiedItem(String batch, String item, Consumer<Response> then) {
       throw new AssertionError("no batches here");
     }
 
     @Override
-    public void endOpaque(String batch, Consumer<Response> then) {
+    public void endProxiedBatch(String batch, Consumer<Response> then) {
       throw new AssertionError("no batches here");
     }
   }
@@ -146,7 +146,7 @@
     process =
         new NodeProcess(
             startup,
-            (surroundings, place) -> new EdgeNode(surroundings, place, NodeSettings.DEFAULT));
+            (environment, identity) -> new EdgeNode(environment, identity, NodeSettings.DEFAULT));
     process.start(
         started -> new OpaqueDoor(started, new Gateway(), FORMAT).listen("127.0.0.1:" + port));
   }
--- a/operator-tool/src/main/java/applespindle/operatortool/BundlePatching.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/BundlePatching.java
@@ -53,14 +53,15 @@
       throw new IllegalArgumentException(
           "can not read the bundle in force: status " + inForce.status() + " " + inForce.text());
     }
-    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.read(ConfigurationFormat.OWN, patch);
-    refuse(read.faults());
+    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.parse(ConfigurationFormat.OWN, patch);
+    refuse(read.errors());
     byte[] bytes = Base64.getDecoder().decode(inForce.body().path("bytes").asText());
-    ObjectNode written = ConfigurationFormat.OWN.written(bytes);
+    ObjectNode written = ConfigurationFormat.OWN.sourceOf(bytes);
     ConfigurationPatch.PatchResult applied = read.patch().applyTo(written);
-    refuse(applied.faults());
-    ConfigurationFormat.ParsedConfiguration whole = ConfigurationFormat.OWN.read(applied.whole());
-    refuse(whole.faults());
+    refuse(applied.errors());
+    ConfigurationFormat.ParsedConfiguration whole =
+        ConfigurationFormat.OWN.parse(applied.configuration());
+    refuse(whole.errors());
     return new Change(
         patch,
         Map.of(
@@ -69,7 +70,7 @@
             "Applespindle-Key-Id",
             keyId,
             "Applespindle-Signature",
-            Signing.sign(whole.bundle(), privateKey)));
+            Signing.sign(whole.configuration(), privateKey)));
   }
 
   private static void refuse(List<ApiError.Field> faults) {
--- a/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
@@ -289,12 +289,12 @@
   }
 
   private static int checkBundle(byte[] bytes) {
-    RoutingConfiguration.ValidationResult checked = RoutingConfiguration.check(bytes);
-    if (checked.fault() == null) {
-      System.out.println("bundle " + checked.bundle().number() + ": good");
+    RoutingConfiguration.ValidationResult checked = RoutingConfiguration.validate(bytes);
+    if (checked.error() == null) {
+      System.out.println("bundle " + checked.configuration().number() + ": good");
       return 0;
     }
-    if (checked.fault() instanceof ApiError.InvalidConfiguration invalid) {
+    if (checked.error() instanceof ApiError.InvalidConfiguration invalid) {
       invalid.fields().forEach(field -> System.err.println(field.path() + ": " + field.reason()));
     }
     return 1;
--- a/test-fleet/src/main/java/applespindle/testfleet/CoreWatch.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/CoreWatch.java
@@ -84,7 +84,7 @@
   }
 
   private void ask() {
-    if (simulation.nowMs() >= toMs + AFTER_MS) {
+    if (simulation.simulatedNowMs() >= toMs + AFTER_MS) {
       return;
     }
     for (Process core : cores()) {
@@ -94,7 +94,7 @@
   }
 
   private void read(Process core, String key) {
-    long begunMs = simulation.nowMs();
+    long begunMs = simulation.simulatedNowMs();
     boolean judged = begunMs >= fromMs + KNOWN_MS && begunMs < toMs - KNOWN_MS && !core.frozen();
     fleet.command(
         core,
@@ -103,19 +103,19 @@
         key,
         new byte[] {'{', '}'},
         response -> {
-          long tookMs = simulation.nowMs() - begunMs;
+          long tookMs = simulation.simulatedNowMs() - begunMs;
           boolean connectionBroke = response == null && tookMs < PATIENCE_MS;
           if (judged && !connectionBroke) {
             slowestAnswerMs = Math.max(slowestAnswerMs, tookMs);
           }
-          if (response != null && response.good()) {
+          if (response != null && response.isSuccess()) {
             measureGap(key);
           }
         });
   }
 
   private void measureGap(String key) {
-    long now = simulation.nowMs();
+    long now = simulation.simulatedNowMs();
     if (now > toMs + AFTER_MS) {
       return;
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
@@ -166,7 +166,7 @@
                     new SignedConfiguration(0, Json.bytes(bundle), "", new byte[0], 0L),
                     then),
         response -> {
-          if (!response.good()) {
+          if (!response.isSuccess()) {
             throw new IllegalStateException("the configuration was refused: " + response);
           }
         });
@@ -228,7 +228,7 @@
   }
 
   private double burst(String kind) {
-    long now = simulation.nowMs() - TRAFFIC_FROM_MS;
+    long now = simulation.simulatedNowMs() - TRAFFIC_FROM_MS;
     Trouble.Kind wanted = kind.equals("lot") ? Trouble.Kind.LOT_BURST : Trouble.Kind.BURST;
     if (kind.equals("note")) {
       return 1;
@@ -250,10 +250,10 @@
   }
 
   private void next(int zone, String kind, double perS, double phase, SplittableRandom own) {
-    if (simulation.nowMs() >= TRAFFIC_FROM_MS + trafficMs) {
+    if (simulation.simulatedNowMs() >= TRAFFIC_FROM_MS + trafficMs) {
       return;
     }
-    double turn = simulation.nowMs() / shape.wavePeriodMs() + phase;
+    double turn = simulation.simulatedNowMs() / shape.wavePeriodMs() + phase;
     double rate =
         perS * burst(kind) * (1 + shape.swing() * Math.sin(2 * Math.PI * turn)) / shape.clump();
     int together = 1;
@@ -318,7 +318,7 @@
       simulation.call(
           edge,
           (Consumer<Runnable> then) -> {
-            RequestHandle ignored = ((EdgeNode) edge.node()).pass(request, this);
+            RequestHandle ignored = ((EdgeNode) edge.node()).proxy(request, this);
           },
           new Caller<Runnable>() {
             @Override
@@ -335,7 +335,7 @@
     public void head(ResponseHead head) {}
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       double nowMs = simulation.nowUs() / 1_000.0;
       if (first) {
         first = false;
@@ -353,7 +353,7 @@
     }
 
     @Override
-    public void cut(ApiError fault) {
+    public void cut(ApiError error) {
       over(false);
     }
 
@@ -398,7 +398,7 @@
   }
 
   private void nextLot(SplittableRandom own) {
-    if (simulation.nowMs() >= TRAFFIC_FROM_MS + trafficMs) {
+    if (simulation.simulatedNowMs() >= TRAFFIC_FROM_MS + trafficMs) {
       return;
     }
     String lot = "b" + ++ids;
@@ -413,7 +413,7 @@
     result.items += items;
     this.<Response>call(
         edge,
-        then -> ((EdgeNode) edge.node()).submitOpaque(BatchSubmission.of(batch), then),
+        then -> ((EdgeNode) edge.node()).submitProxiedBatch(BatchSubmission.of(batch), then),
         response -> {});
     simulation.afterMs(
         -Math.log(1 - own.nextDouble()) * 1_000 / (shape.lotsPerS() * burst("lot")),
@@ -426,11 +426,11 @@
         List.of(
             new PromptPart("i" + own.nextInt(30), 432),
             new PromptPart(id, spread(own, 768, 0.5, 4_370)));
-    itemSentMs.put(id, simulation.nowMs());
+    itemSentMs.put(id, simulation.simulatedNowMs());
     simulation.outside.workers.whenDone.put(
         id,
         () -> {
-          boolean inTime = simulation.nowMs() - itemSentMs.get(id) <= LOT_AIM_MS;
+          boolean inTime = simulation.simulatedNowMs() - itemSentMs.get(id) <= LOT_AIM_MS;
           result.itemsInTime += inTime ? 1 : 0;
         });
     return new ProxiedBatch.Item(
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -22,7 +22,7 @@
   /** Lists a worker, and lists it again while nothing certain is heard. */
   void listWorker(String id) {
     String pool = fleet.spares.contains(id) ? "spare" : "main";
-    simulation.history.add(simulation.nowMs(), Kind.WORKER_POOL, id, pool, "", 0);
+    simulation.history.add(simulation.simulatedNowMs(), Kind.WORKER_POOL, id, pool, "", 0);
     var input = new WorkerInput(id, SimulatedWorkers.address(id), pool, null);
     fleet.command(
         fleet.liveCore(),
@@ -30,7 +30,7 @@
         "worker/" + id,
         ControlPlaneNode.workerListed(input),
         response -> {
-          if (response == null || !response.good()) {
+          if (response == null || !response.isSuccess()) {
             simulation.afterMs(500, () -> listWorker(id));
           }
         });
@@ -44,7 +44,8 @@
         ControlPlaneNode.workerMarked(id, true),
         response -> {
           int status = response == null ? 0 : response.status();
-          simulation.history.add(simulation.nowMs(), Kind.LEAVING_ANSWERED, id, "", "", status);
+          simulation.history.add(
+              simulation.simulatedNowMs(), Kind.LEAVING_ANSWERED, id, "", "", status);
           if (status != 200) {
             simulation.afterMs(500, () -> markLeaving(id));
           }
@@ -55,12 +56,12 @@
   void sendBundle(long number, String content, String coreName) {
     byte[] bytes = content.getBytes(UTF_8);
     simulation.history.add(
-        simulation.nowMs(), Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
+        simulation.simulatedNowMs(), Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
     Deployment.pools(content)
         .forEach(
             (trafficClass, pool) ->
                 simulation.history.add(
-                    simulation.nowMs(),
+                    simulation.simulatedNowMs(),
                     Kind.BUNDLE_WAY,
                     Long.toString(number),
                     trafficClass,
@@ -74,10 +75,10 @@
         response -> {
           int status = response == null ? 0 : response.status();
           simulation.history.add(
-              simulation.nowMs(),
+              simulation.simulatedNowMs(),
               Kind.BUNDLE_ANSWERED,
               Long.toString(number),
-              response == null ? "" : response.faultType(),
+              response == null ? "" : response.errorType(),
               "",
               status);
           if (status == 200) {
@@ -91,16 +92,16 @@
 
   /** Reads the bundle back at the core, and sees what each ready edge has in force. */
   void watchBundles() {
-    long begunAt = simulation.nowMs();
+    long begunAt = simulation.simulatedNowMs();
     fleet.command(
         fleet.liveCore(),
         "read",
         "bundle",
         new byte[] {'{', '}'},
         response -> {
-          if (response != null && response.good() && !response.body().isNull()) {
+          if (response != null && response.isSuccess() && !response.body().isNull()) {
             simulation.history.add(
-                simulation.nowMs(),
+                simulation.simulatedNowMs(),
                 Kind.BUNDLE_READ,
                 "",
                 "",
@@ -119,7 +120,7 @@
           status -> {
             if (status != null) {
               simulation.history.add(
-                  simulation.nowMs(),
+                  simulation.simulatedNowMs(),
                   Kind.EDGE_BUNDLE,
                   edge.name,
                   "",
--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -45,7 +45,7 @@
   }
 
   private void sendNext(String trafficClass, double perSecond, long untilMs) {
-    if (simulation.nowMs() >= untilMs) {
+    if (simulation.simulatedNowMs() >= untilMs) {
       return;
     }
     sendOrTwins(trafficClass, trafficClass.equals("once") ? "once-" + lastNumber : "");
@@ -122,7 +122,7 @@
       prompt = SimulatedFleet.familyPrompt(family, id);
       stream = simulation.random.nextBoolean();
       edge = fleet.anyEdge();
-      sentAt = simulation.nowMs();
+      sentAt = simulation.simulatedNowMs();
     }
 
     private boolean isNote() {
@@ -161,14 +161,14 @@
     }
 
     @Override
-    public void fault(Response response, boolean cut) {
-      if (!cut && response.comeBackSeconds() > 0) {
-        long tookMs = simulation.nowMs() - sentAt;
-        fleet.refusedAfterMs.merge(response.faultType(), tookMs, Math::max);
-        comeBack(id, response.comeBackSeconds(), trafficClass);
+    public void fail(Response response, boolean cut) {
+      if (!cut && response.retryAfterSeconds() > 0) {
+        long tookMs = simulation.simulatedNowMs() - sentAt;
+        fleet.refusedAfterMs.merge(response.errorType(), tookMs, Math::max);
+        comeBack(id, response.retryAfterSeconds(), trafficClass);
       }
       int status = cut ? 200 : response.status();
-      String detail = cut ? "cut" : response.faultType();
+      String detail = cut ? "cut" : response.errorType();
       answer.accept(() -> finish(status, detail, streamed.toString()));
     }
 
@@ -210,9 +210,11 @@
             ONCE_AGAIN_MS, () -> LiveClients.this.send(trafficClass, once, repeats + 1));
       }
       done = true;
-      simulation.history.add(simulation.nowMs(), Kind.LIVE_ANSWERED, id, detail, text, status);
+      simulation.history.add(
+          simulation.simulatedNowMs(), Kind.LIVE_ANSWERED, id, detail, text, status);
       if (complete) {
-        (isNote() ? fleet.noteLatencies : fleet.checkLatencies).add(simulation.nowMs() - sentAt);
+        (isNote() ? fleet.noteLatencies : fleet.checkLatencies)
+            .add(simulation.simulatedNowMs() - sentAt);
       }
     }
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
@@ -114,14 +114,14 @@
         fleet.operators.change();
       }
       while (fleet.operators.acknowledged == before) {
-        simulation.runUntil(simulation.nowMs() + STEP_MS);
+        simulation.runUntil(simulation.simulatedNowMs() + STEP_MS);
       }
     }
   }
 
   /** Edges that followed a process that left have found another by the end. */
   private void settle() {
-    simulation.runUntil(simulation.nowMs() + SETTLE_MS);
+    simulation.runUntil(simulation.simulatedNowMs() + SETTLE_MS);
   }
 
   private void leave() {
@@ -154,12 +154,12 @@
   }
 
   private long catchUp() {
-    long from = simulation.nowMs();
+    long from = simulation.simulatedNowMs();
     long newest = fleet.operators.newestAcknowledged();
-    while (simulation.nowMs() - from < CATCH_UP_MOST_MS) {
-      simulation.runUntil(simulation.nowMs() + STEP_MS);
+    while (simulation.simulatedNowMs() - from < CATCH_UP_MOST_MS) {
+      simulation.runUntil(simulation.simulatedNowMs() + STEP_MS);
       if (number(away) == newest && away.node().notReadyBecause().isEmpty() && holdsNewest()) {
-        return simulation.nowMs() - from;
+        return simulation.simulatedNowMs() - from;
       }
     }
     return -1;
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/OpaqueClients.java
@@ -83,7 +83,7 @@
   }
 
   private void next(String type, double perSecond, long untilMs) {
-    if (simulation.nowMs() >= untilMs) {
+    if (simulation.simulatedNowMs() >= untilMs) {
       return;
     }
     List<Route> choice = operators.inUse(type);
@@ -122,7 +122,7 @@
     final String target;
     final byte[] body;
     final List<PromptPart> prompt;
-    final long sentMs = simulation.nowMs();
+    final long sentMs = simulation.simulatedNowMs();
     String resumeAfter = "";
     int tries;
     boolean counted = true;
@@ -143,7 +143,7 @@
     }
 
     long left() {
-      return sentMs + DEADLINE_MS - simulation.nowMs();
+      return sentMs + DEADLINE_MS - simulation.simulatedNowMs();
     }
 
     void over(Try last) {
@@ -151,7 +151,7 @@
       if (last.detail.equals("complete") && last.status < 300) {
         if (counted) {
           servedOf.get(route.type())[1]++;
-          latencies.add(simulation.nowMs() - sentMs);
+          latencies.add(simulation.simulatedNowMs() - sentMs);
         }
         return;
       }
@@ -169,7 +169,7 @@
           return;
         }
       }
-      double pauseMs = Math.min(last.comeBackMs, left() / 3.0);
+      double pauseMs = Math.min(last.retryAfterMs, left() / 3.0);
       if (left() > 50) {
         simulation.afterMs(Math.max(20, pauseMs), () -> attempt(null));
       }
@@ -187,7 +187,7 @@
     String detail = "";
     String lastEvent = "";
     int status;
-    long comeBackMs;
+    long retryAfterMs;
     long heardMs;
     boolean over;
 
@@ -211,9 +211,9 @@
               wish.tokens,
               wish.prompt,
               wish.resumeAfter);
-      heardMs = simulation.nowMs();
+      heardMs = simulation.simulatedNowMs();
       history.add(
-          simulation.nowMs(),
+          simulation.simulatedNowMs(),
           Kind.REQUEST_SENT,
           id,
           wish.route.type()
@@ -226,7 +226,7 @@
           edge,
           (Consumer<Runnable> then) -> {
             whenOver = then;
-            handle = ((EdgeNode) edge.node()).pass(request, this);
+            handle = ((EdgeNode) edge.node()).proxy(request, this);
             if (over) {
               handle.cancel();
             }
@@ -252,7 +252,7 @@
       simulation.afterMs(
           100,
           () -> {
-            boolean silent = streaming && simulation.nowMs() - heardMs > STREAM_SILENCE_MS;
+            boolean silent = streaming && simulation.simulatedNowMs() - heardMs > STREAM_SILENCE_MS;
             if (!over && (silent || !streaming && wish.left() <= 0)) {
               giveUp();
             } else if (!over) {
@@ -284,7 +284,7 @@
           0.3,
           () -> {
             if (!over) {
-              heardMs = simulation.nowMs();
+              heardMs = simulation.simulatedNowMs();
               hearing.run();
             }
           });
@@ -306,7 +306,7 @@
     }
 
     @Override
-    public void piece(ResponseChunk piece) {
+    public void chunk(ResponseChunk piece) {
       later(
           () -> {
             String bytes = new String(piece.bytes(), UTF_8);
@@ -335,14 +335,14 @@
     public void refused(Response response) {
       whenOver.accept(
           () -> {
-            comeBackMs = response.comeBackMs();
-            refusals.merge(response.faultType(), 1, Integer::sum);
+            retryAfterMs = response.retryAfterMs();
+            refusals.merge(response.errorType(), 1, Integer::sum);
             finish("refused", response.status());
           });
     }
 
     @Override
-    public void cut(ApiError fault) {
+    public void cut(ApiError error) {
       whenOver.accept(() -> finish("cut", status));
     }
 
@@ -353,7 +353,8 @@
       over = true;
       detail = how;
       status = finalStatus;
-      history.add(simulation.nowMs(), Kind.REQUEST_ANSWERED, id, how, stamp + "\n" + text, status);
+      history.add(
+          simulation.simulatedNowMs(), Kind.REQUEST_ANSWERED, id, how, stamp + "\n" + text, status);
       wish.over(this);
     }
   }
@@ -416,7 +417,7 @@
     final ProxiedBatch batch;
     private final int bodyBytes;
     final Set<Long> known = new HashSet<>();
-    final long sentMs = simulation.nowMs();
+    final long sentMs = simulation.simulatedNowMs();
     long acceptedMs;
     long doneMs = -1;
     boolean accepted;
@@ -479,7 +480,7 @@
       tries++;
       Process edge = fleet.anyEdge();
       history.add(
-          simulation.nowMs(),
+          simulation.simulatedNowMs(),
           Kind.OPAQUE_SENT,
           batch.id(),
           edge.name,
@@ -493,22 +494,22 @@
           response -> {
             int status = response == null ? 0 : response.status();
             history.add(
-                simulation.nowMs(),
+                simulation.simulatedNowMs(),
                 Kind.OPAQUE_ANSWERED,
                 batch.id(),
-                response == null ? "" : response.faultType(),
+                response == null ? "" : response.errorType(),
                 "",
                 status);
             if (status == 201) {
               accepted = true;
-              acceptedMs = simulation.nowMs();
+              acceptedMs = simulation.simulatedNowMs();
               simulation.submissions.answered(batch.id(), edge);
               fleet.whenTold.accept(
                   "taken", (long) batches.stream().filter(client -> client.accepted).count());
               read();
             } else if (tries < SUBMIT_TRIES && (status == 0 || status == 429 || status >= 500)) {
               simulation.afterMs(
-                  response == null ? 200 : 300 + response.comeBackMs(), this::submit);
+                  response == null ? 200 : 300 + response.retryAfterMs(), this::submit);
             }
           });
     }
@@ -517,7 +518,7 @@
     private void arriveAt(Process edge, Consumer<Response> then) {
       edge.processor.json(bodyBytes);
       simulation.submissions.arrived(batch.id(), edge);
-      ((EdgeNode) edge.node()).submitOpaque(BatchSubmission.of(batch), then);
+      ((EdgeNode) edge.node()).submitProxiedBatch(BatchSubmission.of(batch), then);
     }
 
     private void read() {
@@ -539,19 +540,19 @@
                 && !(endAsked && simulation.random.nextInt(8) == 0)) {
               simulation.afterMs(READ_EVERY_MS, this::read);
             } else if (doneMs < 0 && known.size() == batch.items().size()) {
-              doneMs = simulation.nowMs();
+              doneMs = simulation.simulatedNowMs();
             }
           });
     }
 
     private void read(long from, long holdMs, Consumer<Long> then) {
       Process edge = fleet.anyEdge();
-      long begunMs = simulation.nowMs();
+      long begunMs = simulation.simulatedNowMs();
       fleet.waitFor(
           edge,
           READ_PATIENCE_MS + holdMs,
           (Consumer<Response> answer) ->
-              ((EdgeNode) edge.node()).opaqueResults(batch.id(), from, holdMs, answer),
+              ((EdgeNode) edge.node()).readProxiedResults(batch.id(), from, holdMs, answer),
           response -> {
             if (response == null) {
               then.accept(-1L);
@@ -559,7 +560,7 @@
             }
             JsonNode page = response.body();
             long next = page.path("next").asLong();
-            if (response.good()) {
+            if (response.isSuccess()) {
               long position = from;
               for (JsonNode row : page.path("results")) {
                 boolean firstSeen = known.add(position);
@@ -567,7 +568,7 @@
                 complete += firstSeen && done ? 1 : 0;
                 listed.add(row.path("id").asText());
                 history.add(
-                    simulation.nowMs(),
+                    simulation.simulatedNowMs(),
                     Kind.OPAQUE_RESULT,
                     batch.id(),
                     row.path("id").asText() + " " + row.path("state").asText(),
@@ -576,13 +577,13 @@
               }
             }
             history.add(
-                simulation.nowMs(),
+                simulation.simulatedNowMs(),
                 Kind.OPAQUE_READ,
                 batch.id(),
                 edge.name,
                 from + " " + next + " " + page.path("total").asLong() + " " + begunMs,
                 response.status());
-            then.accept(response.good() ? next : -1L);
+            then.accept(response.isSuccess() ? next : -1L);
           });
     }
 
@@ -599,14 +600,15 @@
           edge,
           READ_PATIENCE_MS,
           (Consumer<Response> answer) ->
-              ((EdgeNode) edge.node()).opaqueItem(batch.id(), item, answer),
+              ((EdgeNode) edge.node()).readProxiedItem(batch.id(), item, answer),
           response -> {
             int status = response == null ? 0 : response.status();
             if (status == 200) {
               String body =
                   new String(
                       Base64.getDecoder().decode(response.body().path("body").asText()), UTF_8);
-              history.add(simulation.nowMs(), Kind.OPAQUE_BODY, batch.id(), item, body, status);
+              history.add(
+                  simulation.simulatedNowMs(), Kind.OPAQUE_BODY, batch.id(), item, body, status);
             }
             then.accept(status);
           });
@@ -614,7 +616,7 @@
 
     void end() {
       endAsked = true;
-      history.add(simulation.nowMs(), Kind.OPAQUE_END_ASKED, batch.id(), "", "", 0);
+      history.add(simulation.simulatedNowMs(), Kind.OPAQUE_END_ASKED, batch.id(), "", "", 0);
       tryEnd();
     }
 
@@ -623,10 +625,12 @@
       fleet.waitFor(
           edge,
           READ_PATIENCE_MS,
-          (Consumer<Response> answer) -> ((EdgeNode) edge.node()).endOpaque(batch.id(), answer),
+          (Consumer<Response> answer) ->
+              ((EdgeNode) edge.node()).endProxiedBatch(batch.id(), answer),
           response -> {
             int status = response == null ? 0 : response.status();
-            history.add(simulation.nowMs(), Kind.OPAQUE_END_ANSWERED, batch.id(), "", "", status);
+            history.add(
+                simulation.simulatedNowMs(), Kind.OPAQUE_END_ANSWERED, batch.id(), "", "", status);
             if (status == 200) {
               fleet.whenTold.accept("stopped", 1L);
             } else if (!closing) {
@@ -637,9 +641,10 @@
 
     void close(long untilMs) {
       closing = true;
-      closedFromMs = simulation.nowMs();
+      closedFromMs = simulation.simulatedNowMs();
       boolean kept =
-          simulation.nowMs() < sentMs + Outside.KEEP_BATCHES_MS - (untilMs - simulation.nowMs());
+          simulation.simulatedNowMs()
+              < sentMs + Outside.KEEP_BATCHES_MS - (untilMs - simulation.simulatedNowMs());
       closed = !kept && known.size() == batch.items().size();
       if (accepted && !closed) {
         readAll(0, untilMs);
@@ -648,7 +653,7 @@
 
     /** Page by page to the end of what is listed. */
     private void readAll(long from, long untilMs) {
-      if (simulation.nowMs() >= untilMs) {
+      if (simulation.simulatedNowMs() >= untilMs) {
         closedWith("unread", from, 0);
         return;
       }
@@ -672,7 +677,7 @@
     }
 
     private void readBodies(long results, long untilMs) {
-      if (bodiesMissing.isEmpty() || simulation.nowMs() >= untilMs) {
+      if (bodiesMissing.isEmpty() || simulation.simulatedNowMs() >= untilMs) {
         closedWith("read", results, bodiesMissing.size());
         return;
       }
@@ -702,9 +707,9 @@
     private void closedWith(String how, long results, int bodies) {
       if (!closed) {
         closed = true;
-        slowestCloseMs = Math.max(slowestCloseMs, simulation.nowMs() - closedFromMs);
+        slowestCloseMs = Math.max(slowestCloseMs, simulation.simulatedNowMs() - closedFromMs);
         history.add(
-            simulation.nowMs(),
+            simulation.simulatedNowMs(),
             Kind.OPAQUE_CLOSED,
             batch.id(),
             how,
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/OpaqueOperators.java
@@ -167,7 +167,7 @@
   void resend(int count) {
     for (int index = 0; index < count; index++) {
       Order old = orders.get(simulation.random.nextInt(orders.size()));
-      trySend(old, simulation.nowMs(), 0, RESEND_TRIES);
+      trySend(old, simulation.simulatedNowMs(), 0, RESEND_TRIES);
     }
   }
 
@@ -227,7 +227,7 @@
     changeOfBytes.put(new String(order.bytes(), UTF_8), id);
     routesOf.put(id, List.copyOf(routes.values()));
     simulation.history.add(
-        simulation.nowMs(),
+        simulation.simulatedNowMs(),
         Kind.CHANGE_SENT,
         id,
         invalid ? "invalid" : "valid",
@@ -238,7 +238,7 @@
         .forEach(
             route ->
                 simulation.history.add(
-                    simulation.nowMs(),
+                    simulation.simulatedNowMs(),
                     Kind.CHANGE_ROUTE,
                     id,
                     route.name(),
@@ -259,21 +259,21 @@
 
   private void begin(Order order) {
     underWay++;
-    trySend(order, simulation.nowMs(), 0, Integer.MAX_VALUE);
+    trySend(order, simulation.simulatedNowMs(), 0, Integer.MAX_VALUE);
   }
 
   private void trySend(Order order, long begunMs, int tries, int triesMost) {
-    long sentMs = simulation.nowMs();
+    long sentMs = simulation.simulatedNowMs();
     call(
         order,
         SILENCE_MS * (1 + Math.min(tries, 12) / 3),
         response -> {
           int status = response == null ? 0 : response.status();
           simulation.history.add(
-              simulation.nowMs(),
+              simulation.simulatedNowMs(),
               Kind.CHANGE_ANSWERED,
               order.id(),
-              response == null ? "" : response.faultType(),
+              response == null ? "" : response.errorType(),
               Long.toString(sentMs),
               status);
           boolean clear = status > 0 && status < 500 && status != 408 && status != 429;
@@ -298,9 +298,9 @@
   private void acknowledged(Order order, long begunMs) {
     acknowledged++;
     if (acknowledged == 1) {
-      firstYesMs = simulation.nowMs() - begunMs;
+      firstYesMs = simulation.simulatedNowMs() - begunMs;
     } else {
-      slowestYesMs = Math.max(slowestYesMs, simulation.nowMs() - begunMs);
+      slowestYesMs = Math.max(slowestYesMs, simulation.simulatedNowMs() - begunMs);
     }
     knownTo[order.operator()] = Math.max(knownTo[order.operator()], order.number());
     if (order.number() > current) {
@@ -417,7 +417,7 @@
   }
 
   private void read(Consumer<Long> whenRead) {
-    long begunMs = simulation.nowMs();
+    long begunMs = simulation.simulatedNowMs();
     fleet.command(
         fleet.anyCore(),
         SILENCE_MS,
@@ -425,13 +425,13 @@
         "bundle",
         new byte[] {'{', '}'},
         response -> {
-          if (response != null && response.good() && !response.body().isNull()) {
+          if (response != null && response.isSuccess() && !response.body().isNull()) {
             String bytes =
                 new String(
                     Base64.getDecoder().decode(response.body().path("bytes").asText()), UTF_8);
             long number = response.body().path("number").asLong();
             simulation.history.add(
-                simulation.nowMs(),
+                simulation.simulatedNowMs(),
                 Kind.CHANGE_READ,
                 changeOfBytes.getOrDefault(bytes, "none"),
                 "",
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/OpaqueWorkers.java
@@ -234,14 +234,14 @@
       worker = byAddress.get(exchange.address());
       if (worker == null || worker.over) {
         over = true;
-        tell(() -> listener.fault(new ApiError.WorkerUnreachable(exchange.workerId()), false));
+        tell(() -> listener.fail(new ApiError.WorkerUnreachable(exchange.workerId()), false));
         return;
       }
       if (worker.condition == Condition.VANISHED) {
         over = true;
         simulation.afterMs(
             CONNECT_TIMEOUT_MS,
-            () -> listener.fault(new ApiError.WorkerUnreachable(worker.id), false));
+            () -> listener.fail(new ApiError.WorkerUnreachable(worker.id), false));
         return;
       }
       if (callerDead.getAsBoolean() || cancelled) {
@@ -270,7 +270,7 @@
 
     private void seen(int status) {
       simulation.history.add(
-          simulation.nowMs(),
+          simulation.simulatedNowMs(),
           Kind.RUN_ARRIVED,
           worker.id,
           exchange.request().id() + " " + edge + " " + label,
@@ -285,7 +285,7 @@
       tell(
           () -> {
             tellLoad(load);
-            listener.fault(new ApiError.WorkerRejected(status), false);
+            listener.fail(new ApiError.WorkerRejected(status), false);
           });
     }
 
@@ -297,7 +297,7 @@
       }
       begun = true;
       simulation.history.add(
-          simulation.nowMs(),
+          simulation.simulatedNowMs(),
           Kind.RUN_BEGAN,
           worker.id,
           exchange.request().id(),
@@ -412,7 +412,7 @@
     private void finish() {
       if (worker.condition == Condition.LOSES) {
         ended(200);
-        tell(() -> listener.fault(new ApiError.WorkerStreamTruncated(worker.id), true));
+        tell(() -> listener.fail(new ApiError.WorkerStreamTruncated(worker.id), true));
         return;
       }
       whole(200);
@@ -465,7 +465,7 @@
     }
 
     private void piece(String eventId, String text) {
-      listener.piece(new ResponseChunk(eventId, text.getBytes(UTF_8)));
+      listener.chunk(new ResponseChunk(eventId, text.getBytes(UTF_8)));
     }
 
     private void expire() {
@@ -478,7 +478,7 @@
         tell(
             () -> {
               tellLoad(load);
-              listener.fault(new ApiError.WorkerRejected(503), false);
+              listener.fail(new ApiError.WorkerRejected(503), false);
             });
       } else if (headSent) {
         breakOff(new ApiError.WorkerStreamTruncated(worker.id));
@@ -487,10 +487,10 @@
       }
     }
 
-    private void breakOff(ApiError fault) {
+    private void breakOff(ApiError error) {
       if (!over) {
         ended(0);
-        tell(() -> listener.fault(fault, true));
+        tell(() -> listener.fail(error, true));
       }
     }
 
@@ -508,7 +508,12 @@
       leave();
       if (begun) {
         simulation.history.add(
-            simulation.nowMs(), Kind.RUN_ENDED, worker.id, exchange.request().id(), label, status);
+            simulation.simulatedNowMs(),
+            Kind.RUN_ENDED,
+            worker.id,
+            exchange.request().id(),
+            label,
+            status);
       }
     }
 
@@ -527,7 +532,7 @@
     void reset() {
       if (!over) {
         dropped();
-        tell(() -> listener.fault(new ApiError.WorkerStreamTruncated(exchange.workerId()), true));
+        tell(() -> listener.fail(new ApiError.WorkerStreamTruncated(exchange.workerId()), true));
         deaf = true;
       }
     }
@@ -573,7 +578,7 @@
     Worker worker = new Worker(id, address, pool, zone);
     byAddress.put(address, worker);
     byId.put(id, worker);
-    simulation.history.add(simulation.nowMs(), Kind.WORKER_BORN, id, pool, address, 0);
+    simulation.history.add(simulation.simulatedNowMs(), Kind.WORKER_BORN, id, pool, address, 0);
     return worker;
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/Outside.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Outside.java
@@ -30,7 +30,7 @@
     this.losses = losses;
     this.workers = new OpaqueWorkers(simulation);
     this.list = new WorkerListing(simulation, lagMs, callsPerS);
-    simulation.bounds = bounds();
+    simulation.settings = bounds();
     simulation.foundedByMs = FOUNDED_BY_MS;
     simulation.outsideList =
         (reader, token, whenRead, whenFaulty) -> list.read(token, whenRead, whenFaulty);
@@ -55,7 +55,7 @@
   }
 
   private void bound(String name, long value) {
-    simulation.history.add(simulation.nowMs(), Kind.BOUND, name, "", "", value);
+    simulation.history.add(simulation.simulatedNowMs(), Kind.BOUND, name, "", "", value);
   }
 
   private NodeSettings bounds() {
--- a/test-fleet/src/main/java/applespindle/testfleet/Scenario.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Scenario.java
@@ -247,17 +247,17 @@
               });
       if (fleet.clients != null) {
         simulation.runUntil(runMs + COMPLETION_MS);
-        fleet.clients.close(simulation.nowMs() + COMPLETION_MS);
+        fleet.clients.close(simulation.simulatedNowMs() + COMPLETION_MS);
         while (!fleet.clients.closed()) {
-          simulation.runUntil(simulation.nowMs() + 500);
+          simulation.runUntil(simulation.simulatedNowMs() + 500);
         }
       }
       long endsBy = runMs + SETTLE_MS;
-      while (simulation.nowMs() < endsBy
+      while (simulation.simulatedNowMs() < endsBy
           && fleet.senders.stream().anyMatch(sender -> !sender.over)) {
-        simulation.runUntil(simulation.nowMs() + 500);
+        simulation.runUntil(simulation.simulatedNowMs() + 500);
       }
-      simulation.runUntil(simulation.nowMs() + 2_000);
+      simulation.runUntil(simulation.simulatedNowMs() + 2_000);
       simulation.checkNothingVanished();
     } catch (Simulation.InvariantBroken broken) {
       faults.add("invariant: " + broken.getMessage());
@@ -410,7 +410,7 @@
   /** One fault, its mending 0.3 to 7 s later, then the next within 4 s. */
   private void randomFault(SimulatedFleet fleet, Process[] last, long[] bundleNumber) {
     Simulation simulation = fleet.simulation;
-    if (simulation.nowMs() >= randomToMs) {
+    if (simulation.simulatedNowMs() >= randomToMs) {
       return;
     }
     boolean loses = losses && simulation.random.nextInt(3) == 0;
@@ -439,7 +439,8 @@
   private Process act(SimulatedFleet fleet, Timed timed, Process last) {
     Simulation simulation = fleet.simulation;
     String[] words = timed.words();
-    simulation.history.add(simulation.nowMs(), Kind.FAULT, String.join(" ", words), "", "", 0);
+    simulation.history.add(
+        simulation.simulatedNowMs(), Kind.FAULT, String.join(" ", words), "", "", 0);
     List<String> group = words.length < 2 ? List.of() : group(simulation, words[1]);
     if (!group.isEmpty()) {
       Process[] latest = {last};
@@ -539,8 +540,9 @@
               target,
               seconds(words[2]),
               seconds(words[3]),
-              simulation.nowMs() + seconds(words[4]));
-      case "changes" -> changes(fleet, seconds(words[1]), simulation.nowMs() + seconds(words[2]));
+              simulation.simulatedNowMs() + seconds(words[4]));
+      case "changes" ->
+          changes(fleet, seconds(words[1]), simulation.simulatedNowMs() + seconds(words[2]));
       case "expect-member" -> {
         if (!fleet.memberNames().contains(words[1])) {
           fleet.earlyFaults.add("expected " + words[1] + " to be a core member: " + timed.text());
@@ -593,7 +595,12 @@
           bundle = changed;
           if (words[index].equals("waitingItemsMost")) {
             simulation.history.add(
-                simulation.nowMs(), Kind.CEILING, "", "", "", Long.parseLong(words[index + 1]));
+                simulation.simulatedNowMs(),
+                Kind.CEILING,
+                "",
+                "",
+                "",
+                Long.parseLong(words[index + 1]));
           }
         }
         fleet.sendBundle(Long.parseLong(words[1]), bundle, "core-1");
@@ -646,8 +653,8 @@
           fleet.clients.live(
               words[1],
               Double.parseDouble(words[2]),
-              simulation.nowMs(),
-              simulation.nowMs() + seconds(words[3]));
+              simulation.simulatedNowMs(),
+              simulation.simulatedNowMs() + seconds(words[3]));
       case "cut-one-way" -> simulation.cutOneWay(words[1], words[2]);
       case "reset" -> target.resetConnections();
       case "power-loss-torn" -> target.kill(true, true);
@@ -659,8 +666,8 @@
           fleet.live(
               "check",
               Double.parseDouble(words[1]),
-              simulation.nowMs(),
-              simulation.nowMs() + seconds(words[2]));
+              simulation.simulatedNowMs(),
+              simulation.simulatedNowMs() + seconds(words[2]));
       default -> throw new BrokenLine(timed.line(), timed.text());
     }
     return target == null || words[0].equals("leave") && last != null ? last : target;
@@ -677,7 +684,7 @@
   /** A process is cut off and connected again, over and over. */
   private static void flap(
       Simulation simulation, Process target, long cutMs, long connectedMs, long untilMs) {
-    if (simulation.nowMs() >= untilMs) {
+    if (simulation.simulatedNowMs() >= untilMs) {
       return;
     }
     simulation.isolate(target.name);
@@ -692,7 +699,7 @@
 
   /** Operators send one change after the other. */
   private static void changes(SimulatedFleet fleet, long everyMs, long untilMs) {
-    if (fleet.simulation.nowMs() >= untilMs) {
+    if (fleet.simulation.simulatedNowMs() >= untilMs) {
       return;
     }
     fleet.operators.change();
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -65,14 +65,15 @@
       for (int index = 0; index < items; index++) {
         String prompt = SHARED + "Guest " + key + "/" + index;
         rows.addObject().put("id", "i" + index).put("prompt", prompt).put("max_tokens", tokens);
-        simulation.history.add(simulation.nowMs(), Kind.ITEM, key, "i" + index, prompt, tokens);
+        simulation.history.add(
+            simulation.simulatedNowMs(), Kind.ITEM, key, "i" + index, prompt, tokens);
       }
       body = applespindle.corelogic.common.Json.bytes(input);
     }
 
     void submit() {
       tries++;
-      simulation.history.add(simulation.nowMs(), Kind.SUBMIT_SENT, key, "", "", items);
+      simulation.history.add(simulation.simulatedNowMs(), Kind.SUBMIT_SENT, key, "", "", items);
       Process edge = anyEdge();
       waitFor(
           edge,
@@ -88,20 +89,20 @@
       String id =
           status == 201 ? response.body().path("batch").asText() : BatchKeys.batchId("sender", key);
       simulation.history.add(
-          simulation.nowMs(),
+          simulation.simulatedNowMs(),
           Kind.SUBMIT_ANSWERED,
           key,
-          response == null ? "" : response.faultType(),
+          response == null ? "" : response.errorType(),
           id,
           status);
       if (status == 201) {
         batch = id;
-        acceptedAtMs = simulation.nowMs();
+        acceptedAtMs = simulation.simulatedNowMs();
         whenTold.accept("accepted", ++acceptances);
         poll();
       } else if (tries < submitTries) {
         simulation.afterMs(
-            response == null ? 500 : 1000.0 * Math.max(1, response.comeBackSeconds()),
+            response == null ? 500 : 1000.0 * Math.max(1, response.retryAfterSeconds()),
             this::submit);
       } else {
         over = true;
@@ -123,13 +124,13 @@
     }
 
     private void polled(Response response) {
-      long now = simulation.nowMs();
+      long now = simulation.simulatedNowMs();
       if (response != null) {
         JsonNode page = response.body();
-        String state = response.good() ? page.path("state").asText() : response.faultType();
+        String state = response.isSuccess() ? page.path("state").asText() : response.errorType();
         simulation.history.add(
             now, Kind.BATCH_READ, key, state, page.path("recorded").asText("0"), response.status());
-        if (response.good()) {
+        if (response.isSuccess()) {
           for (JsonNode row : page.path("results")) {
             simulation.history.add(
                 now,
@@ -162,12 +163,12 @@
           (Consumer<Response> then) ->
               ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
           response -> {
-            if (response == null || !response.good()) {
+            if (response == null || !response.isSuccess()) {
               return;
             }
             for (JsonNode row : response.body().path("results")) {
               simulation.history.add(
-                  simulation.nowMs(),
+                  simulation.simulatedNowMs(),
                   Kind.RESULT_READ,
                   key,
                   row.path("id").asText() + "|" + row.path("type").asText(),
@@ -179,7 +180,7 @@
 
     void end() {
       endAsked = true;
-      simulation.history.add(simulation.nowMs(), Kind.END_ASKED, key, "", "", 0);
+      simulation.history.add(simulation.simulatedNowMs(), Kind.END_ASKED, key, "", "", 0);
       Process edge = anyEdge();
       waitFor(
           edge,
@@ -187,7 +188,8 @@
           (Consumer<Response> then) -> ((EdgeNode) edge.node()).endBatch(batch, then),
           response -> {
             int status = response == null ? 0 : response.status();
-            simulation.history.add(simulation.nowMs(), Kind.END_ANSWERED, key, "", "", status);
+            simulation.history.add(
+                simulation.simulatedNowMs(), Kind.END_ANSWERED, key, "", "", status);
             if (status == 200) {
               ended = true;
               whenTold.accept("ended", ++ends);
@@ -415,8 +417,9 @@
         });
   }
 
-  void command(String coreName, String duty, String key, Object body, Consumer<Response> then) {
-    command(simulation.processes.get(coreName), SENDER_PATIENCE_MS, duty, key, body, then);
+  void command(
+      String coreName, String operation, String key, Object body, Consumer<Response> then) {
+    command(simulation.processes.get(coreName), SENDER_PATIENCE_MS, operation, key, body, then);
   }
 
   /** Any process that serves operators, whether it lives or not. */
@@ -436,7 +439,7 @@
   void command(
       Process core,
       long patienceMs,
-      String duty,
+      String operation,
       String key,
       Object body,
       Consumer<Response> then) {
@@ -444,7 +447,7 @@
         core,
         patienceMs,
         (Consumer<Response> answer) ->
-            ((ControlPlaneNode) core.node()).command(duty, key, body, answer),
+            ((ControlPlaneNode) core.node()).command(operation, key, body, answer),
         then);
   }
 
@@ -495,7 +498,7 @@
         response -> {
           if (response != null && response.status() == 409) {
             storageRefusals++;
-          } else if (response == null || !response.good()) {
+          } else if (response == null || !response.isSuccess()) {
             simulation.afterMs(500, () -> markStorage(name, state));
           }
         });
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
@@ -94,8 +94,8 @@
       this.prompt = body.path("prompt").asText();
       this.item = body.path("applespindle_item").asText("");
       this.tokens = body.path("max_tokens").asInt(StandInOutput.TOKENS_UNLESS_TOLD);
-      this.heardAtMs = simulation.nowMs();
-      this.expiresAtMs = simulation.nowMs() + call.expiryMs();
+      this.heardAtMs = simulation.simulatedNowMs();
+      this.expiresAtMs = simulation.simulatedNowMs() + call.expiryMs();
     }
 
     private void arrive() {
@@ -105,7 +105,7 @@
       switch (worker.condition) {
         case CRASHED -> {
           over = true;
-          listener.fault(new ApiError.WorkerUnreachable(worker.id), false);
+          listener.fail(new ApiError.WorkerUnreachable(worker.id), false);
           return;
         }
         case VANISHED -> {
@@ -114,7 +114,7 @@
               () -> {
                 if (!over) {
                   over = true;
-                  listener.fault(new ApiError.WorkerUnreachable(worker.id), false);
+                  listener.fail(new ApiError.WorkerUnreachable(worker.id), false);
                 }
               });
           return;
@@ -127,10 +127,11 @@
       }
       if (worker.condition == Condition.REFUSES || worker.running.size() >= pace.capacity()) {
         over = true;
-        simulation.afterMs(WIRE_MS, () -> listener.fault(new ApiError.WorkerRejected(503), false));
+        simulation.afterMs(WIRE_MS, () -> listener.fail(new ApiError.WorkerRejected(503), false));
         return;
       }
-      simulation.history.add(simulation.nowMs(), Kind.WORKER_RECEIVED, worker.id, item, prompt, 0);
+      simulation.history.add(
+          simulation.simulatedNowMs(), Kind.WORKER_RECEIVED, worker.id, item, prompt, 0);
       worker.running.add(this);
       worker.mostRunning = Math.max(worker.mostRunning, worker.running.size());
       boolean warm =
@@ -168,12 +169,12 @@
         fail(new ApiError.MalformedWorkerResponse(worker.id));
         return;
       }
-      heardAtMs = simulation.nowMs();
+      heardAtMs = simulation.simulatedNowMs();
       if (position == tokens) {
         worker.running.remove(this);
         over = true;
         simulation.history.add(
-            simulation.nowMs(), Kind.WORKER_FINISHED, worker.id, item, prompt, 0);
+            simulation.simulatedNowMs(), Kind.WORKER_FINISHED, worker.id, item, prompt, 0);
         simulation.afterMs(WIRE_MS, () -> listener.end("stop"));
         return;
       }
@@ -190,7 +191,7 @@
             if (over) {
               return;
             }
-            long now = simulation.nowMs();
+            long now = simulation.simulatedNowMs();
             if (now - heardAtMs > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
                 || now > expiresAtMs) {
               worker.running.remove(this);
@@ -201,10 +202,10 @@
           });
     }
 
-    private void fail(ApiError fault) {
+    private void fail(ApiError error) {
       if (!over) {
         over = true;
-        simulation.afterMs(WIRE_MS, () -> listener.fault(fault, true));
+        simulation.afterMs(WIRE_MS, () -> listener.fail(error, true));
       }
     }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -182,19 +182,20 @@
         id = disk.id;
         incarnation = ++disk.incarnation;
       }
-      var place = new NodeIdentity(id, incarnation, name, zone, role, name, name + "/http", seeds);
+      var identity =
+          new NodeIdentity(id, incarnation, name, zone, role, name, name + "/http", seeds);
       node =
           switch (role) {
             case "core" ->
                 new ControlPlaneNode(
                     this,
-                    place,
+                    identity,
                     operatorKeys,
-                    bounds == NodeSettings.DEFAULT ? seeds : List.of(),
+                    settings == NodeSettings.DEFAULT ? seeds : List.of(),
                     bounds(),
                     ConfigurationFormat.OWN);
-            case "storage" -> new StorageNode(this, place, bounds());
-            default -> new EdgeNode(this, place, bounds());
+            case "storage" -> new StorageNode(this, identity, bounds());
+            default -> new EdgeNode(this, identity, bounds());
           };
       if (disk != null) {
         disk.synced.forEach(node::recover);
@@ -207,9 +208,10 @@
      * settings stay as they were; a machine without a disk has no vote.
      */
     private NodeSettings bounds() {
-      return bounds == NodeSettings.DEFAULT
-          ? bounds
-          : bounds.at(disk != null, (life == 1 || bootstrapStays) && nowMs() < foundedByMs);
+      return settings == NodeSettings.DEFAULT
+          ? settings
+          : settings.atNode(
+              disk != null, (life == 1 || bootstrapStays) && simulatedNowMs() < foundedByMs);
     }
 
     private String newId() {
@@ -392,12 +394,12 @@
     // ---- ports
 
     @Override
-    public long now() {
+    public long nowMs() {
       return nowUs / MS + 1_000_000 + clockShiftMs;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       at(
@@ -455,8 +457,8 @@
           Instant.kindOf(envelope.message()), (long) frame.length, Long::sum);
       newsItems +=
           envelope.message()
-                  instanceof applespindle.corelogic.protocol.Message.ChangeFeedUpdate news
-              ? news.items().size()
+                  instanceof applespindle.corelogic.protocol.Message.ChangeFeedUpdate update
+              ? update.records().size()
               : 0;
       Runnable arrival =
           () -> {
@@ -514,7 +516,7 @@
     }
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return nowUs >= refusesWritesUntilUs;
     }
 
@@ -534,8 +536,8 @@
                 }
 
                 @Override
-                public void piece(ProxiedRequest.ResponseChunk piece) {
-                  enter(inLife, () -> unlessCancelled(() -> listener.piece(piece)));
+                public void chunk(ProxiedRequest.ResponseChunk piece) {
+                  enter(inLife, () -> unlessCancelled(() -> listener.chunk(piece)));
                 }
 
                 @Override
@@ -550,9 +552,9 @@
                 }
 
                 @Override
-                public void fault(ApiError fault, boolean mayHaveRun) {
+                public void fail(ApiError error, boolean mayHaveRun) {
                   opaqueRuns.remove(run[0]);
-                  enter(inLife, () -> unlessCancelled(() -> listener.fault(fault, mayHaveRun)));
+                  enter(inLife, () -> unlessCancelled(() -> listener.fail(error, mayHaveRun)));
                 }
 
                 private void unlessCancelled(Runnable telling) {
@@ -571,7 +573,7 @@
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       int inLife = life;
       SimulatedWorkers.Run run =
           workers.run(
@@ -588,8 +590,8 @@
                 }
 
                 @Override
-                public void fault(ApiError fault, boolean mayHaveRun) {
-                  enter(inLife, () -> listener.fault(fault, mayHaveRun));
+                public void fail(ApiError error, boolean mayHaveRun) {
+                  enter(inLife, () -> listener.fail(error, mayHaveRun));
                 }
               },
               () -> !alive || life != inLife);
@@ -607,7 +609,7 @@
       workers.readLoad(
           workerAddress,
           load -> enter(inLife, () -> whenRead.accept(load)),
-          fault -> enter(inLife, () -> whenFaulty.accept(fault)));
+          error -> enter(inLife, () -> whenFaulty.accept(error)));
     }
 
     @Override
@@ -618,7 +620,7 @@
           this,
           pageToken,
           page -> enter(inLife, () -> whenRead.accept(page)),
-          fault -> enter(inLife, () -> whenFaulty.accept(fault)));
+          error -> enter(inLife, () -> whenFaulty.accept(error)));
     }
 
     @Override
@@ -627,7 +629,7 @@
     }
 
     @Override
-    public void violated(Invariant invariant, String detail) {
+    public void invariantViolated(Invariant invariant, String detail) {
       throw new InvariantBroken(invariant + " at " + name + ": " + detail);
     }
 
@@ -677,14 +679,14 @@
     }
 
     static String kindOf(Message message) {
-      return message instanceof Message.PeerRequest ask
-          ? "Ask:" + ask.duty()
+      return message instanceof Message.PeerRequest request
+          ? "Ask:" + request.operation()
           : MessageNames.of(message);
     }
 
     /** True if the message must not go out. */
     private boolean strikes(Process from, Process to, Message message) {
-      if (left == 0 || nowMs() < fromMs || !kindOf(message).equals(kind) || --left > 0) {
+      if (left == 0 || simulatedNowMs() < fromMs || !kindOf(message).equals(kind) || --left > 0) {
         return false;
       }
       switch (position) {
@@ -702,7 +704,7 @@
       }
       fallen = process;
       history.add(
-          nowMs(),
+          simulatedNowMs(),
           History.Kind.FAULT,
           (powerLoss ? "power-loss " : "kill ") + process.name,
           "",
@@ -728,7 +730,7 @@
         Consumer<ApiError> whenFaulty);
   }
 
-  NodeSettings bounds = NodeSettings.DEFAULT;
+  NodeSettings settings = NodeSettings.DEFAULT;
 
   /** Processes first started before this are told to found the core. */
   long foundedByMs = 10_000;
@@ -794,7 +796,7 @@
     return process;
   }
 
-  public long nowMs() {
+  public long simulatedNowMs() {
     return nowUs / MS;
   }
 
@@ -882,7 +884,7 @@
   /** Seen from outside: something was done to a process, or undone. */
   void trouble(Process process, boolean began, String what) {
     history.add(
-        nowMs(),
+        simulatedNowMs(),
         History.Kind.TROUBLE,
         process.name,
         (began ? "began " : "ended ") + what,
@@ -981,7 +983,7 @@
     if (message instanceof Message.VoteResponse told && told.verdict() == Message.Verdict.OK) {
       promisedAloud.merge(
           holder(process, told.key()),
-          told.asked(),
+          told.requestedEpoch(),
           (one, other) -> one.compareTo(other) < 0 ? other : one);
     } else if (message instanceof Message.AppendResponse told
         && told.verdict() == Message.Verdict.OK) {
@@ -1002,10 +1004,10 @@
 
   private void checkInvariants(Process process) {
     LogReplicas replicas = process.alive ? replicasOf(process) : null;
-    if (replicas == null || replicas.lastTouched().isEmpty()) {
+    if (replicas == null || replicas.lastChangedKey().isEmpty()) {
       return;
     }
-    String key = replicas.lastTouched();
+    String key = replicas.lastChangedKey();
     String holder = holder(process, key);
     LogReplicas.View view = replicas.view(key);
     Epoch before = promisedBefore.put(holder, view.promised());
--- a/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
@@ -87,24 +87,24 @@
     if (visits.isEmpty()) {
       return;
     }
-    if (message instanceof Message.PeerRequest ask) {
-      asked(from, ask);
+    if (message instanceof Message.PeerRequest request) {
+      asked(from, request);
     } else if (message instanceof Message.VoteRequest promise) {
-      reachKey(promise.key(), from, promise.trial() ? Stage.CLAIM_TRIED : Stage.CLAIM_ASKED);
+      reachKey(promise.key(), from, promise.preVote() ? Stage.CLAIM_TRIED : Stage.CLAIM_ASKED);
     } else if (message instanceof Message.AppendRequest append) {
       boolean hasEvent = append.entries().stream().anyMatch(entry -> entry.event().length > 0);
       reachKey(append.key(), from, hasEvent ? Stage.APPEND_SENT : Stage.CLAIM_SETTLING);
     }
   }
 
-  private void asked(Process from, Message.PeerRequest ask) {
-    if (ask.duty().equals("submit") && arriving.containsKey(from.name)) {
-      clientIds.put(recordId(ask.key()), arriving.remove(from.name));
-    } else if (ask.duty().equals("room")) {
-      var body = Simulation.tree(ask.body());
+  private void asked(Process from, Message.PeerRequest request) {
+    if (request.operation().equals("submit") && arriving.containsKey(from.name)) {
+      clientIds.put(recordId(request.key()), arriving.remove(from.name));
+    } else if (request.operation().equals("room")) {
+      var body = Simulation.tree(request.body());
       String clientId = clientIds.get(body.path("batch").asText());
       if (clientId != null && body.path("reserve").asBoolean()) {
-        roomAsked.put(from.name + " " + ask.correlation(), clientId);
+        roomAsked.put(from.name + " " + request.correlation(), clientId);
         reach(clientId, from, Stage.ROOM_ASKED);
       }
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
@@ -61,7 +61,7 @@
     boolean troubled = next != Condition.WELL;
     if (troubled != (condition != Condition.WELL)) {
       simulation.history.add(
-          simulation.nowMs(),
+          simulation.simulatedNowMs(),
           Kind.LIST_TROUBLE,
           "",
           troubled ? "began" : "ended",
@@ -98,13 +98,18 @@
                     state.equals("leaving"),
                     0));
           }
-          long shownAt = simulation.nowMs() + lagMs;
+          long shownAt = simulation.simulatedNowMs() + lagMs;
           shown.put(shownAt, List.copyOf(present.values()));
           simulation.afterMs(
               lagMs,
               () ->
                   simulation.history.add(
-                      simulation.nowMs(), Kind.WORKER_LISTED, worker.id, worker.pool, state, 0));
+                      simulation.simulatedNowMs(),
+                      Kind.WORKER_LISTED,
+                      worker.id,
+                      worker.pool,
+                      state,
+                      0));
         });
   }
 
@@ -138,7 +143,7 @@
   }
 
   private boolean takesCall() {
-    long now = simulation.nowMs();
+    long now = simulation.simulatedNowMs();
     room = Math.min(callsPerS, room + (now - roomAtMs) * callsPerS / 1000);
     roomAtMs = now;
     if (room < 1) {
@@ -153,7 +158,7 @@
    * between pages.
    */
   private WorkerListPage page(String pageToken) {
-    long at = simulation.nowMs() - (condition == Condition.STALE ? STALE_MS : 0);
+    long at = simulation.simulatedNowMs() - (condition == Condition.STALE ? STALE_MS : 0);
     List<ListedWorker> all = shown.floorEntry(Math.max(0, at)).getValue();
     int from =
         pageToken.isEmpty() ? 0 : Math.min(all.size(), Integer.parseInt(pageToken.substring(2)));
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowHost.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowHost.java
@@ -121,13 +121,14 @@
         return;
       }
       node.receive(envelope);
-      if (envelope.message() instanceof ChangeFeedUpdate news) {
-        for (MetadataRecord item : news.items()) {
-          if (item.key().equals("bundle")) {
+      if (envelope.message() instanceof ChangeFeedUpdate update) {
+        for (MetadataRecord metadataRecord : update.records()) {
+          if (metadataRecord.key().equals("bundle")) {
             long number =
                 numbers.computeIfAbsent(
-                    Arrays.hashCode(item.value()),
-                    unseen -> Json.read(item.value(), SignedConfiguration.class).number());
+                    Arrays.hashCode(metadataRecord.value()),
+                    unseen ->
+                        Json.read(metadataRecord.value(), SignedConfiguration.class).number());
             knownAt
                 .computeIfAbsent(number, unseen -> new HashMap<>())
                 .putIfAbsent(index, System.nanoTime());
@@ -137,12 +138,12 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return System.nanoTime() / 1_000_000L;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       int inLife = life;
       ScheduledRunnable planned =
           loop.delay(
@@ -158,7 +159,7 @@
     @Override
     public void send(String peerAddress, Envelope envelope) {
       if (peerAddress.equals(layout.address(index))) {
-        after(0, () -> node.receive(envelope));
+        schedule(0, () -> node.receive(envelope));
       } else if (!apart(peerAddress)) {
         peers.send(peerAddress, envelope);
       }
@@ -170,12 +171,12 @@
     }
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return false;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       throw new IllegalStateException("a hollow node serves nothing");
     }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/LoneNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LoneNode.java
@@ -155,12 +155,12 @@
   // ---- ports: nothing comes back
 
   @Override
-  public long now() {
+  public long nowMs() {
     return 1_000_000;
   }
 
   @Override
-  public ScheduledTask after(long millis, Runnable task) {
+  public ScheduledTask schedule(long millis, Runnable task) {
     return () -> {};
   }
 
@@ -175,12 +175,12 @@
   }
 
   @Override
-  public boolean takesWrites() {
+  public boolean acceptsWrites() {
     return true;
   }
 
   @Override
-  public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+  public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     return () -> {};
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -106,7 +106,7 @@
     void start() {
       up = true;
       life++;
-      var place =
+      var identity =
           new NodeIdentity(
               name + "-" + life + "-" + Integer.toHexString(random.nextInt(1 << 20)),
               life,
@@ -119,9 +119,9 @@
       node =
           switch (role) {
             case "core" ->
-                new ControlPlaneNode(this, place, Map.of("operator", KEYS.publicKey()), CORE);
-            case "storage" -> new StorageNode(this, place);
-            default -> new EdgeNode(this, place);
+                new ControlPlaneNode(this, identity, Map.of("operator", KEYS.publicKey()), CORE);
+            case "storage" -> new StorageNode(this, identity);
+            default -> new EdgeNode(this, identity);
           };
       enter(node::start);
     }
@@ -147,12 +147,12 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
       return nowUs / MS + 1_000_000;
     }
 
     @Override
-    public ScheduledTask after(long millis, Runnable task) {
+    public ScheduledTask schedule(long millis, Runnable task) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       at(
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public boolean takesWrites() {
+    public boolean acceptsWrites() {
       return true;
     }
 
     @Override
-    public WorkerCallHandle run(WorkerCall call, WorkerCallListener listener) {
+    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       running.merge(call.workerAddress(), 1, Integer::sum);
@@ -313,23 +313,23 @@
   }
 
   static String kindOf(Message message) {
-    if (message instanceof Message.PeerRequest ask) {
-      return "Ask:" + ask.duty();
+    if (message instanceof Message.PeerRequest request) {
+      return "Ask:" + request.operation();
     }
-    if (message instanceof ChangeFeedUpdate news) {
-      return kindOfNews(news);
+    if (message instanceof ChangeFeedUpdate update) {
+      return kindOfNews(update);
     }
     return MessageNames.of(message);
   }
 
-  private static String kindOfNews(ChangeFeedUpdate news) {
-    if (news.items().isEmpty()) {
+  private static String kindOfNews(ChangeFeedUpdate update) {
+    if (update.records().isEmpty()) {
       return "FeedNews:none";
     }
-    if (news.relayed()) {
+    if (update.relayed()) {
       return "FeedNews:relayed";
     }
-    return news.checkpoint() ? "FeedNews:checkpoint" : "FeedNews:changes";
+    return update.snapshot() ? "FeedNews:checkpoint" : "FeedNews:changes";
   }
 
   private static long delayUs(Machine from, Machine to) {
@@ -353,10 +353,10 @@
   }
 
   private void noteBundle(Machine machine, Message message) {
-    if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate news) {
-      for (MetadataRecord item : news.items()) {
-        if (item.key().equals("bundle")) {
-          long number = numberOf(item.value());
+    if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate update) {
+      for (MetadataRecord metadataRecord : update.records()) {
+        if (metadataRecord.key().equals("bundle")) {
+          long number = numberOf(metadataRecord.value());
           bundleKnownAtUs
               .computeIfAbsent(number, unseen -> new HashMap<>())
               .putIfAbsent(machine, nowUs);
@@ -425,25 +425,25 @@
   }
 
   /** Sends again, as an operator does, until something certain is said. */
-  private void command(String duty, String key, Object body, Consumer<Response> then) {
+  private void command(String operation, String key, Object body, Consumer<Response> then) {
     ControlPlaneNode core = core();
-    Machine machine = machines.get(core.place().name());
+    Machine machine = machines.get(core.identity().name());
     machine.enter(
         () ->
             core.command(
-                duty,
+                operation,
                 key,
                 body,
                 response ->
                     at(
                         nowUs,
                         () -> {
-                          if (response.good()
+                          if (response.isSuccess()
                               || response.status() == 409
                               || response.status() == 400) {
                             then.accept(response);
                           } else {
-                            at(nowUs + 300 * MS, () -> command(duty, key, body, then));
+                            at(nowUs + 300 * MS, () -> command(operation, key, body, then));
                           }
                         })));
   }
@@ -465,9 +465,9 @@
         "bundle",
         new SignedConfiguration(0, bytes, "operator", signature),
         response -> {
-          if (!response.good()) {
+          if (!response.isSuccess()) {
             throw new IllegalStateException(
-                "bundle " + number + " was refused: " + response.faultType());
+                "bundle " + number + " was refused: " + response.errorType());
           }
           change.acknowledgedAtMs = nowMs();
         });
