--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/Slopes.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/Slopes.java
@@ -451,9 +451,9 @@
                         }
 
                         @Override
-                        public void fault(Response response, boolean cut) {
+                        public void fail(Response response, boolean cut) {
                           throw new IllegalStateException(
-                              "a request was refused: " + response.faultType());
+                              "a request was refused: " + response.errorType());
                         }
                       }));
       fleet.runFor(10);
@@ -493,9 +493,9 @@
                     key,
                     input,
                     response -> {
-                      if (!response.good()) {
+                      if (!response.isSuccess()) {
                         throw new IllegalStateException(
-                            "a batch was refused: " + response.faultType());
+                            "a batch was refused: " + response.errorType());
                       }
                       whenTaken.run();
                     }));
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -32,7 +32,7 @@
     CoreFleet(long seed) {
       simulation = new Simulation(seed, Map.of(), Deployment.AUTHORITY.pace);
       simulation.outsideList = (reader, token, whenRead, whenFaulty) -> {};
-      simulation.bounds =
+      simulation.settings =
           new NodeSettings(
               1, true, true, false, 0, 0, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
               1_000);
@@ -50,19 +50,19 @@
     }
 
     void run(long millis) {
-      simulation.runUntil(simulation.nowMs() + millis);
+      simulation.runUntil(simulation.simulatedNowMs() + millis);
     }
 
     Process core(int index) {
       return simulation.processes.get("core-" + index);
     }
 
-    private SimulatedAnswer command(int core, String duty, Object body) {
+    private SimulatedAnswer command(int core, String operation, Object body) {
       SimulatedAnswer answer = new SimulatedAnswer();
       simulation.call(
           core(core),
           (Consumer<Response> then) ->
-              ((ControlPlaneNode) core(core).node()).command(duty, "bundle", body, then),
+              ((ControlPlaneNode) core(core).node()).command(operation, "bundle", body, then),
           answer);
       return answer;
     }
@@ -104,7 +104,7 @@
     JsonNode inForce() {
       for (int attempt = 0; attempt < 30; attempt++) {
         Response response = await(command(attempt % CORES, "read", new byte[] {'{', '}'}));
-        if (response != null && response.good()) {
+        if (response != null && response.isSuccess()) {
           return Json.tree(Base64.getDecoder().decode(response.body().path("bytes").asText()));
         }
         run(200);
@@ -152,10 +152,10 @@
     CoreFleet fleet = new CoreFleet(1);
     String nowhere = adds(4, "a").replace("'main'", "'nowhere'");
     Response refused = fleet.await(fleet.patch(0, 1, nowhere));
-    assertThat(refused.faultType()).isEqualTo("InvalidBundle");
-    assertThat(fleet.await(fleet.patch(0, 1, "{'number': 1}")).faultType())
+    assertThat(refused.errorType()).isEqualTo("InvalidBundle");
+    assertThat(fleet.await(fleet.patch(0, 1, "{'number': 1}")).errorType())
         .isEqualTo("BundleConflict");
-    assertThat(fleet.await(fleet.patch(0, 3, adds(4, "a"))).faultType())
+    assertThat(fleet.await(fleet.patch(0, 3, adds(4, "a"))).errorType())
         .isEqualTo("VersionConflict");
     assertThat(fleet.inForce().path("number").asLong()).isEqualTo(1);
   }
@@ -167,7 +167,7 @@
     assertThat(fleet.await(fleet.patch(1, 1, adds(4, "a"))).status()).isEqualTo(200);
     fleet.await(fleet.patch(0, 4, adds(5, "b")));
     assertThat(fleet.await(fleet.patch(2, 1, adds(4, "a"))).status()).isEqualTo(200);
-    assertThat(fleet.await(fleet.patch(2, 1, adds(4, "c"))).faultType())
+    assertThat(fleet.await(fleet.patch(2, 1, adds(4, "c"))).errorType())
         .isEqualTo("VersionConflict");
     assertThat(fleet.inForce().path("routes")).hasSize(2);
   }
@@ -184,7 +184,7 @@
               .toList();
       assertWithMessage("seed " + seed).that(statuses.get(0)).isEqualTo(200);
       assertWithMessage("seed " + seed).that(statuses.get(1)).isAtLeast(400);
-      String winner = one.response.good() ? "a" : "b";
+      String winner = one.response.isSuccess() ? "a" : "b";
       JsonNode routes = fleet.inForce().path("routes");
       assertWithMessage("seed " + seed).that(routes).hasSize(1);
       assertThat(routes.path(0).path("name").asText()).isEqualTo(winner);
--- a/test-fleet/src/test/java/applespindle/testfleet/CoreCostTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CoreCostTest.java
@@ -15,7 +15,7 @@
   @Test
   void anIdleFleetIsQuiet() {
     Simulation simulation = new Simulation(1, Map.of(), Deployment.AUTHORITY.pace);
-    simulation.bounds =
+    simulation.settings =
         new NodeSettings(
             1, true, true, false, 0, 800, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
             1_000);
@@ -43,7 +43,7 @@
   @Test
   void withoutTheCoreEdgesThatKnowTheSameSendNoTables() {
     Simulation simulation = new Simulation(1, Map.of(), Deployment.AUTHORITY.pace);
-    simulation.bounds =
+    simulation.settings =
         new NodeSettings(
             1, true, true, false, 0, 800, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
             1_000);
--- a/test-fleet/src/test/java/applespindle/testfleet/CoreOnSeedsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CoreOnSeedsTest.java
@@ -88,7 +88,7 @@
       int storage,
       long spreadMs,
       List<String> seeds) {
-    simulation.bounds = bounds(losses);
+    simulation.settings = bounds(losses);
     List<Process> all = new ArrayList<>();
     for (int index = 0; index < voters; index++) {
       all.add(simulation.add("core-" + index, "zone-" + index % 3, "core", seeds, true));
@@ -144,7 +144,7 @@
 
   private Response sendAndWait(String core, long number, long buildsOn, String content) {
     Response[] answer = send(core, number, buildsOn, content);
-    simulation.runUntil(simulation.nowMs() + 3_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 3_000);
     return answer[0];
   }
 
@@ -237,14 +237,14 @@
   // ---- how fast a node is back
 
   private long readyWithin(String process, long mostMs) {
-    long from = simulation.nowMs();
+    long from = simulation.simulatedNowMs();
     while (!simulation.processes.get(process).node().notReadyBecause().isEmpty()) {
       assertWithMessage(process + ": " + simulation.processes.get(process).node().notReadyBecause())
-          .that(simulation.nowMs() - from)
+          .that(simulation.simulatedNowMs() - from)
           .isAtMost(mostMs);
-      simulation.runUntil(simulation.nowMs() + 1);
+      simulation.runUntil(simulation.simulatedNowMs() + 1);
     }
-    return simulation.nowMs() - from;
+    return simulation.simulatedNowMs() - from;
   }
 
   @Test
@@ -254,7 +254,7 @@
     sendAndWait("core-0", 1, 0, bundle(1));
     Process edge = simulation.processes.get("edge-4");
     edge.kill(false);
-    simulation.runUntil(simulation.nowMs() + 700);
+    simulation.runUntil(simulation.simulatedNowMs() + 700);
     edge.start();
     readyWithin("edge-4", 30);
     assertThat(edge.node().status().path("bundle").asLong()).isEqualTo(1);
@@ -267,7 +267,7 @@
     public void head(ProxiedRequest.ResponseHead head) {}
 
     @Override
-    public void piece(ProxiedRequest.ResponseChunk piece) {}
+    public void chunk(ProxiedRequest.ResponseChunk piece) {}
 
     @Override
     public void end() {}
@@ -278,16 +278,16 @@
     }
 
     @Override
-    public void cut(ApiError fault) {}
+    public void cut(ApiError error) {}
   }
 
   private Heard passAtStart(Process edge) {
     edge.kill(false);
-    simulation.runUntil(simulation.nowMs() + 700);
+    simulation.runUntil(simulation.simulatedNowMs() + 700);
     edge.start();
     Heard heard = new Heard();
     ((EdgeNode) edge.node())
-        .pass(
+        .proxy(
             new ProxiedRequest(
                 "r",
                 "POST",
@@ -314,7 +314,7 @@
     Heard heard = passAtStart(simulation.processes.get("edge-4"));
     readyWithin("edge-4", 30);
     assertWithMessage("only the bundle tells that no route fits")
-        .that(heard.refused.faultType())
+        .that(heard.refused.errorType())
         .isEqualTo("NoMatchingRule");
   }
 
@@ -327,9 +327,9 @@
         .filter(process -> process.role.equals("core"))
         .forEach(process -> process.kill(false));
     Heard heard = passAtStart(simulation.processes.get("edge-4"));
-    simulation.runUntil(simulation.nowMs() + 550);
+    simulation.runUntil(simulation.simulatedNowMs() + 550);
     assertThat(heard.refused.status()).isEqualTo(503);
-    assertThat(heard.refused.comeBackMs()).isIn(Range.closed(1L, 500L));
+    assertThat(heard.refused.retryAfterMs()).isIn(Range.closed(1L, 500L));
   }
 
   private void allAreBack(boolean powerLoss) {
@@ -337,15 +337,15 @@
     simulation.runUntil(6_000);
     Response[] answer = send("core-0", 1, 0, bundle(1));
     while (answer[0] == null) {
-      simulation.runUntil(simulation.nowMs() + 1);
+      simulation.runUntil(simulation.simulatedNowMs() + 1);
     }
     assertThat(answer[0].status()).isEqualTo(200);
     simulation.processes.values().forEach(process -> process.kill(powerLoss));
-    simulation.runUntil(simulation.nowMs() + 700);
+    simulation.runUntil(simulation.simulatedNowMs() + 700);
     simulation.processes.values().stream()
         .filter(process -> !process.role.equals("core"))
         .forEach(Process::start);
-    simulation.runUntil(simulation.nowMs() + 300);
+    simulation.runUntil(simulation.simulatedNowMs() + 300);
     simulation.processes.values().stream()
         .filter(process -> process.role.equals("core"))
         .forEach(Process::start);
@@ -374,10 +374,10 @@
     simulation.runUntil(6_000);
     assertThat(sendAndWait("door-4", 3, 0, bundle(3)).status()).isEqualTo(200);
     assertThat(sendAndWait("core-1", 7, 3, bundle(7)).status()).isEqualTo(200);
-    assertThat(sendAndWait("core-2", 9, 3, bundle(9)).faultType()).isEqualTo("VersionConflict");
-    assertThat(sendAndWait("core-2", 7, 7, bundle(7, "other")).faultType())
+    assertThat(sendAndWait("core-2", 9, 3, bundle(9)).errorType()).isEqualTo("VersionConflict");
+    assertThat(sendAndWait("core-2", 7, 7, bundle(7, "other")).errorType())
         .isEqualTo("BundleConflict");
-    assertThat(sendAndWait("core-2", 8, 7, "{\"number\": 8").faultType())
+    assertThat(sendAndWait("core-2", 8, 7, "{\"number\": 8").errorType())
         .isEqualTo("InvalidBundle");
     assertWithMessage("taken earlier, another in force now")
         .that(sendAndWait("door-0", 3, 0, bundle(3)).status())
@@ -425,7 +425,7 @@
     simulation.isolate("core-0");
     Response[] answer = send("core-0", 1, 0, bundle(1));
     simulation.runUntil(16_000);
-    assertThat(answer[0].good()).isFalse();
+    assertThat(answer[0].isSuccess()).isFalse();
   }
 
   // ---- the outside list of workers
@@ -513,13 +513,13 @@
     listed.clear();
     int callsBefore = calls;
     while (calls == callsBefore) {
-      simulation.runUntil(simulation.nowMs() + 1);
+      simulation.runUntil(simulation.simulatedNowMs() + 1);
     }
     listed.addAll(before);
-    simulation.runUntil(simulation.nowMs() + 200);
+    simulation.runUntil(simulation.simulatedNowMs() + 200);
     assertThat(workersAt("edge-0")).hasSize(8);
     listed.clear();
-    simulation.runUntil(simulation.nowMs() + 2_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 2_000);
     assertThat(workersAt("edge-0")).isEmpty();
   }
 
@@ -541,13 +541,13 @@
     simulation.processes.values().stream()
         .filter(process -> !process.alive())
         .forEach(Process::start);
-    simulation.runUntil(simulation.nowMs() + 3_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 3_000);
     leaves(2, () -> simulation.processes.get(owner()).freeze());
     simulation.processes.values().forEach(Process::wake);
-    simulation.runUntil(simulation.nowMs() + 3_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 3_000);
     leaves(3, () -> simulation.isolate(owner()));
     simulation.healLinks();
-    simulation.runUntil(simulation.nowMs() + 3_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 3_000);
     String cutOff = owner();
     Simulation.OutsideList list = simulation.outsideList;
     simulation.outsideList =
@@ -567,7 +567,7 @@
   private void leaves(int number, Runnable trouble) {
     trouble.run();
     listed.set(number - 1, worker(number, true));
-    simulation.runUntil(simulation.nowMs() + 2_800);
+    simulation.runUntil(simulation.simulatedNowMs() + 2_800);
     for (int edge = 0; edge < 3; edge++) {
       assertWithMessage("worker " + number + " at edge " + edge)
           .that(workersAt("edge-" + edge))
@@ -587,11 +587,11 @@
   }
 
   private void run(long millis) {
-    simulation.runUntil(simulation.nowMs() + millis);
+    simulation.runUntil(simulation.simulatedNowMs() + millis);
   }
 
   private String idOf(String name) {
-    return simulation.processes.get(name).node().place().id();
+    return simulation.processes.get(name).node().identity().id();
   }
 
   private JsonNode core() {
@@ -711,28 +711,28 @@
     start(1, 3, 3, 3, 3, 500, SEEDS);
     simulation.runUntil(12_000);
     assertThat(
-            ask("door-0", then -> core("door-0").emptyStorage("storage-7", 5_000, then))
-                .faultType())
+            ask("door-0", then -> core("door-0").drainStorageNode("storage-7", 5_000, then))
+                .errorType())
         .isEqualTo("NoSuchStorage");
     assertThat(
-            ask("door-0", then -> core("door-0").emptyStorage("storage-1", 5_000, then))
-                .faultType())
+            ask("door-0", then -> core("door-0").drainStorageNode("storage-1", 5_000, then))
+                .errorType())
         .isEqualTo("TooFewCopies");
     simulation.add("storage-3", "zone-1", "storage", SEEDS, true).start();
     run(3_000);
     assertThat(
-            ask("door-0", then -> core("door-0").storagePlace("storage-1", then))
+            ask("door-0", then -> core("door-0").isStorageNodeDrained("storage-1", then))
                 .body()
                 .path("complete")
                 .asBoolean())
         .isFalse();
     for (String door : List.of("door-1", "core-2")) {
-      assertThat(ask(door, then -> core(door).emptyStorage("storage-1", 5_000, then)).status())
+      assertThat(ask(door, then -> core(door).drainStorageNode("storage-1", 5_000, then)).status())
           .isEqualTo(200);
     }
     run(3_000);
     assertThat(
-            ask("door-2", then -> core("door-2").storagePlace("storage-1", then))
+            ask("door-2", then -> core("door-2").isStorageNodeDrained("storage-1", then))
                 .body()
                 .path("complete")
                 .asBoolean())
--- a/test-fleet/src/test/java/applespindle/testfleet/FoundingTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/FoundingTest.java
@@ -27,7 +27,7 @@
   /** Six voters and three processes without a vote, all started within 0.3 s in any order. */
   private void start(long seed, int losses, List<String> seeds) {
     simulation = new Simulation(seed, Map.of(), Deployment.AUTHORITY.pace);
-    simulation.bounds =
+    simulation.settings =
         new NodeSettings(
             losses, true, true, false, 40, 800, 3_000, 3_000, 8_000, 2_000, 120_000, 0.1, 64 << 20,
             1_000);
--- a/test-fleet/src/test/java/applespindle/testfleet/OrderMemoryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/OrderMemoryTest.java
@@ -30,9 +30,9 @@
         "bundle",
         fleet.signed(content(number, pool).getBytes(UTF_8), buildsOn),
         answer::set);
-    long until = simulation.nowMs() + PATIENCE_MS;
-    while (answer.get() == null && simulation.nowMs() < until) {
-      simulation.runUntil(simulation.nowMs() + 1);
+    long until = simulation.simulatedNowMs() + PATIENCE_MS;
+    while (answer.get() == null && simulation.simulatedNowMs() < until) {
+      simulation.runUntil(simulation.simulatedNowMs() + 1);
     }
     return answer.get();
   }
@@ -52,7 +52,7 @@
     accept(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + FORGOTTEN);
     long newest = 2L * (ConfigurationConstants.MAX_REMEMBERED_REVISIONS + FORGOTTEN);
     for (int crash = 0; crash < 2; crash++) {
-      assertThat(send(2, 0, "main").faultType()).isEqualTo("OutcomeUnknown");
+      assertThat(send(2, 0, "main").errorType()).isEqualTo("OutcomeUnknown");
       assertThat(send(2L * FORGOTTEN, 2L * FORGOTTEN - 2, "main").status()).isEqualTo(504);
       assertWithMessage("one that lost and was forgotten")
           .that(send(4, 2, "other").status())
@@ -61,17 +61,17 @@
           .that(send(2L * FORGOTTEN + 2, 2L * FORGOTTEN, "main").status())
           .isEqualTo(200);
       assertWithMessage("one that lost")
-          .that(send(2L * FORGOTTEN + 2, 2L * FORGOTTEN, "other").faultType())
+          .that(send(2L * FORGOTTEN + 2, 2L * FORGOTTEN, "other").errorType())
           .isEqualTo("VersionConflict");
       assertThat(send(newest, newest - 2, "main").status()).isEqualTo(200);
       assertWithMessage("on top of what is in force, with an old number")
-          .that(send(3, newest, "main").faultType())
+          .that(send(3, newest, "main").errorType())
           .isEqualTo("BundleConflict");
       Simulation.Process leader = fleet.target("owner:bundle");
       leader.kill(true);
-      simulation.runUntil(simulation.nowMs() + 2_000);
+      simulation.runUntil(simulation.simulatedNowMs() + 2_000);
       leader.start();
-      simulation.runUntil(simulation.nowMs() + 2_000);
+      simulation.runUntil(simulation.simulatedNowMs() + 2_000);
     }
   }
 }
--- a/test-fleet/src/test/java/applespindle/testfleet/OrderReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/OrderReadsTest.java
@@ -33,11 +33,11 @@
 
   private static long number(AtomicReference<Response> answer) {
     Response response = answer.get();
-    return response != null && response.good() ? response.body().path("number").asLong() : 0;
+    return response != null && response.isSuccess() ? response.body().path("number").asLong() : 0;
   }
 
   private void run(double millis) {
-    simulation.runUntil(simulation.nowMs() + (long) millis);
+    simulation.runUntil(simulation.simulatedNowMs() + (long) millis);
   }
 
   /** Sends until it is acknowledged or another is in force; that one's number. */
@@ -45,7 +45,7 @@
     for (int tries = 0; tries < 10; tries++) {
       AtomicReference<Response> answer = send(fleet.anyCore(), number, buildsOn);
       run(PATIENCE_MS);
-      if (answer.get() != null && answer.get().good()) {
+      if (answer.get() != null && answer.get().isSuccess()) {
         return number;
       }
     }
--- a/test-fleet/src/test/java/applespindle/testfleet/SimulatedProcessorTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SimulatedProcessorTest.java
@@ -43,7 +43,7 @@
   private long usedBy(Runnable event) {
     long before = processor.totalNs();
     processor.run(event);
-    simulation.runUntil(simulation.nowMs() + 10_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 10_000);
     return processor.totalNs() - before;
   }
 
--- a/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
@@ -46,11 +46,11 @@
   }
 
   private void startWith(Process process, double cores) {
-    simulation.bounds =
+    simulation.settings =
         new NodeSettings(
                 1, true, true, false, 0, 0, 3_000, 3_000, GRACE_MS, 2_000, 120_000, 0.1, 64 << 20,
                 1_000)
-            .onProcessor(cores);
+            .withProcessorCores(cores);
     process.start();
   }
 
@@ -79,7 +79,7 @@
                     new SignedConfiguration(0, content.getBytes(UTF_8), null, null, number - 1),
                     then),
         answer);
-    simulation.runUntil(simulation.nowMs() + 3_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 3_000);
     assertWithMessage("" + answer.response).that(answer.response.status()).isEqualTo(200);
   }
 
@@ -96,7 +96,7 @@
     simulation.call(
         process(edge),
         (Consumer<Response> then) ->
-            ((EdgeNode) process(edge).node()).submitOpaque(BatchSubmission.of(batch), then),
+            ((EdgeNode) process(edge).node()).submitProxiedBatch(BatchSubmission.of(batch), then),
         answer);
     return answer;
   }
@@ -104,7 +104,7 @@
   @Test
   void aBatchHandedInAtASmallEdgeIsTaken() {
     SimulatedAnswer answer = submit("small", "c1", 1_000);
-    simulation.runUntil(simulation.nowMs() + 1_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 1_000);
 
     assertThat(answer.response.status()).isEqualTo(201);
   }
@@ -117,9 +117,9 @@
       process("large-" + index).linkMbits(70);
     }
     process("small").stopPolitely(GRACE_MS, () -> {});
-    simulation.runUntil(simulation.nowMs() + 2_290);
+    simulation.runUntil(simulation.simulatedNowMs() + 2_290);
     SimulatedAnswer answer = submit("small", "c1", LARGE_BODY_BYTES);
-    simulation.runUntil(simulation.nowMs() + GRACE_MS);
+    simulation.runUntil(simulation.simulatedNowMs() + GRACE_MS);
 
     assertWithMessage("the connection ended without an answer").that(answer.broken).isFalse();
     assertThat(answer.response).isNotNull();
@@ -132,7 +132,7 @@
       simulation.cutLink("small", "large-" + index);
     }
     SimulatedAnswer answer = submit("small", "c1", 1_000);
-    simulation.runUntil(simulation.nowMs() + 8_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 8_000);
 
     assertWithMessage("" + answer.response).that(answer.response.status()).isEqualTo(201);
   }
@@ -143,14 +143,14 @@
     List<Process> core = List.of(process("core-0"), process("core-1"));
     core.forEach(Process::freeze);
     SimulatedAnswer answer = submit("small", "c1", 100_000);
-    simulation.runUntil(simulation.nowMs() + 1_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 1_000);
     for (int index = 0; index < LARGE_EDGES; index++) {
       if (bodiesReceived("large-" + index) > 0) {
         process("large-" + index).kill(true);
       }
     }
     core.forEach(Process::wake);
-    simulation.runUntil(simulation.nowMs() + 7_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 7_000);
 
     assertWithMessage("" + answer.response).that(answer.response.status()).isEqualTo(201);
   }
@@ -170,7 +170,7 @@
     core.forEach(Process::freeze);
     SimulatedAnswer answer = submit("small", "c1", 100_000);
     simulation.afterMs(3_000, () -> core.forEach(Process::wake));
-    simulation.runUntil(simulation.nowMs() + 9_000);
+    simulation.runUntil(simulation.simulatedNowMs() + 9_000);
     long bodiesReceived = 0;
     for (int index = 0; index < LARGE_EDGES; index++) {
       bodiesReceived += bodiesReceived("large-" + index);
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
@@ -47,8 +47,9 @@
         .sum();
   }
 
-  private static boolean carriesBundle(ChangeFeedUpdate news) {
-    return news.items().stream().anyMatch(item -> item.key().equals("bundle"));
+  private static boolean carriesBundle(ChangeFeedUpdate update) {
+    return update.records().stream()
+        .anyMatch(metadataRecord -> metadataRecord.key().equals("bundle"));
   }
 
   @Test
@@ -72,8 +73,8 @@
     long[] bundlesRelayed = new long[1];
     fleet.sentFrames =
         (from, envelope) -> {
-          if (envelope.message() instanceof ChangeFeedUpdate news && news.relayed()) {
-            bundlesRelayed[0] += carriesBundle(news) ? 1 : 0;
+          if (envelope.message() instanceof ChangeFeedUpdate update && update.relayed()) {
+            bundlesRelayed[0] += carriesBundle(update) ? 1 : 0;
           }
         };
     fleet.cut = link -> link.from().role.equals("core") != link.to().role.equals("core");
