--- a/adapters/src/main/java/applespindle/adapters/DiskFault.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskException.java
@@ -1,7 +1,7 @@
 package applespindle.adapters;
 
 /** A disk that can not be trusted or used. */
-public final class DiskFault extends RuntimeException {
+public final class DiskException extends RuntimeException {
   /** How the disk failed. */
   public enum Kind {
     CORRUPT,
@@ -12,7 +12,7 @@
 
   public final Kind kind;
 
-  DiskFault(Kind kind, String file, Throwable cause) {
+  DiskException(Kind kind, String file, Throwable cause) {
     super(kind + " " + file, cause);
     this.kind = kind;
   }
--- a/adapters/src/main/java/applespindle/adapters/DiskLog.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskLog.java
@@ -2,7 +2,7 @@
 
 import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.adapters.DiskFolder.DiskFile;
+import applespindle.adapters.LogFolder.DiskFile;
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.constants.DiskConstants;
 import applespindle.corelogic.log.LogRecord;
@@ -42,8 +42,8 @@
   /** Where earlier versions kept the identity of all starts. */
   private static final String FORMER_IDENTITY = "identity.json";
 
-  private final DiskFolder folder;
-  private final DiskSizes sizes;
+  private final LogFolder folder;
+  private final LogSizes sizes;
   private final Consumer<String> log;
   private final PeerCodec codec = new PeerCodec();
 
@@ -70,23 +70,22 @@
   /** The disk refuses writes at present; what waits is tried again until it takes them. */
   private volatile boolean refusing;
 
-  private DiskLog(DiskFolder folder, DiskSizes sizes, Consumer<String> log) {
+  private DiskLog(LogFolder folder, LogSizes sizes, Consumer<String> log) {
     this.folder = folder;
     this.sizes = sizes;
     this.log = log;
   }
 
   public static DiskLog open(Path folder, Consumer<LogRecord> replay, Consumer<String> log) {
-    return open(folder, DiskSizes.of(0), replay, log);
+    return open(folder, LogSizes.of(0), replay, log);
   }
 
   /** Opens a folder that no other process may have open. */
-  static DiskLog open(
-      Path path, DiskSizes sizes, Consumer<LogRecord> replay, Consumer<String> log) {
+  static DiskLog open(Path path, LogSizes sizes, Consumer<LogRecord> replay, Consumer<String> log) {
     try {
-      return open(PlainFolder.open(path), sizes, replay, log);
+      return open(FileSystemLogFolder.open(path), sizes, replay, log);
     } catch (IOException fault) {
-      throw new DiskFault(DiskFault.Kind.UNREADABLE, path.toString(), fault);
+      throw new DiskException(DiskException.Kind.UNREADABLE, path.toString(), fault);
     }
   }
 
@@ -95,15 +94,15 @@
    * of it aside: the node then starts as a new, empty one under a new id.
    */
   static DiskLog open(
-      DiskFolder folder, DiskSizes sizes, Consumer<LogRecord> replay, Consumer<String> log)
+      LogFolder folder, LogSizes sizes, Consumer<LogRecord> replay, Consumer<String> log)
       throws IOException {
     DiskLog opened = new DiskLog(folder, sizes, log);
     List<LogRecord> records = new ArrayList<>();
     try {
       opened.readIdentity();
       opened.readAll(records::add);
-    } catch (DiskFault fault) {
-      if (fault.kind != DiskFault.Kind.CORRUPT) {
+    } catch (DiskException fault) {
+      if (fault.kind != DiskException.Kind.CORRUPT) {
         throw fault;
       }
       log.accept("Data folder is corrupt and was set aside: " + fault.getMessage() + ".");
@@ -178,7 +177,7 @@
       }
     }
     if (!files("segment-").isEmpty() || !files("checkpoint-").isEmpty()) {
-      throw new DiskFault(DiskFault.Kind.CORRUPT, "no identity", null);
+      throw new DiskException(DiskException.Kind.CORRUPT, "no identity", null);
     }
     id = UUID.randomUUID().toString().replace("-", "").substring(0, 12);
   }
@@ -297,13 +296,13 @@
         }
         good += HEAD_BYTES - 1 + content.length;
       }
-    } catch (UnreadableFrame fault) {
-      throw new DiskFault(DiskFault.Kind.CORRUPT, name, fault);
+    } catch (UnreadableFrameException fault) {
+      throw new DiskException(DiskException.Kind.CORRUPT, name, fault);
     }
     if (newestSegment) {
       sync(name, good, size);
     } else if (good < size || checkpoint && !ended) {
-      throw new DiskFault(DiskFault.Kind.CORRUPT, name, null);
+      throw new DiskException(DiskException.Kind.CORRUPT, name, null);
     }
   }
 
@@ -412,7 +411,7 @@
     try {
       file.force();
     } catch (IOException fault) {
-      throw new DiskFault(DiskFault.Kind.SYNC_FAILED, "segment " + segment, fault);
+      throw new DiskException(DiskException.Kind.SYNC_FAILED, "segment " + segment, fault);
     }
     bytesSinceCheckpoint += end - segmentBytes;
     segmentBytes = end;
@@ -508,7 +507,7 @@
     try {
       folder.sync();
     } catch (IOException fault) {
-      throw new DiskFault(DiskFault.Kind.SYNC_FAILED, "folder", fault);
+      throw new DiskException(DiskException.Kind.SYNC_FAILED, "folder", fault);
     }
   }
 
@@ -516,7 +515,7 @@
     try {
       written.force();
     } catch (IOException fault) {
-      throw new DiskFault(DiskFault.Kind.SYNC_FAILED, name, fault);
+      throw new DiskException(DiskException.Kind.SYNC_FAILED, name, fault);
     }
   }
 
@@ -524,7 +523,7 @@
   public void close() {
     try {
       file.close();
-      if (folder instanceof PlainFolder plain) {
+      if (folder instanceof FileSystemLogFolder plain) {
         plain.close();
       }
     } catch (IOException ignored) {
--- a/adapters/src/main/java/applespindle/adapters/PlainFolder.java
+++ b/adapters/src/main/java/applespindle/adapters/FileSystemLogFolder.java
@@ -16,7 +16,7 @@
 import java.util.List;
 
 /** A data folder on a real disk, used by one process at a time. */
-final class PlainFolder implements DiskFolder, AutoCloseable {
+final class FileSystemLogFolder implements LogFolder, AutoCloseable {
   private static final String LOCK = "lock";
 
   private final Path folder;
@@ -26,14 +26,14 @@
   /** Where files are set aside; null before the first one is. */
   private Path aside;
 
-  private PlainFolder(Path folder, FileChannel lock) throws IOException {
+  private FileSystemLogFolder(Path folder, FileChannel lock) throws IOException {
     this.folder = folder;
     this.lock = lock;
     this.store = Files.getFileStore(folder);
   }
 
   /** One process a folder: a second one would write a second truth. */
-  static PlainFolder open(Path folder) throws IOException {
+  static FileSystemLogFolder open(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
       Files.createDirectories(folder);
       sync(folder.toAbsolutePath().getParent());
@@ -48,9 +48,9 @@
     }
     if (!free) {
       channel.close();
-      throw new DiskFault(DiskFault.Kind.IN_USE, folder.toString(), null);
+      throw new DiskException(DiskException.Kind.IN_USE, folder.toString(), null);
     }
-    return new PlainFolder(folder, channel);
+    return new FileSystemLogFolder(folder, channel);
   }
 
   @Override
--- a/adapters/src/main/java/applespindle/adapters/FrameDeflation.java
+++ b/adapters/src/main/java/applespindle/adapters/FrameDeflation.java
@@ -42,9 +42,9 @@
         : frame;
   }
 
-  public byte[] inflate(byte[] bytes, int from, int size) throws UnreadableFrame {
+  public byte[] inflate(byte[] bytes, int from, int size) throws UnreadableFrameException {
     if (size <= LENGTH_BYTES) {
-      throw new UnreadableFrame(UnreadableFrame.Kind.BROKEN);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
     }
     int length = ByteBuffer.wrap(bytes, from, LENGTH_BYTES).getInt();
     if (length <= 0
@@ -52,7 +52,7 @@
             > Math.min(
                 SizeLimits.MAX_FRAME_BYTES,
                 (long) PeerConnectionConstants.MAX_INFLATE_RATIO * size)) {
-      throw new UnreadableFrame(UnreadableFrame.Kind.TOO_LARGE);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.TOO_LARGE);
     }
     if (inflater == null) {
       inflater = new Inflater();
@@ -63,10 +63,10 @@
     try {
       boolean whole = inflater.inflate(frame) == length && inflater.inflate(new byte[1]) == 0;
       if (!whole || !inflater.finished() || inflater.getRemaining() > 0) {
-        throw new UnreadableFrame(UnreadableFrame.Kind.BROKEN);
+        throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
       }
     } catch (DataFormatException broken) {
-      throw new UnreadableFrame(UnreadableFrame.Kind.BROKEN);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
     }
     return frame;
   }
--- a/adapters/src/main/java/applespindle/adapters/DiskFolder.java
+++ b/adapters/src/main/java/applespindle/adapters/LogFolder.java
@@ -10,7 +10,7 @@
  * last force covered, and each later write is there, missing or torn; until the folder was synced,
  * each name that was made, renamed or removed may be as it was before, by itself.
  */
-interface DiskFolder {
+interface LogFolder {
   /** Names of all plain files, sorted. */
   List<String> names() throws IOException;
 
--- a/adapters/src/main/java/applespindle/adapters/NumbersOnly.java
+++ b/adapters/src/main/java/applespindle/adapters/NoNameLookups.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 
 /** Everything here is named by IP number; nothing is ever looked up. */
-public final class NumbersOnly implements IDnsClient {
+public final class NoNameLookups implements IDnsClient {
   @Override
   public Promise<DnsResponse> resolve(DnsQuery query) {
     DnsResponse response = IDnsClient.resolveFromQuery(query);
--- a/adapters/src/main/java/applespindle/adapters/NodeProcess.java
+++ b/adapters/src/main/java/applespindle/adapters/NodeProcess.java
@@ -75,14 +75,14 @@
    * One thread with a loop that blocks until a socket is ready, a timer is due or a task is handed
    * over.
    */
-  private static final class Duty {
+  private static final class ThreadRole {
     /** With nothing due a loop sleeps this long; all that matters wakes it. */
     private static final Duration IDLE = Duration.ofHours(1);
 
     final Eventloop loop;
     final Thread thread;
 
-    Duty(String name) {
+    ThreadRole(String name) {
       loop =
           Eventloop.builder()
               .withThreadName(name)
@@ -114,15 +114,15 @@
    * The formats in which opaque requests and the outside list of workers are spoken; null where
    * there are none.
    */
-  public record Outside(WorkerFormat format, WorkerList list) {
-    public static final Outside NONE = new Outside(null, null);
+  public record WorkerIntegration(WorkerProtocol format, WorkerListSource list) {
+    public static final WorkerIntegration NONE = new WorkerIntegration(null, null);
   }
 
-  private final Startup startup;
-  private final Outside outside;
-  private final Duty logic = new Duty("logic");
-  private final Duty http;
-  private final Duty peer;
+  private final StartupOptions startup;
+  private final WorkerIntegration outside;
+  private final ThreadRole logic = new ThreadRole("logic");
+  private final ThreadRole http;
+  private final ThreadRole peer;
 
   /**
    * Tasks of other threads that the logic has not begun; what goes beyond the ring's slots is
@@ -135,7 +135,7 @@
   private final RandomGenerator random;
   private final PeerTransport transport;
   private final WorkerClient workers;
-  private final ExchangeClient exchanges;
+  private final WorkerHttpClient exchanges;
   private final DiskLog disk;
   private final Node node;
   private final Thread diskThread = new Thread(this::runDisk, "disk");
@@ -146,20 +146,22 @@
   private volatile long diskWakeUps;
   private double startSeconds;
 
-  public NodeProcess(Startup startup, BiFunction<Environment, NodeIdentity, Node> maker) {
-    this(startup, NodeSettings.DEFAULT, maker, Outside.NONE);
+  public NodeProcess(StartupOptions startup, BiFunction<Environment, NodeIdentity, Node> maker) {
+    this(startup, NodeSettings.DEFAULT, maker, WorkerIntegration.NONE);
   }
 
   public NodeProcess(
-      Startup startup, BiFunction<Environment, NodeIdentity, Node> maker, Outside outside) {
+      StartupOptions startup,
+      BiFunction<Environment, NodeIdentity, Node> maker,
+      WorkerIntegration outside) {
     this(startup, NodeSettings.DEFAULT, maker, outside);
   }
 
   public NodeProcess(
-      Startup startup,
+      StartupOptions startup,
       NodeSettings settings,
       BiFunction<Environment, NodeIdentity, Node> maker,
-      Outside outside) {
+      WorkerIntegration outside) {
     this(startup, settings, maker, outside, Runtime.getRuntime().availableProcessors() == 1);
   }
 
@@ -168,15 +170,15 @@
    * would only cost.
    */
   NodeProcess(
-      Startup startup,
+      StartupOptions startup,
       NodeSettings settings,
       BiFunction<Environment, NodeIdentity, Node> maker,
-      Outside outside,
+      WorkerIntegration outside,
       boolean sharedThread) {
     this.startup = startup;
     this.outside = outside;
-    http = sharedThread ? logic : new Duty("http");
-    peer = sharedThread ? logic : new Duty("peer");
+    http = sharedThread ? logic : new ThreadRole("http");
+    peer = sharedThread ? logic : new ThreadRole("peer");
     random =
         new SplittableRandom(
             System.nanoTime() ^ System.currentTimeMillis() << 20 ^ startup.peer().hashCode());
@@ -186,7 +188,7 @@
             ? null
             : DiskLog.open(
                 Path.of(startup.data()),
-                DiskSizes.of(settings.diskBytes()),
+                LogSizes.of(settings.diskBytes()),
                 records::add,
                 sentence -> log("disk", sentence));
     String id =
@@ -207,7 +209,7 @@
     exchanges =
         outside.format() == null
             ? null
-            : new ExchangeClient(http.loop, outside.format(), this::backToLogic);
+            : new WorkerHttpClient(http.loop, outside.format(), this::backToLogic);
     node = maker.apply(this, identity);
     records.forEach(node::recover);
   }
@@ -220,7 +222,7 @@
     return node;
   }
 
-  public Startup startup() {
+  public StartupOptions startup() {
     return startup;
   }
 
@@ -233,7 +235,7 @@
       diskThread.start();
     }
     startSeconds = processorSeconds();
-    duties().forEach(Duty::start);
+    duties().forEach(ThreadRole::start);
     toLogic(node::start);
     Runtime.getRuntime().addShutdownHook(new Thread(this::stopPolitely, "stop"));
     log(
@@ -276,8 +278,8 @@
         });
   }
 
-  private void ask(ArrayDeque<Duty> left, Map<String, Long> wakeUps, Runnable then) {
-    Duty duty = left.poll();
+  private void ask(ArrayDeque<ThreadRole> left, Map<String, Long> wakeUps, Runnable then) {
+    ThreadRole duty = left.poll();
     if (duty == null) {
       then.run();
       return;
@@ -289,7 +291,7 @@
         });
   }
 
-  private Set<Duty> duties() {
+  private Set<ThreadRole> duties() {
     return new LinkedHashSet<>(List.of(peer, http, logic));
   }
 
@@ -418,7 +420,7 @@
           backToLogic(() -> offerToDisk(new DiskJob(node.checkpoint(), () -> {}, true)));
         }
       }
-    } catch (DiskFault fault) {
+    } catch (DiskException fault) {
       log("disk", "The disk failed and the process ends: " + fault.getMessage() + ".");
       Runtime.getRuntime().halt(EXIT_DISK);
     }
@@ -525,7 +527,7 @@
 
   @Override
   public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
-    ExchangeClient.Exchange begun = exchanges.prepare(exchange, listener);
+    WorkerHttpClient.Exchange begun = exchanges.prepare(exchange, listener);
     toHttp(begun::start);
     return () -> toHttp(begun::cancel);
   }
--- a/adapters/src/main/java/applespindle/adapters/PeerCodec.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerCodec.java
@@ -77,11 +77,11 @@
     end = encoder.limit();
   }
 
-  private void readHead() throws UnreadableFrame {
+  private void readHead() throws UnreadableFrameException {
     MessageHeaderDecoder head = new MessageHeaderDecoder().wrap(in, at);
     if (head.schemaId() != EnvelopeHeadDecoder.SCHEMA_ID
         || Math.abs(head.version() - VERSION) > 1) {
-      throw new UnreadableFrame(UnreadableFrame.Kind.UNKNOWN_SCHEMA);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.UNKNOWN_SCHEMA);
     }
     templateId = head.templateId();
     blockLength = head.blockLength();
@@ -115,13 +115,13 @@
     return Arrays.copyOf(out.byteArray(), end);
   }
 
-  public Envelope decode(byte[] frame) throws UnreadableFrame {
+  public Envelope decode(byte[] frame) throws UnreadableFrameException {
     in = new UnsafeBuffer(frame);
     at = 0;
     try {
       readHead();
       if (templateId != EnvelopeHeadDecoder.TEMPLATE_ID) {
-        throw new UnreadableFrame(UnreadableFrame.Kind.UNKNOWN_MESSAGE);
+        throw new UnreadableFrameException(UnreadableFrameException.Kind.UNKNOWN_MESSAGE);
       }
       EnvelopeHeadDecoder head = open(new EnvelopeHeadDecoder());
       String fromId = head.fromId();
@@ -131,7 +131,7 @@
       readHead();
       return new Envelope(fromId, fromAddress, toId, decodeMessage());
     } catch (RuntimeException broken) {
-      throw new UnreadableFrame(UnreadableFrame.Kind.BROKEN);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
     }
   }
 
@@ -384,7 +384,7 @@
     }
   }
 
-  private Message decodeMessage() throws UnreadableFrame {
+  private Message decodeMessage() throws UnreadableFrameException {
     switch (templateId) {
       case AskBodyDecoder.TEMPLATE_ID -> {
         AskBodyDecoder body = open(new AskBodyDecoder());
@@ -525,7 +525,7 @@
     }
   }
 
-  private Message decodeRest() throws UnreadableFrame {
+  private Message decodeRest() throws UnreadableFrameException {
     switch (templateId) {
       case FeedFollowBodyDecoder.TEMPLATE_ID -> {
         FeedFollowBodyDecoder body = open(new FeedFollowBodyDecoder());
@@ -654,7 +654,7 @@
         open(new UnfinishedBodyDecoder()).keys().forEach(each -> keys.add(each.key()));
         return new LeaderlessBatches(keys);
       }
-      default -> throw new UnreadableFrame(UnreadableFrame.Kind.UNKNOWN_MESSAGE);
+      default -> throw new UnreadableFrameException(UnreadableFrameException.Kind.UNKNOWN_MESSAGE);
     }
   }
 
@@ -674,13 +674,13 @@
     return Arrays.copyOf(out.byteArray(), end);
   }
 
-  LogRecord decodeRecord(byte[] bytes) throws UnreadableFrame {
+  LogRecord decodeRecord(byte[] bytes) throws UnreadableFrameException {
     in = new UnsafeBuffer(bytes);
     at = 0;
     try {
       readHead();
       if (templateId != LogRecordDecoder.TEMPLATE_ID) {
-        throw new UnreadableFrame(UnreadableFrame.Kind.UNKNOWN_MESSAGE);
+        throw new UnreadableFrameException(UnreadableFrameException.Kind.UNKNOWN_MESSAGE);
       }
       LogRecordDecoder body = open(new LogRecordDecoder());
       String key = body.key();
@@ -693,7 +693,7 @@
           body.whole() == 1,
           bytes(body.payloadLength(), (payload, length) -> body.getPayload(payload, 0, length)));
     } catch (RuntimeException broken) {
-      throw new UnreadableFrame(UnreadableFrame.Kind.BROKEN);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
     }
   }
 }
--- a/adapters/src/main/java/applespindle/adapters/PeerTransport.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerTransport.java
@@ -49,11 +49,11 @@
   /** As it is written: the head, which is its length and whether it is deflated, then the bytes. */
   private record Frame(int head, byte[] bytes) {}
 
-  private static final class Neighbour {
-    final Lane small;
-    final Lane large;
+  private static final class PeerChannels {
+    final PeerChannel small;
+    final PeerChannel large;
 
-    Neighbour(Lane small, Lane large) {
+    PeerChannels(PeerChannel small, PeerChannel large) {
       this.small = small;
       this.large = large;
     }
@@ -65,7 +65,7 @@
     }
   }
 
-  private final class Lane {
+  private final class PeerChannel {
     final String address;
 
     /** Invariant: one write at a time is on its way; the rest waits here in order. */
@@ -87,7 +87,7 @@
     /** When a sign of life was asked for; 0 if none is awaited. */
     long askedAt;
 
-    Lane(String address) {
+    PeerChannel(String address) {
       this.address = address;
     }
 
@@ -270,7 +270,7 @@
                 try {
                   takeFrames();
                   readOn();
-                } catch (UnreadableFrame garbage) {
+                } catch (UnreadableFrameException garbage) {
                   if (garbageFrom.add(garbage.kind.name())) {
                     log.accept(
                         "Garbage on the peer port, connection closed: " + garbage.kind + ".");
@@ -280,13 +280,13 @@
               });
     }
 
-    private void takeFrames() throws UnreadableFrame {
+    private void takeFrames() throws UnreadableFrameException {
       int at = 0;
       while (length - at >= HEAD_BYTES) {
         int head = ByteBuffer.wrap(bytes, at, HEAD_BYTES).getInt();
         int size = head & ~DEFLATED;
         if (size > SizeLimits.MAX_FRAME_BYTES) {
-          throw new UnreadableFrame(UnreadableFrame.Kind.TOO_LARGE);
+          throw new UnreadableFrameException(UnreadableFrameException.Kind.TOO_LARGE);
         }
         if (length - at - HEAD_BYTES < size) {
           break;
@@ -299,7 +299,7 @@
                   ? Arrays.copyOfRange(bytes, at + HEAD_BYTES, at + HEAD_BYTES + size)
                   : deflation.inflate(bytes, at + HEAD_BYTES, size);
           Envelope envelope = codec.decode(frame);
-          Neighbour from = neighbours.get(envelope.fromAddress());
+          PeerChannels from = neighbours.get(envelope.fromAddress());
           if (from != null) {
             from.heard();
           }
@@ -327,7 +327,7 @@
   /** By kind of message, the bytes of its frames as they were written. */
   private final Map<String, LongAdder> bytesOfKind = new ConcurrentHashMap<>();
 
-  private final Map<String, Neighbour> neighbours = new HashMap<>();
+  private final Map<String, PeerChannels> neighbours = new HashMap<>();
   private final Set<String> garbageFrom = new HashSet<>();
 
   /**
@@ -381,7 +381,7 @@
         () -> {
           try {
             codec.decode(codec.encode(envelope));
-          } catch (UnreadableFrame impossible) {
+          } catch (UnreadableFrameException impossible) {
             throw new IllegalStateException(impossible);
           }
         });
@@ -406,9 +406,10 @@
 
   private void take(String toAddress, Envelope envelope) {
     byte[] frame = codec.encode(envelope);
-    Neighbour neighbour =
+    PeerChannels neighbour =
         neighbours.computeIfAbsent(
-            toAddress, address -> new Neighbour(new Lane(address), new Lane(address)));
+            toAddress,
+            address -> new PeerChannels(new PeerChannel(address), new PeerChannel(address)));
     boolean deflates =
         frame.length >= PeerConnectionConstants.MIN_DEFLATE_BYTES
             && envelope.message().shouldDeflate();
--- a/adapters/src/main/java/applespindle/adapters/Program.java
+++ b/adapters/src/main/java/applespindle/adapters/Program.java
@@ -18,10 +18,10 @@
       String name,
       String role,
       String[] arguments,
-      Function<Startup, BiFunction<Environment, NodeIdentity, Node>> maker,
+      Function<StartupOptions, BiFunction<Environment, NodeIdentity, Node>> maker,
       Consumer<NodeProcess> openInterface) {
     System.setProperty("org.jboss.logging.provider", "slf4j");
-    Startup.Read read = Startup.read(name, role, arguments);
+    StartupOptions.Read read = StartupOptions.read(name, role, arguments);
     if (read == null) {
       System.exit(EXIT_STARTUP);
     }
@@ -37,7 +37,7 @@
     }
     try {
       new NodeProcess(read.startup(), maker.apply(read.startup())).start(openInterface);
-    } catch (DiskFault fault) {
+    } catch (DiskException fault) {
       System.err.println("startup: $.data: " + fault.getMessage());
       System.exit(EXIT_STARTUP);
     } catch (IOException | UncheckedIOException fault) {
--- a/adapters/src/main/java/applespindle/adapters/Startup.java
+++ b/adapters/src/main/java/applespindle/adapters/StartupOptions.java
@@ -27,7 +27,7 @@
  * @param listen where it listens for its peers if that is not the address they are told, as behind
  *     a relay; null if it is
  */
-public record Startup(
+public record StartupOptions(
     @NotBlank String name,
     @NotBlank String zone,
     @NotNull @Pattern(regexp = "edge|storage|core") String role,
@@ -46,7 +46,7 @@
       List.of("name", "zone", "http", "peer", "listen", "data");
 
   /** The startup, or the faults; checkOnly asks for no more than this. */
-  public record Read(Startup startup, List<ApiError.Field> faults, boolean checkOnly) {}
+  public record Read(StartupOptions startup, List<ApiError.Field> faults, boolean checkOnly) {}
 
   /**
    * Reads flags and file; a call that can not be parsed at all, or asks for help, yields null after
@@ -111,7 +111,7 @@
   }
 
   static Read check(ObjectNode tree, boolean checkOnly) {
-    InputReader.Input<Startup> input = InputReader.read(tree, Startup.class);
+    InputReader.Input<StartupOptions> input = InputReader.read(tree, StartupOptions.class);
     List<ApiError.Field> faults = new ArrayList<>(input.faults());
     if (input.good() && !input.value().role().equals("edge") && input.value().data() == null) {
       faults.add(
--- a/adapters/src/main/java/applespindle/adapters/UnreadableFrame.java
+++ b/adapters/src/main/java/applespindle/adapters/UnreadableFrameException.java
@@ -1,7 +1,7 @@
 package applespindle.adapters;
 
 /** Bytes that are no message of ours. */
-public final class UnreadableFrame extends Exception {
+public final class UnreadableFrameException extends Exception {
   /** Why the bytes could not be read. */
   public enum Kind {
     TOO_LARGE,
@@ -13,7 +13,7 @@
 
   public final Kind kind;
 
-  UnreadableFrame(Kind kind) {
+  UnreadableFrameException(Kind kind) {
     super(kind.name(), null, false, false);
     this.kind = kind;
   }
--- a/adapters/src/main/java/applespindle/adapters/WorkerClient.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerClient.java
@@ -37,7 +37,7 @@
 
   WorkerClient(Eventloop eventloop) {
     this.eventloop = eventloop;
-    IDnsClient numbersOnly = new NumbersOnly();
+    IDnsClient numbersOnly = new NoNameLookups();
     runs =
         HttpClient.builder(eventloop, numbersOnly)
             .withNoKeepAlive()
--- a/adapters/src/main/java/applespindle/adapters/ExchangeClient.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerHttpClient.java
@@ -38,7 +38,7 @@
  * as the next request's response, keeps idle connections by one time for all workers, and finds the
  * address by the Host header, which here is the client's.
  */
-final class ExchangeClient {
+final class WorkerHttpClient {
   private static final Duration CONNECT_TIMEOUT =
       Duration.ofMillis(WorkerConnectionConstants.CONNECT_TIMEOUT_MS);
   private static final Set<String> HOP_BY_HOP =
@@ -55,7 +55,7 @@
           "proxy-connection");
 
   private final Eventloop eventloop;
-  private final WorkerFormat format;
+  private final WorkerProtocol format;
   private final Consumer<Runnable> toLogic;
 
   /** By address, the connection used last at the end. */
@@ -63,7 +63,7 @@
 
   private boolean sweeping;
 
-  ExchangeClient(Eventloop eventloop, WorkerFormat format, Consumer<Runnable> toLogic) {
+  WorkerHttpClient(Eventloop eventloop, WorkerProtocol format, Consumer<Runnable> toLogic) {
     this.eventloop = eventloop;
     this.format = format;
     this.toLogic = toLogic;
--- a/adapters/src/main/java/applespindle/adapters/WorkerList.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerListSource.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Reads the list of workers that is kept outside. On the http thread. */
-public interface WorkerList {
+public interface WorkerListSource {
   /**
    * An empty token asks for the first page. A refusal for calling too often is Fault.Overloaded.
    */
--- a/adapters/src/main/java/applespindle/adapters/WorkerFormat.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerProtocol.java
@@ -10,7 +10,7 @@
  * How workers of opaque requests are spoken to; response headers are looked up by name, null where
  * absent.
  */
-public interface WorkerFormat {
+public interface WorkerProtocol {
   /**
    * All end-to-end headers of the request as sent to the worker, the client's and our own; without
    * Content-Length.
--- a/adapters/src/test/java/applespindle/adapters/DiskCheckpointTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskCheckpointTest.java
@@ -15,7 +15,7 @@
 /** Checkpoints of a log of many changes: cut at each step, refused by the disk, bounded in size. */
 class DiskCheckpointTest {
   private static final int CHANGE_BYTES = 500;
-  private static final DiskSizes SIZES = new DiskSizes(4_000, 0);
+  private static final LogSizes SIZES = new LogSizes(4_000, 0);
   private static final int STEPS_OF_A_CHECKPOINT = 24;
   private static final int SEEDS = 40;
 
@@ -28,7 +28,7 @@
     final DiskLog log;
     final List<Long> sequences = new ArrayList<>();
 
-    Opened(VolatileFolder folder) throws IOException {
+    Opened(VolatileLogFolder folder) throws IOException {
       log = DiskLog.open(folder, SIZES, record -> sequences.add(record.sequence()), sentence -> {});
     }
 
@@ -37,13 +37,13 @@
     }
   }
 
-  private static long bytesOf(VolatileFolder folder) {
+  private static long bytesOf(VolatileLogFolder folder) {
     return folder.names().stream().mapToLong(folder::size).sum();
   }
 
   @Test
   void whatIsKeptDoesNotGrowWithTheNumberOfChanges() throws IOException {
-    VolatileFolder folder = new VolatileFolder(new Random(1));
+    VolatileLogFolder folder = new VolatileLogFolder(new Random(1));
     DiskLog log = new Opened(folder).log;
     long most = 0;
     for (long sequence = 1; sequence <= 2_000; sequence++) {
@@ -65,7 +65,7 @@
     int cut = 0;
     for (int step = 0; step < STEPS_OF_A_CHECKPOINT; step++) {
       for (int seed = 0; seed < SEEDS; seed++) {
-        VolatileFolder folder = new VolatileFolder(new Random(seed));
+        VolatileLogFolder folder = new VolatileLogFolder(new Random(seed));
         DiskLog log = new Opened(folder).log;
         for (long sequence = 1; sequence <= 20; sequence++) {
           log.append(List.of(change(sequence)));
@@ -75,7 +75,7 @@
         folder.stepsLeft = step;
         try {
           log.checkpoint(List.of(change(21)));
-        } catch (VolatileFolder.PowerLost now) {
+        } catch (VolatileLogFolder.PowerLost now) {
           cut++;
         }
         folder.losePower();
@@ -95,7 +95,7 @@
   @Test
   void aDiskThatRefusesACheckpointKeepsAllAndTakesTheNext() throws IOException {
     for (int refusals = 1; refusals <= 3; refusals++) {
-      VolatileFolder folder = new VolatileFolder(new Random(refusals));
+      VolatileLogFolder folder = new VolatileLogFolder(new Random(refusals));
       DiskLog log = new Opened(folder).log;
       long sequence = 0;
       for (int checkpoint = 0; checkpoint < refusals; checkpoint++) {
--- a/adapters/src/test/java/applespindle/adapters/DiskLogTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskLogTest.java
@@ -123,8 +123,8 @@
   @Test
   void aFolderInUseIsRefused() {
     try (DiskLog log = open().log()) {
-      DiskFault fault = assertThrows(DiskFault.class, this::open);
-      assertThat(fault.kind).isEqualTo(DiskFault.Kind.IN_USE);
+      DiskException fault = assertThrows(DiskException.class, this::open);
+      assertThat(fault.kind).isEqualTo(DiskException.Kind.IN_USE);
       assertThat(log.incarnation()).isEqualTo(1);
     }
   }
--- a/adapters/src/test/java/applespindle/adapters/DiskLossSweepTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskLossSweepTest.java
@@ -20,7 +20,7 @@
  * power, after which each name and each write that was not synced lasts by itself, and kills.
  */
 class DiskLossSweepTest {
-  private static final DiskSizes SIZES = new DiskSizes(600, 0);
+  private static final LogSizes SIZES = new LogSizes(600, 0);
   private static final int APPENDS_EACH_LIFE = 7;
   private static final int CHECKPOINT_EVERY = 3;
   private static final int RECORD_BYTES = 100;
@@ -29,7 +29,7 @@
 
   /** One folder over several lives; what was answered for must be there in each. */
   private static final class Lives {
-    final VolatileFolder folder;
+    final VolatileLogFolder folder;
     final Random random;
     final String which;
     long answered;
@@ -38,7 +38,7 @@
 
     Lives(long seed, String which) {
       this.random = new Random(seed);
-      this.folder = new VolatileFolder(random);
+      this.folder = new VolatileLogFolder(random);
       this.which = which;
     }
 
@@ -48,7 +48,7 @@
       try {
         run();
         return false;
-      } catch (VolatileFolder.PowerLost now) {
+      } catch (VolatileLogFolder.PowerLost now) {
         if (kill) {
           folder.stepsLeft = -1;
         } else {
@@ -149,7 +149,7 @@
         lives.folder.stepsLeft = step;
         try {
           lives.open(record -> {});
-        } catch (VolatileFolder.PowerLost now) {
+        } catch (VolatileLogFolder.PowerLost now) {
           lives.folder.losePower();
         }
         lives.folder.stepsLeft = -1;
@@ -197,7 +197,7 @@
   @Test
   void theIdentityOfAnEarlierVersionIsTakenOver() throws IOException {
     Lives lives = new Lives(1, "former");
-    try (DiskFolder.DiskFile former = lives.folder.create("identity.json")) {
+    try (LogFolder.DiskFile former = lives.folder.create("identity.json")) {
       byte[] bytes = "{\"id\":\"abc\",\"incarnation\":4}".getBytes(UTF_8);
       former.write(ByteBuffer.wrap(bytes), 0);
       former.force();
--- a/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
@@ -20,13 +20,14 @@
   private static final int SEEDS = 300;
   private static final int LOSSES = 12;
   private static final int STEPS_MOST = 60;
-  private static final DiskSizes SIZES = new DiskSizes(2_000, 0);
+  private static final LogSizes SIZES = new LogSizes(2_000, 0);
 
   private static LogRecord record(long sequence, int bytes) {
     return new LogRecord(Kind.ENTRY, "key", new Epoch(1, "node"), sequence, false, new byte[bytes]);
   }
 
-  private static List<Long> replay(VolatileFolder folder, List<DiskLog> opened) throws IOException {
+  private static List<Long> replay(VolatileLogFolder folder, List<DiskLog> opened)
+      throws IOException {
     List<Long> sequences = new ArrayList<>();
     opened.add(
         DiskLog.open(folder, SIZES, record -> sequences.add(record.sequence()), sentence -> {}));
@@ -37,7 +38,7 @@
   void keepsWhatWasAnsweredForOverLossesOfPower() throws IOException {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
-      VolatileFolder folder = new VolatileFolder(random);
+      VolatileLogFolder folder = new VolatileLogFolder(random);
       long answered = 0;
       long incarnation = 0;
       for (int loss = 0; loss < LOSSES; loss++) {
@@ -65,7 +66,7 @@
               opened.get(0).checkpoint(List.of(record(last, 700)));
             }
           }
-        } catch (VolatileFolder.PowerLost now) {
+        } catch (VolatileLogFolder.PowerLost now) {
           if (kill) {
             folder.stepsLeft = -1;
           } else {
@@ -78,7 +79,7 @@
 
   @Test
   void triesARefusedWriteAgainUntilItIsTaken() throws IOException {
-    VolatileFolder folder = new VolatileFolder(new Random(1));
+    VolatileLogFolder folder = new VolatileLogFolder(new Random(1));
     List<DiskLog> opened = new ArrayList<>();
     replay(folder, opened);
     opened.get(0).append(List.of(record(1, 100)));
@@ -91,7 +92,7 @@
 
   @Test
   void aStartWaitsForADiskThatRefusesWritesForAWhile() throws IOException {
-    VolatileFolder folder = new VolatileFolder(new Random(1));
+    VolatileLogFolder folder = new VolatileLogFolder(new Random(1));
     folder.refusals = 2;
     List<DiskLog> opened = new ArrayList<>();
     assertThat(replay(folder, opened)).isEmpty();
@@ -100,7 +101,7 @@
 
   @Test
   void checkpointsDoNotOutweighWhatIsWritten() throws IOException {
-    VolatileFolder folder = new VolatileFolder(new Random(1));
+    VolatileLogFolder folder = new VolatileLogFolder(new Random(1));
     List<DiskLog> opened = new ArrayList<>();
     replay(folder, opened);
     DiskLog log = opened.get(0);
@@ -122,8 +123,8 @@
 
   @Test
   void sizesFollowTheDisk() {
-    assertThat(DiskSizes.of(0)).isEqualTo(new DiskSizes(32L << 20, 96L << 20));
-    assertThat(DiskSizes.of(64L << 20)).isEqualTo(new DiskSizes(2L << 20, 8L << 20));
-    assertThat(DiskSizes.of(1L << 40)).isEqualTo(DiskSizes.of(0));
+    assertThat(LogSizes.of(0)).isEqualTo(new LogSizes(32L << 20, 96L << 20));
+    assertThat(LogSizes.of(64L << 20)).isEqualTo(new LogSizes(2L << 20, 8L << 20));
+    assertThat(LogSizes.of(1L << 40)).isEqualTo(LogSizes.of(0));
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/FrameDeflationTest.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameDeflationTest.java
@@ -16,7 +16,7 @@
   private final byte[] frame = "{\"id\":\"a\",\"body\":\"x\"}".repeat(1_000).getBytes(UTF_8);
 
   @Test
-  void comesBackAsItWas() throws UnreadableFrame {
+  void comesBackAsItWas() throws UnreadableFrameException {
     for (int round = 0; round < 3; round++) {
       byte[] deflated = deflation.deflate(frame);
       assertThat(deflated.length).isLessThan(frame.length / 4);
@@ -48,7 +48,8 @@
         new byte[][] {
           damaged, longer, shorter, otherLength, lessLength, new byte[4], new byte[0]
         }) {
-      assertThrows(UnreadableFrame.class, () -> deflation.inflate(garbage, 0, garbage.length));
+      assertThrows(
+          UnreadableFrameException.class, () -> deflation.inflate(garbage, 0, garbage.length));
     }
   }
 
@@ -60,7 +61,8 @@
           -1, 0, SizeLimits.MAX_FRAME_BYTES, PeerConnectionConstants.MAX_INFLATE_RATIO * 100 + 1
         }) {
       ByteBuffer.wrap(claims).putInt(length);
-      assertThrows(UnreadableFrame.class, () -> deflation.inflate(claims, 0, claims.length));
+      assertThrows(
+          UnreadableFrameException.class, () -> deflation.inflate(claims, 0, claims.length));
     }
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/FrameFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameFixturesTest.java
@@ -44,18 +44,18 @@
   private final PeerCodec codec = new PeerCodec();
 
   @Test
-  void messagesReadAsWritten() throws IOException, UnreadableFrame {
+  void messagesReadAsWritten() throws IOException, UnreadableFrameException {
     assertFramesMatch(fixtures(MESSAGES), FrameSamples.all());
   }
 
   @Test
-  void commandsAndResponsesReadAsWritten() throws IOException, UnreadableFrame {
+  void commandsAndResponsesReadAsWritten() throws IOException, UnreadableFrameException {
     assertFramesMatch(fixtures(COMMANDS), CommandSamples.all());
   }
 
   /** The head, as the transport writes it before the frame, and the deflated frame behind it. */
   @Test
-  void deflatedFrameReadsAsWritten() throws IOException, UnreadableFrame {
+  void deflatedFrameReadsAsWritten() throws IOException, UnreadableFrameException {
     byte[] written = fixtures(DEFLATED).get(DEFLATED_NAME);
     int head = ByteBuffer.wrap(written).getInt();
     int size = written.length - Integer.BYTES;
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void everyMessageHasAFixture() throws IOException, UnreadableFrame {
+  void everyMessageHasAFixture() throws IOException, UnreadableFrameException {
     Set<Class<?>> read = new HashSet<>();
     for (String resource : List.of(MESSAGES, COMMANDS)) {
       for (byte[] frame : fixtures(resource).values()) {
@@ -115,7 +115,7 @@
   }
 
   private void assertFramesMatch(Map<String, byte[]> frames, Map<String, Envelope> expected)
-      throws UnreadableFrame {
+      throws UnreadableFrameException {
     assertThat(frames.keySet()).containsExactlyElementsIn(expected.keySet());
     for (Map.Entry<String, byte[]> each : frames.entrySet()) {
       String name = each.getKey();
--- a/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
+++ b/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import applespindle.adapters.UnreadableFrame.Kind;
+import applespindle.adapters.UnreadableFrameException.Kind;
 import applespindle.adapters.sbe.MessageHeaderDecoder;
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.protocol.Envelope;
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void understandsTheNextVersionWithAFieldMore() throws UnreadableFrame {
+  void understandsTheNextVersionWithAFieldMore() throws UnreadableFrameException {
     ByteBuffer old = frame();
     int body = bodyAt(old);
     ByteBuffer newer = ByteBuffer.allocate(old.limit() + 8).order(ByteOrder.LITTLE_ENDIAN);
@@ -59,31 +59,34 @@
   void refusesAVersionTwoAwayAndWhatItDoesNotKnow() {
     ByteBuffer far = frame();
     far.putShort(6, (short) (PeerCodec.VERSION + 2));
-    assertThat(assertThrows(UnreadableFrame.class, () -> codec.decode(far.array())).kind)
+    assertThat(assertThrows(UnreadableFrameException.class, () -> codec.decode(far.array())).kind)
         .isEqualTo(Kind.UNKNOWN_SCHEMA);
     ByteBuffer unknown = frame();
     unknown.putShort(bodyAt(unknown) + 2, (short) 999);
-    assertThat(assertThrows(UnreadableFrame.class, () -> codec.decode(unknown.array())).kind)
+    assertThat(
+            assertThrows(UnreadableFrameException.class, () -> codec.decode(unknown.array())).kind)
         .isEqualTo(Kind.UNKNOWN_MESSAGE);
-    assertThat(assertThrows(UnreadableFrame.class, () -> codec.decode(new byte[] {1, 2, 3})).kind)
+    assertThat(
+            assertThrows(UnreadableFrameException.class, () -> codec.decode(new byte[] {1, 2, 3}))
+                .kind)
         .isEqualTo(Kind.BROKEN);
   }
 
   @Test
-  void tellsOfProgress() throws UnreadableFrame {
+  void tellsOfProgress() throws UnreadableFrameException {
     Envelope sent = new Envelope("a", "127.0.0.1:1", "b", new PeerRequestProgress(1L << 40));
     assertThat(codec.decode(codec.encode(sent))).isEqualTo(sent);
   }
 
   @Test
-  void keepsEpochsApart() throws UnreadableFrame {
+  void keepsEpochsApart() throws UnreadableFrameException {
     var promise = new VoteRequest("batch/b", new Epoch(3, "node"), 5, true, 100, true);
     Envelope sent = new Envelope("a", "127.0.0.1:1", "", promise);
     assertThat(codec.decode(codec.encode(sent))).isEqualTo(sent);
   }
 
   @Test
-  void aClaimOfTheVersionBeforeAsksForTheWholeLog() throws UnreadableFrame {
+  void aClaimOfTheVersionBeforeAsksForTheWholeLog() throws UnreadableFrameException {
     var promise = new VoteRequest("batch/b", new Epoch(3, "node"), 5, true, 100, true);
     ByteBuffer newer =
         ByteBuffer.wrap(codec.encode(new Envelope("a", "127.0.0.1:1", "b", promise)))
--- a/adapters/src/test/java/applespindle/adapters/StartupTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StartupOptionsTest.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-class StartupTest {
+class StartupOptionsTest {
   private static final String[] GOOD = {
     "--name",
     "core-1",
@@ -25,7 +25,7 @@
 
   @Test
   void takesFlags() {
-    Startup.Read read = Startup.read("control-plane", "core", GOOD);
+    StartupOptions.Read read = StartupOptions.read("control-plane", "core", GOOD);
     assertThat(read.faults()).isEmpty();
     assertThat(read.startup().coreFounders())
         .containsExactly("127.0.0.1:7103", "127.0.0.1:7104")
@@ -34,12 +34,12 @@
 
   @Test
   void listensWherePeersReachItUnlessToldOtherwise() {
-    assertThat(Startup.read("control-plane", "core", GOOD).startup().listenAddress())
+    assertThat(StartupOptions.read("control-plane", "core", GOOD).startup().listenAddress())
         .isEqualTo("127.0.0.1:7103");
     String[] relayed = Arrays.copyOf(GOOD, GOOD.length + 2);
     relayed[GOOD.length] = "--listen";
     relayed[GOOD.length + 1] = "127.0.0.1:7203";
-    Startup startup = Startup.read("control-plane", "core", relayed).startup();
+    StartupOptions startup = StartupOptions.read("control-plane", "core", relayed).startup();
     assertThat(startup.listenAddress()).isEqualTo("127.0.0.1:7203");
     assertThat(startup.peer()).isEqualTo("127.0.0.1:7103");
   }
@@ -58,11 +58,11 @@
       "--role",
       "storage"
     };
-    Startup.Read read = Startup.read("data-plane", null, flags);
+    StartupOptions.Read read = StartupOptions.read("data-plane", null, flags);
     assertThat(read.faults().stream().map(ApiError.Field::path))
         .containsExactly("$.http", "$.name", "$.seeds[0].<list element>", "$.zone");
-    Startup.Read noData =
-        Startup.read(
+    StartupOptions.Read noData =
+        StartupOptions.read(
             "data-plane",
             null,
             new String[] {
--- a/adapters/src/test/java/applespindle/adapters/StoredFleet.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleet.java
@@ -230,7 +230,7 @@
       }
       try {
         target.node.receive(target.codec.decode(frame));
-      } catch (UnreadableFrame broken) {
+      } catch (UnreadableFrameException broken) {
         throw new IllegalStateException(broken);
       }
     }
--- a/adapters/src/test/java/applespindle/adapters/VolatileFolder.java
+++ b/adapters/src/test/java/applespindle/adapters/VolatileLogFolder.java
@@ -18,7 +18,7 @@
  * is there, missing or torn, or all of them are gone; until the folder was synced, each name that
  * was made, renamed or removed is as it was or as it is now, by itself.
  */
-final class VolatileFolder implements DiskFolder {
+final class VolatileLogFolder implements LogFolder {
   private record Write(long at, byte[] bytes) {}
 
   private static final class Content {
@@ -57,7 +57,7 @@
 
   static final class PowerLost extends RuntimeException {}
 
-  VolatileFolder(Random random) {
+  VolatileLogFolder(Random random) {
     this.random = random;
   }
 
--- a/adapters/src/test/java/applespindle/adapters/ExchangeClientFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
@@ -4,7 +4,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import applespindle.adapters.WorkerFormat.Attribution;
+import applespindle.adapters.WorkerProtocol.Attribution;
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.environment.Environment.ExchangeListener;
 import applespindle.corelogic.environment.Environment.WorkerExchange;
@@ -31,12 +31,12 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /** Workers on real sockets that answer with sound and spoiled bytes, split in any way. */
-final class ExchangeClientFuzzTest {
+final class WorkerHttpClientFuzzTest {
   private static final long LIMIT_S = 20;
   private static final String ID = "1";
 
-  private static final WorkerFormat FORMAT =
-      new WorkerFormat() {
+  private static final WorkerProtocol FORMAT =
+      new WorkerProtocol() {
         @Override
         public List<Header> requestHeaders(WorkerExchange exchange) {
           return List.of(new Header("Host", exchange.request().host()));
@@ -106,14 +106,14 @@
   }
 
   private static Eventloop eventloop;
-  private static ExchangeClient client;
+  private static WorkerHttpClient client;
   private static ServerSocket worker;
 
   @BeforeContainer
   static void start() throws IOException {
     eventloop = Eventloop.create();
     eventloop.keepAlive(true);
-    client = new ExchangeClient(eventloop, FORMAT, Runnable::run);
+    client = new WorkerHttpClient(eventloop, FORMAT, Runnable::run);
     worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     worker.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
     Thread loop = new Thread(eventloop, "loop");
--- a/adapters/src/test/java/applespindle/adapters/ExchangeClientTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
@@ -28,15 +28,15 @@
 import org.junit.jupiter.api.Test;
 
 /** The client against workers played on plain sockets, which say exactly the bytes a test wants. */
-final class ExchangeClientTest {
+final class WorkerHttpClientTest {
   private static final long LIMIT_S = 20;
 
   /**
    * A format in the style of the real ones: an id echoed, a mark for "not run", a stamp on what is
    * good.
    */
-  private static final WorkerFormat FORMAT =
-      new WorkerFormat() {
+  private static final WorkerProtocol FORMAT =
+      new WorkerProtocol() {
         @Override
         public List<Header> requestHeaders(WorkerExchange exchange) {
           List<Header> headers = new ArrayList<>(exchange.request().headers());
@@ -117,7 +117,7 @@
   }
 
   private final Eventloop eventloop = Eventloop.create();
-  private final ExchangeClient client = new ExchangeClient(eventloop, FORMAT, Runnable::run);
+  private final WorkerHttpClient client = new WorkerHttpClient(eventloop, FORMAT, Runnable::run);
   private ServerSocket worker;
   private Thread loop;
 
@@ -163,10 +163,10 @@
     return heard;
   }
 
-  private ExchangeClient.Exchange begin(ProxiedRequest request, Heard heard) {
+  private WorkerHttpClient.Exchange begin(ProxiedRequest request, Heard heard) {
     var call =
         new WorkerExchange("127.0.0.1:" + worker.getLocalPort(), "w1", request, 0, 1_000, "");
-    ExchangeClient.Exchange exchange = client.prepare(call, heard);
+    WorkerHttpClient.Exchange exchange = client.prepare(call, heard);
     eventloop.execute(exchange::start);
     return exchange;
   }
@@ -564,7 +564,7 @@
   @Test
   void cancelClosesTheConnection() throws Exception {
     Heard heard = new Heard();
-    ExchangeClient.Exchange exchange = begin(request("1"), heard);
+    WorkerHttpClient.Exchange exchange = begin(request("1"), heard);
     try (Socket socket = accept()) {
       read(socket);
       eventloop.execute(exchange::cancel);
--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
@@ -20,7 +20,7 @@
 
   private static void open(NodeProcess process) {
     HttpInterface http = new HttpInterface(process);
-    new CoreInterface((ControlPlaneNode) process.node()).addTo(http);
+    new ControlPlaneHttpInterface((ControlPlaneNode) process.node()).addTo(http);
     http.listen();
   }
 
--- a/control-plane/src/main/java/applespindle/controlplane/CoreInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
@@ -28,7 +28,7 @@
 import java.util.function.Consumer;
 
 /** What operators and the platform see of a core process; any of them will do. */
-final class CoreInterface {
+final class ControlPlaneHttpInterface {
   /** version: the one the list was made from; left out, the list is taken whatever it is. */
   record WorkerList(@Min(0) Long version, @NotNull List<@Valid @NotNull WorkerInput> workers) {}
 
@@ -38,7 +38,7 @@
 
   private final ControlPlaneNode core;
 
-  CoreInterface(ControlPlaneNode core) {
+  ControlPlaneHttpInterface(ControlPlaneNode core) {
     this.core = core;
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -26,7 +26,7 @@
  * range when its buffer for a worker runs empty, streams the items in order, and moves on only from
  * what the leader has recorded.
  */
-public final class BatchDispatcher implements ItemRunner.Feeding {
+public final class BatchDispatcher implements ItemRunner.RangeSource {
   /** What the feeder needs of the edge it lives on. */
   public interface Context {
     void send(String toAddress, String toId, Message message);
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -30,7 +30,7 @@
  */
 final class ItemRunner {
   /** Looks for further work once a run has made room. */
-  interface Feeding {
+  interface RangeSource {
     void pump();
 
     void pump(WorkerState worker);
@@ -42,7 +42,7 @@
   private final WorkerRegistry registry;
   private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
-  private final Feeding feeding;
+  private final RangeSource feeding;
   private long runs;
 
   ItemRunner(
@@ -52,7 +52,7 @@
       WorkerRegistry registry,
       WorkerBatchCapacity capacity,
       RangeReporter reporter,
-      Feeding feeding) {
+      RangeSource feeding) {
     this.environment = environment;
     this.nodeId = nodeId;
     this.edge = edge;
--- a/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
@@ -10,18 +10,18 @@
  * one by its deadline, whatever becomes of its leader.
  */
 public final class PendingSubmissions {
-  private static final class Open {
+  private static final class PendingSubmission {
     final String batch;
     final long deadline;
     boolean wasOverdue;
 
-    Open(String batch, long deadline) {
+    PendingSubmission(String batch, long deadline) {
       this.batch = batch;
       this.deadline = deadline;
     }
   }
 
-  private final Map<Long, Open> open = new LinkedHashMap<>();
+  private final Map<Long, PendingSubmission> open = new LinkedHashMap<>();
   private long lastNumber;
 
   /**
@@ -29,7 +29,7 @@
    * @return what {@link #end} is to be told
    */
   public long begin(String batch, long deadline) {
-    open.put(++lastNumber, new Open(batch, deadline));
+    open.put(++lastNumber, new PendingSubmission(batch, deadline));
     return lastNumber;
   }
 
@@ -48,7 +48,7 @@
    */
   public List<String> overdue(long now) {
     List<String> overdue = new ArrayList<>();
-    for (Open each : List.copyOf(open.values())) {
+    for (PendingSubmission each : List.copyOf(open.values())) {
       if (now <= each.deadline) {
         continue;
       }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -13,16 +13,16 @@
  * and claimed once; it gets the same answer.
  */
 public final class SubmissionsInProgress {
-  private record Work(PeerRequest ask, List<PeerRequest> joined) {}
+  private record SubmissionInProgress(PeerRequest ask, List<PeerRequest> joined) {}
 
-  private final Map<String, Work> byKey = new HashMap<>();
+  private final Map<String, SubmissionInProgress> byKey = new HashMap<>();
   private long bytes;
 
   /**
    * Whether the ask is one of a batch already at work, with the same body; it then waits for it.
    */
   public boolean join(PeerRequest request) {
-    Work work = byKey.get(request.key());
+    SubmissionInProgress work = byKey.get(request.key());
     if (work == null || !Arrays.equals(work.ask.body(), request.body())) {
       return false;
     }
@@ -32,14 +32,15 @@
 
   /** Work on an ask begins. Of one with another body under the same key nothing is kept. */
   public void begin(PeerRequest request) {
-    if (byKey.putIfAbsent(request.key(), new Work(request, new ArrayList<>())) == null) {
+    if (byKey.putIfAbsent(request.key(), new SubmissionInProgress(request, new ArrayList<>()))
+        == null) {
       bytes += request.body().length;
     }
   }
 
   /** The ask and those that joined it while it is at work; none otherwise. */
   public List<PeerRequest> waitingFor(PeerRequest request) {
-    Work work = byKey.get(request.key());
+    SubmissionInProgress work = byKey.get(request.key());
     if (work == null || work.ask != request) {
       return List.of();
     }
@@ -50,7 +51,7 @@
 
   /** Work on an ask is over: those that joined it, which are to be told the same. */
   public List<PeerRequest> end(PeerRequest request) {
-    Work work = byKey.get(request.key());
+    SubmissionInProgress work = byKey.get(request.key());
     if (work == null || work.ask != request) {
       return List.of();
     }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
@@ -22,7 +22,7 @@
   private record Follower(String id, String address, long until) {}
 
   /** A poll that came while this node's own view was too old to say that it is fresh. */
-  private record UnsurePoll(ChangeFeedPoll follow, String fromId) {}
+  private record DeferredPoll(ChangeFeedPoll follow, String fromId) {}
 
   private final Environment environment;
   private final NodeIdentity identity;
@@ -37,7 +37,7 @@
   private final Map<String, Follower> followers = new LinkedHashMap<>();
 
   /** By address; responded to again once this node's view is fresh. */
-  private final Map<String, UnsurePoll> unsurePolls = new LinkedHashMap<>();
+  private final Map<String, DeferredPoll> unsurePolls = new LinkedHashMap<>();
 
   /** By follower id, when it was last sent a snapshot. */
   private final Map<String, Long> snapshotSentAt = new HashMap<>();
@@ -98,7 +98,7 @@
     if (freshness.isFresh()) {
       unsurePolls.remove(fromAddress);
     } else {
-      unsurePolls.put(fromAddress, new UnsurePoll(poll, fromId));
+      unsurePolls.put(fromAddress, new DeferredPoll(poll, fromId));
     }
     boolean known =
         poll.sourceId().equals(identity.id())
@@ -152,7 +152,7 @@
     if (unsurePolls.isEmpty() || !freshness.isFresh()) {
       return;
     }
-    Map<String, UnsurePoll> polls = new LinkedHashMap<>(unsurePolls);
+    Map<String, DeferredPoll> polls = new LinkedHashMap<>(unsurePolls);
     unsurePolls.clear();
     polls.forEach((address, poll) -> handlePoll(poll.follow(), poll.fromId(), address));
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
@@ -22,11 +22,11 @@
  */
 final class BatchCapacityManager {
   /** A batch's leader says how many items are unfinished; a reservation may be refused. */
-  private record RoomRequest(
+  private record CapacityRequest(
       String batch, long items, long ceiling, boolean reserves, String group) {
-    static RoomRequest parse(JsonNode body, BatchCapacityLedger ledger) {
+    static CapacityRequest parse(JsonNode body, BatchCapacityLedger ledger) {
       String batch = body.get("batch").asText();
-      return new RoomRequest(
+      return new CapacityRequest(
           batch,
           body.get("items").asLong(),
           body.path("ceiling").asLong(0),
@@ -60,7 +60,7 @@
   /** Sets a batch's unfinished items and responds with the items that wait in its group. */
   void set(PeerRequest request, LedKey ledKey, JsonNode body) {
     BatchCapacityLedger ledger = ledKey.capacityLedger;
-    RoomRequest capacityRequest = RoomRequest.parse(body, ledger);
+    CapacityRequest capacityRequest = CapacityRequest.parse(body, ledger);
     long present = ledger.itemsOf(capacityRequest.batch());
     ledger.touch(capacityRequest.batch(), environment.nowMs());
     if (capacityRequest.reserves() && present == 0 && !capacityRequest.unbounded()) {
@@ -89,7 +89,7 @@
   }
 
   /** Null if the reservation fits. */
-  private Response refusal(RoomRequest capacityRequest, BatchCapacityLedger ledger) {
+  private Response refusal(CapacityRequest capacityRequest, BatchCapacityLedger ledger) {
     long waiting = ledger.waitingOf(capacityRequest.group());
     long items = capacityRequest.items();
     long ceiling = capacityRequest.ceiling();
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CapacityReleaseRate.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CapacityReleaseRate.java
@@ -9,12 +9,12 @@
  * How fast waiting batch items have ended of late; only to tell a refused sender when to come back.
  */
 final class CapacityReleaseRate {
-  private record Freed(long atMs, long items) {}
+  private record Release(long atMs, long items) {}
 
   private final Environment environment;
 
   /** Not older than the time measured over, in order of time. */
-  private final ArrayDeque<Freed> freed = new ArrayDeque<>();
+  private final ArrayDeque<Release> freed = new ArrayDeque<>();
 
   private long sum;
 
@@ -24,7 +24,7 @@
 
   void freed(long items) {
     if (items > 0) {
-      freed.add(new Freed(environment.nowMs(), items));
+      freed.add(new Release(environment.nowMs(), items));
       sum += items;
     }
     forgetOld();
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
@@ -8,7 +8,7 @@
 import applespindle.corelogic.environment.Environment.ListedWorker;
 import applespindle.corelogic.environment.Environment.WorkerListPage;
 import applespindle.corelogic.environment.NodeSettings;
-import applespindle.corelogic.metadata.WorkerList;
+import applespindle.corelogic.metadata.WorkerListSource;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import java.util.ArrayList;
 import java.util.List;
@@ -139,14 +139,14 @@
     List<WorkerRegistration> known =
         ledKey.value.isNull()
             ? List.of()
-            : JSON.convertValue(ledKey.value, WorkerList.class).workers();
+            : JSON.convertValue(ledKey.value, WorkerListSource.class).workers();
     emptyReads = listed.isEmpty() ? emptyReads + 1 : 0;
     boolean doubted = emptyReads == 1 && !known.isEmpty();
     if (!doubted) {
       List<WorkerRegistration> next = next(known, listed, pages);
       if (!next.equals(known)) {
         quickReads = WorkerListConstants.FAST_POLLS;
-        put.put(ledKey, new WorkerList(next), error -> {});
+        put.put(ledKey, new WorkerListSource(next), error -> {});
         environment.log(PART, "Outside list of " + next.size() + " workers taken.");
       } else if (quickReads > 0) {
         quickReads--;
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -20,7 +20,7 @@
 import applespindle.corelogic.metadata.QuorumMembership;
 import applespindle.corelogic.metadata.ShardAssignment;
 import applespindle.corelogic.metadata.SignedConfiguration;
-import applespindle.corelogic.metadata.WorkerList;
+import applespindle.corelogic.metadata.WorkerListSource;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.node.Node;
 import applespindle.corelogic.node.NodeIdentity;
@@ -510,7 +510,7 @@
     } else if (key.equals(MetadataKeys.WORKER_LIST)) {
       listedWorkerIds.forEach(workers::remove);
       List<WorkerRegistration> listed =
-          Json.read(metadataRecord.value(), WorkerList.class).workers();
+          Json.read(metadataRecord.value(), WorkerListSource.class).workers();
       listed.forEach(worker -> workers.put(worker.id(), worker));
       listedWorkerIds = listed.stream().map(WorkerRegistration::id).toList();
     } else if (key.equals(MetadataKeys.EDGE_LIST)) {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -103,7 +103,7 @@
   private RouteTable routes = RouteTable.EMPTY;
 
   /** Requests that came before the core's first news; in their order. */
-  private final List<Early> early = new ArrayList<>();
+  private final List<HeldRequest> early = new ArrayList<>();
 
   private Consumer<RoutingConfiguration> whenBundleChanges = unheard -> {};
   private final Map<String, BatchLeader> leaders = new TreeMap<>();
@@ -152,7 +152,11 @@
     warmUp = new SubmissionWarmUp(environment, identity, format, submissionReader);
     elections =
         new Elections(
-            environment, identity.id(), this::send, this::replicaConfigurationOf, this::begin);
+            environment,
+            identity.id(),
+            this::send,
+            this::replicaConfigurationOf,
+            this::becomeLeader);
     registry = new WorkerRegistry(environment, this::pump);
     registry.onCallStart(
         new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::began);
@@ -249,21 +253,21 @@
     if (!isStarting() || early.size() >= LifecycleConstants.MAX_STARTUP_HELD_REQUESTS) {
       return proxiedRequests.take(request, listener);
     }
-    Early held = new Early(request, listener);
+    HeldRequest held = new HeldRequest(request, listener);
     early.add(held);
     environment.schedule(LifecycleConstants.STARTUP_HOLD_MS, held::goOn);
     return held;
   }
 
   /** A request that waits for the core's first news. */
-  private final class Early implements RequestHandle {
+  private final class HeldRequest implements RequestHandle {
     private final ProxiedRequest request;
     private final ProxiedResponseListener listener;
     private final long cameAt = environment.nowMs();
     private boolean gone;
     private RequestHandle taken;
 
-    Early(ProxiedRequest request, ProxiedResponseListener listener) {
+    HeldRequest(ProxiedRequest request, ProxiedResponseListener listener) {
       this.request = request;
       this.listener = listener;
     }
@@ -295,7 +299,7 @@
 
   @Override
   protected void firstUpdateApplied() {
-    List.copyOf(early).forEach(Early::goOn);
+    List.copyOf(early).forEach(HeldRequest::goOn);
   }
 
   @Override
@@ -323,7 +327,7 @@
     StageTimer trace = new StageTimer(environment);
     byte[] body = new BatchSubmission.Forwarded(submission, configuration.number()).encode();
     String batch = BatchKeys.proxiedBatchId(submission.id());
-    long expiryMs = PeerRequestConstants.REQUEST_TIMEOUT_MS + toReplicasMs(body.length);
+    long expiryMs = PeerRequestConstants.REQUEST_TIMEOUT_MS + replicationTimeMs(body.length);
     long open =
         submissions.begin(
             batch, environment.nowMs() + expiryMs + PeerRequestConstants.RESPONSE_SLACK_MS);
@@ -331,7 +335,7 @@
         PeerRequest.SUBMIT,
         batch,
         body,
-        PeerRequestConstants.ATTEMPT_TIMEOUT_MS + toReplicasMs(body.length),
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS + replicationTimeMs(body.length),
         expiryMs,
         response -> {
           submissions.end(open);
@@ -354,7 +358,7 @@
   }
 
   /** How long a leader on a slow link takes to send so much to its replicas. */
-  private long toReplicasMs(long bytes) {
+  private long replicationTimeMs(long bytes) {
     return bytes
         * (2L * settings.faultTolerance() + 1)
         / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
@@ -491,18 +495,19 @@
     } else if (leads && !request.operation().equals(PeerRequest.SUBMIT)) {
       serve(request, leader);
     } else if (leads) {
-      takeSubmission(request, (accepted, trace) -> serveSubmission(request, leader, accepted));
+      readSubmission(request, (accepted, trace) -> serveSubmission(request, leader, accepted));
     } else if (stopping) {
       respond(request, Response.of(new ApiError.NodeStopping()));
     } else if (isIsolated()) {
       respond(request, Response.of(new ApiError.NodeIsolated(feedAge())));
     } else if (request.operation().equals(PeerRequest.SUBMIT)) {
-      takeSubmission(request, (accepted, trace) -> reserveThenLead(request, accepted, trace));
+      readSubmission(
+          request, (accepted, trace) -> reserveCapacityThenLead(request, accepted, trace));
     } else {
-      peek(
+      lookUpRecord(
           request.key(),
           peeked ->
-              serveFound(
+              serveAfterLookup(
                   request,
                   peeked,
                   Response.of(new ApiError.NoSuchBatch(BatchKeys.batchOf(request.key()))),
@@ -511,13 +516,13 @@
   }
 
   /** Reads the batch that is handed in; one that can't be taken is refused at once. */
-  private void takeSubmission(PeerRequest request, BiConsumer<Accepted, StageTimer> then) {
+  private void readSubmission(PeerRequest request, BiConsumer<Accepted, StageTimer> then) {
     if (submissionsInWork.bytes() > BatchConstants.MAX_SUBMISSION_BYTES_IN_PROGRESS) {
       respond(request, Response.of(new ApiError.Overloaded("batches being accepted")));
       return;
     }
     submissionsInWork.begin(request);
-    environment.schedule(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(request));
+    environment.schedule(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> reportProgress(request));
     if (!leaderPlacement().mayLead(identity.id())) {
       incrementCounter("submissions_at_unfit_edge");
     }
@@ -536,7 +541,7 @@
    * Says that this edge still works on a batch, as long as it hears the core: whoever asked sends
    * the body to no second leader meanwhile.
    */
-  private void tellProgress(PeerRequest submission) {
+  private void reportProgress(PeerRequest submission) {
     List<PeerRequest> waiting = submissionsInWork.waitingFor(submission);
     if (waiting.isEmpty() || isTerminated() || isIsolated()) {
       return;
@@ -544,7 +549,8 @@
     for (PeerRequest each : waiting) {
       send(each.originAddress(), each.originId(), new PeerRequestProgress(each.correlation()));
     }
-    environment.schedule(PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> tellProgress(submission));
+    environment.schedule(
+        PeerRequestConstants.PROGRESS_INTERVAL_MS, () -> reportProgress(submission));
   }
 
   /** Whoever joined the ask while it was at work is told the same. */
@@ -561,16 +567,19 @@
   }
 
   /** What the replicas say of a key: whether there is such a record, and who holds it just now. */
-  private record Peeked(Boolean present, NodeAddress holder) {
-    static final Peeked UNCERTAIN = new Peeked(null, NodeAddress.NONE);
+  private record RecordLookup(Boolean present, NodeAddress holder) {
+    static final RecordLookup UNCERTAIN = new RecordLookup(null, NodeAddress.NONE);
   }
 
   /**
    * Whoever owns the record or is claiming it serves the ask: a second claim would only overtake
    * the first one. Else this edge claims it.
    */
-  private void serveFound(
-      PeerRequest request, Peeked peeked, Response whenAbsent, Consumer<BatchLeader> whenLed) {
+  private void serveAfterLookup(
+      PeerRequest request,
+      RecordLookup peeked,
+      Response whenAbsent,
+      Consumer<BatchLeader> whenLed) {
     NodeAddress holder = peeked.holder();
     if (peeked.present() == null) {
       respond(request, Response.of(new ApiError.NoQuorum(request.key())));
@@ -579,7 +588,7 @@
     } else if (request.hops() > 0 && !holder.id().isEmpty() && !holder.id().equals(identity.id())) {
       forward(request, holder.id(), holder.address());
     } else {
-      lead(request, new StageTimer(environment), whenLed);
+      electThen(request, new StageTimer(environment), whenLed);
     }
   }
 
@@ -622,7 +631,7 @@
    * Room first, then the record: a refusal for want of room is said before anything of the batch is
    * written.
    */
-  private void reserveThenLead(PeerRequest request, Accepted accepted, StageTimer trace) {
+  private void reserveCapacityThenLead(PeerRequest request, Accepted accepted, StageTimer trace) {
     Consumer<BatchLeader> whenLed = leader -> serveSubmission(request, leader, accepted);
     requestControlPlane(
         "room",
@@ -632,10 +641,11 @@
         response -> {
           trace.mark("reserve");
           if (response.isSuccess()) {
-            lead(request, trace, whenLed);
+            electThen(request, trace, whenLed);
           } else if (response.errorType().equals("NoRoom")
               || response.errorType().equals("BatchOverCeiling")) {
-            peek(request.key(), peeked -> serveFound(request, peeked, response, whenLed));
+            lookUpRecord(
+                request.key(), peeked -> serveAfterLookup(request, peeked, response, whenLed));
           } else {
             respond(request, Response.of(new ApiError.NoQuorum(MetadataKeys.BATCH_CAPACITY)));
           }
@@ -662,8 +672,8 @@
         .put("group", proxiedRoute.route());
   }
 
-  private void lead(PeerRequest request, StageTimer trace, Consumer<BatchLeader> whenLed) {
-    claim(
+  private void electThen(PeerRequest request, StageTimer trace, Consumer<BatchLeader> whenLed) {
+    elect(
         request.key(),
         false,
         outcome -> {
@@ -692,7 +702,7 @@
         });
   }
 
-  private void claim(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
+  private void elect(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
     BatchLeader present = leaders.get(key);
     if (present != null && present.leader.isLeading()) {
       then.accept(
@@ -702,7 +712,7 @@
     elections.elect(key, handedOver, then);
   }
 
-  private void begin(ReplicatedLogLeader logLeader) {
+  private void becomeLeader(ReplicatedLogLeader logLeader) {
     String key = logLeader.key;
     leaders.put(key, new BatchLeader(environment, this, BatchKeys.batchOf(key), logLeader));
     traceLog.add("leads", key, "epoch " + logLeader.epoch().counter());
@@ -740,10 +750,10 @@
   }
 
   /** True or false on a majority's evidence, else null. Writes nothing anywhere. */
-  private void peek(String key, Consumer<Peeked> then) {
+  private void lookUpRecord(String key, Consumer<RecordLookup> then) {
     ReplicaConfiguration replicaConfiguration = replicaConfigurationOf(key);
     if (replicaConfiguration.isEmpty()) {
-      then.accept(Peeked.UNCERTAIN);
+      then.accept(RecordLookup.UNCERTAIN);
       return;
     }
     Set<String> absent = new HashSet<>();
@@ -763,7 +773,8 @@
           boolean certain = present || replicaConfiguration.isQuorum(absent);
           if (!told[0] && (certain || heard[0] == replicaConfiguration.allReplicas().size())) {
             told[0] = true;
-            then.accept(certain ? new Peeked(present, holder(response)) : Peeked.UNCERTAIN);
+            then.accept(
+                certain ? new RecordLookup(present, holder(response)) : RecordLookup.UNCERTAIN);
           }
         });
   }
@@ -785,7 +796,7 @@
     liveEdges().forEach(member -> send(member.peerAddress(), member.id(), message));
   }
 
-  private void freeRoom(String batch) {
+  private void releaseCapacity(String batch) {
     reportCapacity(batch, 0, waiting -> {});
   }
 
@@ -963,10 +974,10 @@
       }
     } else if (message instanceof LeadershipTransfer handedOver) {
       if (!stopping && !leaders.containsKey(handedOver.key())) {
-        claim(handedOver.key(), true, outcome -> {});
+        elect(handedOver.key(), true, outcome -> {});
       }
     } else if (message instanceof LeaderlessBatches unfinished) {
-      unfinished.keys().forEach(this::takeOrphan);
+      unfinished.keys().forEach(this::recoverLeaderlessBatch);
     } else if (message instanceof BatchOffer offer) {
       dueAtOfBatch.put(offer.batch(), environment.nowMs() + offer.dueInMs());
       leaderOfBatch.put(offer.batch(), new NodeAddress(fromId, fromAddress));
@@ -999,11 +1010,11 @@
    * A batch without a leader, or a ledger entry nobody spoke of: looks, leads it on, or makes its
    * absence lasting.
    */
-  private void takeOrphan(String key) {
+  private void recoverLeaderlessBatch(String key) {
     if (stopping || isIsolated()) {
       return;
     }
-    claim(
+    elect(
         key,
         false,
         outcome -> {
@@ -1015,11 +1026,11 @@
             leader.refuse(
                 error -> {
                   if (error == null) {
-                    freeRoom(leader.batch);
+                    releaseCapacity(leader.batch);
                   }
                 });
           } else if (!leader.batchState.isOpen()) {
-            freeRoom(leader.batch);
+            releaseCapacity(leader.batch);
           }
         });
   }
@@ -1064,21 +1075,21 @@
   @Override
   public void stop(Runnable whenDone) {
     stopAnnounced = true;
-    environment.schedule(LifecycleConstants.SHUTDOWN_DISPATCH_END_MS, this::stopFeeding);
-    environment.schedule(LifecycleConstants.SHUTDOWN_NOTICE_MS, () -> stopTaking(whenDone));
+    environment.schedule(LifecycleConstants.SHUTDOWN_DISPATCH_END_MS, this::stopDispatching);
+    environment.schedule(LifecycleConstants.SHUTDOWN_NOTICE_MS, () -> rejectNewWork(whenDone));
   }
 
   /**
    * Items take longer than live requests: with none begun from here on, few are left to wait for.
    */
-  private void stopFeeding() {
+  private void stopDispatching() {
     if (!stopping) {
       batchDispatcher.drain();
-      environment.schedule(LifecycleConstants.DRAIN_CHECK_INTERVAL_MS, this::stopFeeding);
+      environment.schedule(LifecycleConstants.DRAIN_CHECK_INTERVAL_MS, this::stopDispatching);
     }
   }
 
-  private void stopTaking(Runnable whenDone) {
+  private void rejectNewWork(Runnable whenDone) {
     stopping = true;
     long left =
         settings.shutdownGraceMs()
@@ -1097,13 +1108,13 @@
             + " batch items still run.");
     batchDispatcher.drain();
     releaseLease(() -> {});
-    environment.schedule(ReplicationConstants.MAX_ELECTION_BACKOFF_MS, this::handOverLeaders);
+    environment.schedule(ReplicationConstants.MAX_ELECTION_BACKOFF_MS, this::transferLeadership);
     environment.schedule(
         ReplicationConstants.MAX_ELECTION_BACKOFF_MS + LifecycleConstants.DRAIN_CHECK_INTERVAL_MS,
         () -> drain(drainEndsAt, itemsEndAt, whenDone));
   }
 
-  private void handOverLeaders() {
+  private void transferLeadership() {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
       String key = leader.leader.key;
       NodeAddress successor = null;
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
@@ -30,7 +30,7 @@
  */
 public final class LiveRequestDispatcher {
 
-  private final class Taken implements RequestHandle {
+  private final class AdmittedRequest implements RequestHandle {
     final LiveRequest request;
     final LiveResponseListener listener;
     final RoutingConfiguration.RoutingAction way;
@@ -55,7 +55,7 @@
     boolean handedOver;
     boolean over;
 
-    Taken(
+    AdmittedRequest(
         LiveRequest request,
         LiveResponseListener listener,
         RoutingConfiguration configuration,
@@ -117,14 +117,14 @@
   private final WorkerRegistry registry;
 
   /** By rank, then class: short checks stand before notes and are never behind them. */
-  private final TreeMap<String, ArrayDeque<Taken>> queues = new TreeMap<>();
+  private final TreeMap<String, ArrayDeque<AdmittedRequest>> queues = new TreeMap<>();
 
   private final Map<String, Double> startIntervals = new HashMap<>();
   private final Map<String, Long> lastStartAt = new HashMap<>();
   private CompiledRules rules;
   private RoutingConfiguration rulesOf;
   private long tokens;
-  private final Set<Taken> atWorkers = new LinkedHashSet<>();
+  private final Set<AdmittedRequest> atWorkers = new LinkedHashSet<>();
 
   public LiveRequestDispatcher(
       Environment environment, String nodeId, EdgeContext edge, WorkerRegistry registry) {
@@ -134,9 +134,9 @@
     this.registry = registry;
   }
 
-  private ArrayDeque<Taken> queue(Taken taken) {
+  private ArrayDeque<AdmittedRequest> queue(AdmittedRequest admitted) {
     return queues.computeIfAbsent(
-        String.format("%03d %s", taken.classLimit.rank(), taken.way.trafficClass()),
+        String.format("%03d %s", admitted.classLimit.rank(), admitted.way.trafficClass()),
         unseen -> new ArrayDeque<>());
   }
 
@@ -167,52 +167,57 @@
       listener.fail(Response.of(new ApiError.NoMatchingRule()), false);
       return () -> {};
     }
-    Taken taken = new Taken(request, listener, configuration, way);
-    ApiError refusal = refusalAtOnce(taken);
+    AdmittedRequest admitted = new AdmittedRequest(request, listener, configuration, way);
+    ApiError refusal = refusalAtOnce(admitted);
     if (refusal != null) {
-      taken.refuse(refusal);
-      return taken;
+      admitted.refuse(refusal);
+      return admitted;
     }
     edge.incrementCounter("live_taken");
     if (request.onceId().isEmpty()) {
-      enqueue(taken);
+      enqueue(admitted);
     } else {
-      claimThenEnqueue(taken);
+      claimThenEnqueue(admitted);
     }
-    return taken;
+    return admitted;
   }
 
   /** What can not start within its expiry hears so now, not at the end of it. */
-  private ApiError refusalAtOnce(Taken taken) {
-    ArrayDeque<Taken> queue = queue(taken);
-    if (queue.size() >= taken.classLimit.queueMost()
-        && (queue.size() > 0 || select(taken) == null)) {
-      return new ApiError.QueueFull(taken.way.trafficClass());
+  private ApiError refusalAtOnce(AdmittedRequest admitted) {
+    ArrayDeque<AdmittedRequest> queue = queue(admitted);
+    if (queue.size() >= admitted.classLimit.queueMost()
+        && (queue.size() > 0 || select(admitted) == null)) {
+      return new ApiError.QueueFull(admitted.way.trafficClass());
     }
     if (registry.all().stream()
         .noneMatch(
-            worker -> ofPool(worker, taken) && registry.comesBackBy(worker, taken.expiresAt))) {
-      return new ApiError.NoWorker(taken.way.pool());
+            worker ->
+                ofPool(worker, admitted) && registry.comesBackBy(worker, admitted.expiresAt))) {
+      return new ApiError.NoWorker(admitted.way.pool());
     }
-    double interval = startIntervals.getOrDefault(taken.way.trafficClass(), 0.0);
-    return queue.size() * interval > taken.way.expiryMs() ? new ApiError.DeadlineExceeded() : null;
+    double interval = startIntervals.getOrDefault(admitted.way.trafficClass(), 0.0);
+    return queue.size() * interval > admitted.way.expiryMs()
+        ? new ApiError.DeadlineExceeded()
+        : null;
   }
 
   /**
    * From what is known now: the pace of the queue, or when the first worker's rest ends; else the
    * fault's own.
    */
-  private int comeBackSeconds(ApiError error, Taken taken) {
+  private int comeBackSeconds(ApiError error, AdmittedRequest admitted) {
     long waitMs;
     if (error instanceof ApiError.QueueFull || error instanceof ApiError.DeadlineExceeded) {
       waitMs =
-          (long) (queue(taken).size() * startIntervals.getOrDefault(taken.way.trafficClass(), 0.0));
+          (long)
+              (queue(admitted).size()
+                  * startIntervals.getOrDefault(admitted.way.trafficClass(), 0.0));
     } else if (error instanceof ApiError.NoWorker
         || error instanceof ApiError.WorkerRejected
         || error instanceof ApiError.WorkerUnreachable) {
       waitMs =
           registry.all().stream()
-              .filter(worker -> ofPool(worker, taken))
+              .filter(worker -> ofPool(worker, admitted))
               .mapToLong(registry::restMs)
               .min()
               .orElse(WorkerConstants.LOAD_STALE_AFTER_MS);
@@ -223,66 +228,66 @@
         Math.max(1, Math.min(LiveRequestConstants.MAX_RETRY_AFTER_S, (waitMs + 999) / 1_000));
   }
 
-  private void claimThenEnqueue(Taken taken) {
+  private void claimThenEnqueue(AdmittedRequest admitted) {
     String token = nodeId + "-" + ++tokens;
     edge.claimOnce(
-        taken.request.onceId(),
+        admitted.request.onceId(),
         token,
         error -> {
-          if (taken.over) {
+          if (admitted.over) {
             if (error == null) {
-              edge.unclaimOnce(taken.request.onceId(), token);
+              edge.unclaimOnce(admitted.request.onceId(), token);
             }
             return;
           }
           if (error != null) {
-            taken.refuse(error);
+            admitted.refuse(error);
           } else {
-            taken.token = token;
-            enqueue(taken);
+            admitted.token = token;
+            enqueue(admitted);
           }
         });
   }
 
-  private void enqueue(Taken taken) {
-    queue(taken).add(taken);
+  private void enqueue(AdmittedRequest admitted) {
+    queue(admitted).add(admitted);
     environment.schedule(
-        Math.max(0, taken.expiresAt - environment.nowMs()),
+        Math.max(0, admitted.expiresAt - environment.nowMs()),
         () -> {
-          if (!taken.over && taken.run == null) {
-            taken.refuse(new ApiError.DeadlineExceeded());
+          if (!admitted.over && admitted.run == null) {
+            admitted.refuse(new ApiError.DeadlineExceeded());
           }
         });
     pump();
   }
 
   public void pump() {
-    for (ArrayDeque<Taken> queue : queues.values()) {
-      for (Taken taken : List.copyOf(queue)) {
-        if (taken.over || taken.run != null) {
+    for (ArrayDeque<AdmittedRequest> queue : queues.values()) {
+      for (AdmittedRequest admitted : List.copyOf(queue)) {
+        if (admitted.over || admitted.run != null) {
           continue;
         }
-        WorkerState worker = select(taken);
+        WorkerState worker = select(admitted);
         if (worker == null) {
           if (registry.all().stream()
               .noneMatch(
                   each ->
-                      ofPool(each, taken)
-                          && registry.comesBackBy(each, taken.expiresAt)
-                          && !taken.tried.contains(each.worker.id()))) {
-            taken.refuse(new ApiError.NoWorker(taken.way.pool()));
+                      ofPool(each, admitted)
+                          && registry.comesBackBy(each, admitted.expiresAt)
+                          && !admitted.tried.contains(each.worker.id()))) {
+            admitted.refuse(new ApiError.NoWorker(admitted.way.pool()));
             continue;
           }
           break;
         }
-        handOver(taken, worker);
+        handOver(admitted, worker);
       }
-      queue.removeIf(taken -> taken.over || taken.run != null);
+      queue.removeIf(admitted -> admitted.over || admitted.run != null);
     }
   }
 
-  private boolean ofPool(WorkerState worker, Taken taken) {
-    return worker.worker.pool().equals(taken.way.pool());
+  private boolean ofPool(WorkerState worker, AdmittedRequest admitted) {
+    return worker.worker.pool().equals(admitted.way.pool());
   }
 
   /**
@@ -290,13 +295,13 @@
    * beyond the bound; so the same prefix meets the same cache from every edge without any talk
    * between them.
    */
-  private WorkerState select(Taken taken) {
+  private WorkerState select(AdmittedRequest admitted) {
     Map<String, WorkerState> usable = new TreeMap<>();
     int load = 0;
     for (WorkerState each : registry.all()) {
-      if (ofPool(each, taken)
+      if (ofPool(each, admitted)
           && registry.isUsable(each)
-          && !taken.tried.contains(each.worker.id())) {
+          && !admitted.tried.contains(each.worker.id())) {
         usable.put(each.worker.id(), each);
         load += each.runningCalls();
       }
@@ -304,10 +309,11 @@
     if (usable.isEmpty()) {
       return null;
     }
-    double bound = Math.ceil(taken.pool.loadFactor() * (load + 1) / usable.size());
+    double bound = Math.ceil(admitted.pool.loadFactor() * (load + 1) / usable.size());
     WorkerState fallback = null;
     for (String id :
-        RendezvousHashing.order(prefix(taken.request.prompt(), taken.pool), usable.keySet())) {
+        RendezvousHashing.order(
+            prefix(admitted.request.prompt(), admitted.pool), usable.keySet())) {
       WorkerState each = usable.get(id);
       if (each.free() <= 0) {
         continue;
@@ -330,30 +336,30 @@
   /**
    * Expiry and staleness are checked here, right before the hand-over: what was refused never runs.
    */
-  private void handOver(Taken taken, WorkerState worker) {
+  private void handOver(AdmittedRequest admitted, WorkerState worker) {
     ApiError hindrance = edge.rejectionOfAdmittedWork();
-    if (hindrance == null && environment.nowMs() >= taken.expiresAt) {
+    if (hindrance == null && environment.nowMs() >= admitted.expiresAt) {
       hindrance = new ApiError.DeadlineExceeded();
     }
     if (hindrance != null) {
-      taken.refuse(hindrance);
+      admitted.refuse(hindrance);
       return;
     }
-    noteStart(taken);
-    taken.worker = worker;
-    taken.handedOver = true;
-    taken.output.setLength(0);
+    noteStart(admitted);
+    admitted.worker = worker;
+    admitted.handedOver = true;
+    admitted.output.setLength(0);
     registry.recordCallStart(worker, false);
     long expiry =
-        Math.max(1, taken.expiresAt - environment.nowMs())
+        Math.max(1, admitted.expiresAt - environment.nowMs())
             + LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS;
-    taken.lastTextAt = environment.nowMs();
-    taken.runListener = listener(taken, worker);
-    taken.run =
+    admitted.lastTextAt = environment.nowMs();
+    admitted.runListener = listener(admitted, worker);
+    admitted.run =
         environment.callWorker(
-            new WorkerCall(worker.worker.address(), Json.bytes(taken.request.body()), expiry),
-            taken.runListener);
-    atWorkers.add(taken);
+            new WorkerCall(worker.worker.address(), Json.bytes(admitted.request.body()), expiry),
+            admitted.runListener);
+    atWorkers.add(admitted);
   }
 
   /**
@@ -366,27 +372,27 @@
       queues.values().stream()
           .flatMap(queue -> List.copyOf(queue).stream())
           .toList()
-          .forEach(taken -> taken.refuse(hindrance));
+          .forEach(admitted -> admitted.refuse(hindrance));
     }
   }
 
   /** Ends runs at workers that have gone dark, long before their connections would. */
   public void tick() {
     refuseIfHindered();
-    for (Taken taken : List.copyOf(atWorkers)) {
-      if (taken.run != null && registry.lost(taken.worker, taken.lastTextAt)) {
-        taken.run.cancel();
-        taken.runListener.fail(new ApiError.WorkerTimeout(taken.worker.worker.id()), true);
+    for (AdmittedRequest admitted : List.copyOf(atWorkers)) {
+      if (admitted.run != null && registry.lost(admitted.worker, admitted.lastTextAt)) {
+        admitted.run.cancel();
+        admitted.runListener.fail(new ApiError.WorkerTimeout(admitted.worker.worker.id()), true);
       }
     }
     pump();
   }
 
-  private void noteStart(Taken taken) {
-    String trafficClass = taken.way.trafficClass();
+  private void noteStart(AdmittedRequest admitted) {
+    String trafficClass = admitted.way.trafficClass();
     long now = environment.nowMs();
     Long before = lastStartAt.put(trafficClass, now);
-    if (queue(taken).size() > 1 && before != null) {
+    if (queue(admitted).size() > 1 && before != null) {
       startIntervals.merge(
           trafficClass, (double) (now - before), (old, latest) -> old * 0.9 + latest * 0.1);
     } else {
@@ -394,10 +400,10 @@
     }
   }
 
-  private WorkerCallListener listener(Taken taken, WorkerState worker) {
+  private WorkerCallListener listener(AdmittedRequest admitted, WorkerState worker) {
     return new WorkerCallListener() {
       private boolean stands() {
-        return !taken.over && taken.worker == worker && taken.run != null;
+        return !admitted.over && admitted.worker == worker && admitted.run != null;
       }
 
       @Override
@@ -405,15 +411,15 @@
         if (!stands()) {
           return;
         }
-        taken.lastTextAt = environment.nowMs();
-        if (taken.request.stream()) {
-          taken.passedOn = true;
-          taken.listener.text(text);
+        admitted.lastTextAt = environment.nowMs();
+        if (admitted.request.stream()) {
+          admitted.passedOn = true;
+          admitted.listener.text(text);
         } else {
-          if (taken.output.isEmpty()) {
-            taken.listener.running();
+          if (admitted.output.isEmpty()) {
+            admitted.listener.running();
           }
-          taken.output.append(text);
+          admitted.output.append(text);
         }
       }
 
@@ -424,9 +430,9 @@
         }
         release();
         registry.recordSuccess(worker);
-        taken.finish();
+        admitted.finish();
         edge.incrementCounter("live_served");
-        taken.listener.end(taken.output.toString(), finishReason);
+        admitted.listener.end(admitted.output.toString(), finishReason);
         pump();
       }
 
@@ -438,8 +444,8 @@
         release();
         if (WorkerRegistry.isCapacityRejection(error)) {
           registry.recordRejection(worker);
-          taken.handedOver = false;
-          queue(taken).addFirst(taken);
+          admitted.handedOver = false;
+          queue(admitted).addFirst(admitted);
           pump();
           return;
         }
@@ -447,22 +453,22 @@
           registry.recordConnectionFailure(worker);
         }
         edge.incrementCounter("live_worker_faults");
-        taken.tried.add(worker.worker.id());
-        boolean once = !taken.request.onceId().isEmpty();
-        if (taken.passedOn || once && mayHaveRun || taken.retriesLeft-- <= 0) {
-          taken.handedOver = mayHaveRun;
-          taken.refuse(error);
+        admitted.tried.add(worker.worker.id());
+        boolean once = !admitted.request.onceId().isEmpty();
+        if (admitted.passedOn || once && mayHaveRun || admitted.retriesLeft-- <= 0) {
+          admitted.handedOver = mayHaveRun;
+          admitted.refuse(error);
         } else {
-          taken.handedOver = taken.handedOver && mayHaveRun;
-          queue(taken).addFirst(taken);
+          admitted.handedOver = admitted.handedOver && mayHaveRun;
+          queue(admitted).addFirst(admitted);
         }
         pump();
       }
 
       private void release() {
-        taken.run = null;
+        admitted.run = null;
         registry.recordCallEnd(worker, false);
-        atWorkers.remove(taken);
+        atWorkers.remove(admitted);
       }
     };
   }
--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
@@ -36,7 +36,7 @@
  */
 public final class ProxyDispatcher {
   /** How long first bytes take on a route. */
-  private static final class Pace {
+  private static final class FirstByteLatency {
     double firstMs;
     double deviationMs;
 
@@ -52,7 +52,7 @@
     }
   }
 
-  private final class Taken implements RequestHandle {
+  private final class AdmittedRequest implements RequestHandle {
     final ProxiedRequest request;
     final ProxiedResponseListener listener;
     final Route route;
@@ -63,7 +63,7 @@
     final WorkerSelection.Demand demand;
     final Set<String> tried = new HashSet<>();
     int sendsLeft;
-    Run run;
+    WorkerAttempt run;
 
     /** A worker may have run it or may yet: no status that promises the contrary any more. */
     boolean mayHaveRun;
@@ -79,7 +79,7 @@
     String lastEventId;
     boolean over;
 
-    Taken(
+    AdmittedRequest(
         ProxiedRequest request,
         ProxiedResponseListener listener,
         RoutingConfiguration configuration,
@@ -159,8 +159,8 @@
   }
 
   /** One send to one worker. */
-  private final class Run implements ExchangeListener {
-    final Taken taken;
+  private final class WorkerAttempt implements ExchangeListener {
+    final AdmittedRequest admitted;
     final WorkerState worker;
     final long sentAt = environment.nowMs();
     final double expectedWaitMs;
@@ -190,8 +190,9 @@
      */
     boolean dropped;
 
-    Run(Taken taken, WorkerState worker, double expectedWaitMs, double reading) {
-      this.taken = taken;
+    WorkerAttempt(
+        AdmittedRequest admitted, WorkerState worker, double expectedWaitMs, double reading) {
+      this.admitted = admitted;
       this.worker = worker;
       this.expectedWaitMs = expectedWaitMs;
       this.reading = reading;
@@ -199,28 +200,28 @@
       worker.unreadPromptTokens += reading;
     }
 
-    private void hasRead() {
+    private void releaseUnreadTokens() {
       worker.unreadPromptTokens -= reading;
       reading = 0;
     }
 
-    private boolean stands() {
-      return !taken.over && taken.run == this;
+    private boolean isCurrent() {
+      return !admitted.over && admitted.run == this;
     }
 
-    private void heard() {
+    private void recordActivity() {
       heardAt = environment.nowMs();
       registry.recordActivity(worker);
       worker.recordPrefill(toRead, heardAt - sentAt);
       toRead = -1;
-      hasRead();
+      releaseUnreadTokens();
     }
 
     void release() {
-      hasRead();
-      taken.run = null;
+      releaseUnreadTokens();
+      admitted.run = null;
       registry.recordCallEnd(worker, false);
-      worker.tokens -= taken.demand.tokens();
+      worker.tokens -= admitted.demand.tokens();
     }
 
     void leave() {
@@ -232,52 +233,52 @@
 
     @Override
     public void head(ResponseHead head) {
-      if (!stands()) {
+      if (!isCurrent()) {
         return;
       }
-      heard();
+      recordActivity();
       boolean good = head.status() < 300;
-      if (taken.headPassed && !good
+      if (admitted.headPassed && !good
           || ApiError.promisesNotRun(head.status())
-          || head.status() >= 500 && taken.repeatable() && mayMove(taken, worker)) {
+          || head.status() >= 500 && admitted.repeatable() && mayMove(admitted, worker)) {
         dropped = true;
       }
       if (this.head == null && good) {
-        pace(taken.route).note(heardAt - sentAt);
+        pace(admitted.route).note(heardAt - sentAt);
       }
       this.head = head;
     }
 
     @Override
     public void chunk(ResponseChunk piece) {
-      if (!stands()) {
+      if (!isCurrent()) {
         return;
       }
-      heard();
+      recordActivity();
       if (dropped) {
         return;
       }
       passHead();
-      if (isAfter(piece.eventId(), taken.lastEventId)) {
-        taken.resumesExactly &= !piece.eventId().isEmpty();
-        taken.lastEventId = piece.eventId().isEmpty() ? taken.lastEventId : piece.eventId();
-        taken.listener.chunk(piece);
+      if (isAfter(piece.eventId(), admitted.lastEventId)) {
+        admitted.resumesExactly &= !piece.eventId().isEmpty();
+        admitted.lastEventId = piece.eventId().isEmpty() ? admitted.lastEventId : piece.eventId();
+        admitted.listener.chunk(piece);
       }
     }
 
     private void passHead() {
-      if (!taken.headPassed) {
-        taken.headPassed = true;
-        taken.listener.head(head);
+      if (!admitted.headPassed) {
+        admitted.headPassed = true;
+        admitted.listener.head(head);
       }
     }
 
     @Override
     public void end() {
-      if (!stands()) {
+      if (!isCurrent()) {
         return;
       }
-      heard();
+      recordActivity();
       release();
       if (dropped) {
         registry.recordErrorResponse(worker);
@@ -292,19 +293,19 @@
         registry.recordSuccess(worker, environment.nowMs() - sentAt);
       }
       passHead();
-      taken.finish();
+      admitted.finish();
       edge.incrementCounter("opaque_served");
-      taken.listener.end();
+      admitted.listener.end();
     }
 
     /** The worker may have run the request: another run only where the route allows a second. */
     private void endUncertain(ApiError error) {
-      taken.mayHaveRun = true;
-      taken.tried.add(worker.worker.id());
-      if (taken.repeatable()) {
-        sendOn(taken, error);
+      admitted.mayHaveRun = true;
+      admitted.tried.add(worker.worker.id());
+      if (admitted.repeatable()) {
+        sendOn(admitted, error);
       } else {
-        taken.conclude(error);
+        admitted.conclude(error);
       }
     }
 
@@ -315,13 +316,13 @@
 
     @Override
     public void fail(ApiError error, boolean mayHaveRun) {
-      if (!stands()) {
+      if (!isCurrent()) {
         return;
       }
       release();
       edge.incrementCounter("opaque_worker_" + error.type());
       if (error instanceof ApiError.InvalidInput) {
-        taken.conclude(error);
+        admitted.conclude(error);
         return;
       }
       if (mayHaveRun) {
@@ -329,7 +330,7 @@
         endUncertain(error);
         return;
       }
-      taken.tried.add(worker.worker.id());
+      admitted.tried.add(worker.worker.id());
       if (WorkerRegistry.isCapacityRejection(error)) {
         registry.recordActivity(worker);
         registry.recordRejection(worker);
@@ -337,9 +338,9 @@
         registry.recordConnectionFailure(worker);
       }
       if (!(error instanceof ApiError.WorkerRejected)) {
-        taken.sendsLeft++;
+        admitted.sendsLeft++;
       }
-      sendOn(taken, error);
+      sendOn(admitted, error);
     }
   }
 
@@ -347,8 +348,8 @@
   private final EdgeContext edge;
   private final WorkerRegistry registry;
   private final WorkerSelection selection;
-  private final Set<Taken> open = new LinkedHashSet<>();
-  private final Map<String, Pace> paces = new HashMap<>();
+  private final Set<AdmittedRequest> open = new LinkedHashSet<>();
+  private final Map<String, FirstByteLatency> paces = new HashMap<>();
 
   /** The pending look at the open requests; null while there are none. */
   private Environment.ScheduledTask look;
@@ -391,10 +392,11 @@
       return () -> {};
     }
     edge.incrementCounter("opaque_taken");
-    Taken taken = new Taken(request, listener, edge.configuration(), route, pool(route), arrivedAt);
-    open.add(taken);
-    sendOn(taken, new ApiError.NoWorker(taken.pool));
-    return taken;
+    AdmittedRequest admitted =
+        new AdmittedRequest(request, listener, edge.configuration(), route, pool(route), arrivedAt);
+    open.add(admitted);
+    sendOn(admitted, new ApiError.NoWorker(admitted.pool));
+    return admitted;
   }
 
   /** One of the route's pools by weight; one without workers only if all are. */
@@ -432,67 +434,71 @@
    * To the next worker, or to the end. Whether this node and the worker may take it is looked at
    * here, right before the send; fault is what ended the last run.
    */
-  private void sendOn(Taken taken, ApiError error) {
+  private void sendOn(AdmittedRequest admitted, ApiError error) {
     ApiError hindrance = edge.rejectionOfAdmittedWork();
-    if (hindrance == null && environment.nowMs() >= taken.expiresAt) {
+    if (hindrance == null && environment.nowMs() >= admitted.expiresAt) {
       hindrance = new ApiError.DeadlineExceeded();
     }
     if (hindrance != null) {
-      taken.conclude(hindrance);
+      admitted.conclude(hindrance);
       return;
     }
-    WorkerState worker = taken.sendsLeft <= 0 ? null : select(taken, null);
+    WorkerState worker = admitted.sendsLeft <= 0 ? null : select(admitted, null);
     if (worker == null) {
-      taken.conclude(error);
+      admitted.conclude(error);
       return;
     }
-    long left = taken.expiresAt - environment.nowMs();
-    double waitMs = selection.waitMs(taken.demand, worker);
+    long left = admitted.expiresAt - environment.nowMs();
+    double waitMs = selection.waitMs(admitted.demand, worker);
     if (waitMs > left) {
-      taken.conclude(new ApiError.DeadlineExceeded());
+      admitted.conclude(new ApiError.DeadlineExceeded());
       return;
     }
-    taken.sendsLeft--;
-    Run run = new Run(taken, worker, waitMs, WorkerSelection.unreadTokens(taken.demand, worker));
-    taken.run = run;
+    admitted.sendsLeft--;
+    WorkerAttempt run =
+        new WorkerAttempt(
+            admitted, worker, waitMs, WorkerSelection.unreadTokens(admitted.demand, worker));
+    admitted.run = run;
     registry.recordCallStart(worker, false);
-    worker.tokens += taken.demand.tokens();
+    worker.tokens += admitted.demand.tokens();
     worker.prefixCache.add(
-        taken.request.prompt(), taken.demand.prefixHashes(), taken.demand.cacheTokensPerWorker());
+        admitted.request.prompt(),
+        admitted.demand.prefixHashes(),
+        admitted.demand.cacheTokensPerWorker());
     WorkerCallHandle exchange =
         environment.exchange(
             new WorkerExchange(
                 worker.worker.address(),
                 worker.worker.id(),
-                taken.request,
-                taken.route.rank(),
+                admitted.request,
+                admitted.route.rank(),
                 left,
-                taken.lastEventId),
+                admitted.lastEventId),
             run);
-    if (taken.run == run) {
+    if (admitted.run == run) {
       run.exchange = exchange;
     } else {
       exchange.cancel();
     }
-    look(taken.expiresAt);
+    look(admitted.expiresAt);
   }
 
   /** Whether another worker could take the request from this one. */
-  private boolean mayMove(Taken taken, WorkerState from) {
-    return taken.sendsLeft > 0
+  private boolean mayMove(AdmittedRequest admitted, WorkerState from) {
+    return admitted.sendsLeft > 0
         && edge.rejectionOfAdmittedWork() == null
-        && select(taken, from) != null;
+        && select(admitted, from) != null;
   }
 
   /** Null if no worker is left; except: one that it is not to go to. */
-  private WorkerState select(Taken taken, WorkerState except) {
+  private WorkerState select(AdmittedRequest admitted, WorkerState except) {
     return selection.select(
-        taken.demand,
-        worker -> worker != except && !taken.tried.contains(worker.worker.id()),
-        taken.repeatable());
+        admitted.demand,
+        worker -> worker != except && !admitted.tried.contains(worker.worker.id()),
+        admitted.repeatable());
   }
 
-  private long comeBackMs(ApiError error, Taken taken) {
+  private long comeBackMs(ApiError error, AdmittedRequest admitted) {
     boolean ofWorkers =
         error instanceof ApiError.NoWorker
             || error instanceof ApiError.WorkerRejected
@@ -503,21 +509,21 @@
     }
     double waitMs = LiveRequestConstants.MAX_RETRY_AFTER_MS;
     for (WorkerState each : registry.all()) {
-      if (each.worker.pool().equals(taken.pool) && !each.isDraining()) {
+      if (each.worker.pool().equals(admitted.pool) && !each.isDraining()) {
         double slotMs = each.serviceMs / Math.max(1, each.capacity());
         waitMs =
             Math.min(
                 waitMs,
                 Math.max(
-                    Math.max(slotMs, selection.waitMs(taken.demand, each)),
+                    Math.max(slotMs, selection.waitMs(admitted.demand, each)),
                     each.ejectedUntil - environment.nowMs()));
       }
     }
     return Math.max(LiveRequestConstants.MIN_RETRY_AFTER_MS, Math.round(waitMs));
   }
 
-  private Pace pace(Route route) {
-    return paces.computeIfAbsent(route.name(), unseen -> new Pace());
+  private FirstByteLatency pace(Route route) {
+    return paces.computeIfAbsent(route.name(), unseen -> new FirstByteLatency());
   }
 
   /**
@@ -546,21 +552,21 @@
     look = null;
     long now = environment.nowMs();
     boolean frozen = now - lookedAt > 4 * LiveRequestConstants.SILENCE_CHECK_INTERVAL_MS;
-    for (Taken taken : List.copyOf(open)) {
-      if (taken.over || taken.run == null) {
+    for (AdmittedRequest admitted : List.copyOf(open)) {
+      if (admitted.over || admitted.run == null) {
         continue;
       }
-      if (now >= taken.expiresAt) {
-        taken.conclude(new ApiError.WorkerTimeout(taken.run.worker.worker.id()));
+      if (now >= admitted.expiresAt) {
+        admitted.conclude(new ApiError.WorkerTimeout(admitted.run.worker.worker.id()));
       } else if (frozen) {
-        taken.run.heardAt = now;
+        admitted.run.heardAt = now;
       } else {
-        lookAt(taken, now);
+        lookAt(admitted, now);
       }
     }
     long nextExpiresAt = Long.MAX_VALUE;
-    for (Taken taken : open) {
-      nextExpiresAt = Math.min(nextExpiresAt, taken.expiresAt);
+    for (AdmittedRequest admitted : open) {
+      nextExpiresAt = Math.min(nextExpiresAt, admitted.expiresAt);
     }
     if (!open.isEmpty()) {
       look(nextExpiresAt);
@@ -571,41 +577,41 @@
    * One silence speaks against a worker only if nothing at all came from there meanwhile, and not
    * if most are silent.
    */
-  private void lookAt(Taken taken, long now) {
-    Run run = taken.run;
+  private void lookAt(AdmittedRequest admitted, long now) {
+    WorkerAttempt run = admitted.run;
     WorkerState worker = run.worker;
     long silentMs = now - Math.max(run.heardAt, worker.lastHeardAt);
     if (silentMs <= silenceMs(run)) {
       return;
     }
     if (!worker.suspect) {
-      if (mostAreSuspect(taken.pool)) {
+      if (mostAreSuspect(admitted.pool)) {
         return;
       }
       worker.suspect = true;
       registry.recordConnectionFailure(worker);
       edge.incrementCounter("opaque_workers_suspected");
     }
-    if (taken.repeatable() && mayMove(taken, worker)) {
+    if (admitted.repeatable() && mayMove(admitted, worker)) {
       edge.incrementCounter("opaque_moved");
-      taken.mayHaveRun = true;
-      taken.tried.add(worker.worker.id());
+      admitted.mayHaveRun = true;
+      admitted.tried.add(worker.worker.id());
       run.leave();
-      sendOn(taken, new ApiError.WorkerTimeout(worker.worker.id()));
+      sendOn(admitted, new ApiError.WorkerTimeout(worker.worker.id()));
     }
   }
 
-  private double silenceMs(Run run) {
-    Route route = run.taken.route;
+  private double silenceMs(WorkerAttempt run) {
+    Route route = run.admitted.route;
     if (run.head != null && route.gapTargetMs() > 0) {
       return Math.max(
           LiveRequestConstants.MIN_SILENCE_TIMEOUT_MS,
           (double) LiveRequestConstants.SILENCE_TIMEOUT_GAPS * route.gapTargetMs());
     }
-    Pace pace = pace(route);
+    FirstByteLatency pace = pace(route);
     double expected = pace.firstMs + 2 * pace.deviationMs + run.expectedWaitMs;
     return Math.max(
-        Math.max(LiveRequestConstants.MIN_SILENCE_TIMEOUT_MS, run.taken.targetMs), 2 * expected);
+        Math.max(LiveRequestConstants.MIN_SILENCE_TIMEOUT_MS, run.admitted.targetMs), 2 * expected);
   }
 
   private boolean mostAreSuspect(String pool) {
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerList.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerListSource.java
@@ -5,4 +5,4 @@
 
 /** The whole outside list of workers as last read. Workers that are gone are left out. */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record WorkerList(List<WorkerRegistration> workers) {}
+public record WorkerListSource(List<WorkerRegistration> workers) {}
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -41,7 +41,7 @@
   private static final Set<String> NOTHING_DONE =
       Set.of("NotOwner", "NoMajority", "NotReady", "NodeStopping", "Overloaded", "NodeIsolated");
 
-  private final class Asking {
+  private final class OutgoingRequest {
     final IntFunction<NodeAddress> targets;
     final String operation;
     final String key;
@@ -64,7 +64,7 @@
 
     Response lastResponse = Response.of(new ApiError.NotReady("nobody to ask yet"));
 
-    Asking(
+    OutgoingRequest(
         IntFunction<NodeAddress> targets,
         String operation,
         String key,
@@ -174,7 +174,7 @@
   /** Where to look for the core; at first the place's. */
   protected List<String> seeds;
 
-  private final Map<Long, Asking> open = new HashMap<>();
+  private final Map<Long, OutgoingRequest> open = new HashMap<>();
   private long lastCorrelation;
   private final Map<String, Long> counters = new LinkedHashMap<>();
 
@@ -246,7 +246,7 @@
     }
     Message message = envelope.message();
     if (message instanceof PeerResponse response) {
-      Asking asking = open.remove(response.correlation());
+      OutgoingRequest asking = open.remove(response.correlation());
       if (asking != null) {
         asking.responded(
             response.correlation(),
@@ -254,7 +254,7 @@
                 response.status(), response.body(), response.retryAfterSeconds() * 1_000L));
       }
     } else if (message instanceof PeerRequestProgress progress) {
-      Asking asking = open.get(progress.correlation());
+      OutgoingRequest asking = open.get(progress.correlation());
       if (asking != null) {
         asking.progressed(progress.correlation());
       }
@@ -306,7 +306,7 @@
       long expiryMs,
       Consumer<Response> then) {
     byte[] bytes = body instanceof byte[] raw ? raw : Json.bytes(body);
-    new Asking(targets, operation, key, bytes, tryMs, environment.nowMs() + expiryMs, then)
+    new OutgoingRequest(targets, operation, key, bytes, tryMs, environment.nowMs() + expiryMs, then)
         .tryOnce();
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
@@ -11,7 +11,7 @@
  */
 public final class FaultToleranceMonitor {
   /** One kind of replica set: what it bears, and since when that is too little. */
-  private static final class Reading {
+  private static final class Margin {
     private int bearable;
     private boolean fewer;
     private long fewerSince;
@@ -32,8 +32,8 @@
   }
 
   private final int asked;
-  private final Reading core = new Reading();
-  private final Reading shards = new Reading();
+  private final Margin core = new Margin();
+  private final Margin shards = new Margin();
 
   public FaultToleranceMonitor(int asked) {
     this.asked = asked;
--- a/core-logic/src/main/java/applespindle/corelogic/replication/InFlightAppends.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/InFlightAppends.java
@@ -9,13 +9,13 @@
  * delay each other and everything else.
  */
 final class InFlightAppends {
-  private record Sent(long from, long to, long until) {}
+  private record InFlightAppend(long from, long to, long until) {}
 
-  private final List<Sent> sent = new ArrayList<>();
+  private final List<InFlightAppend> sent = new ArrayList<>();
 
   /** The entries from one sequence to another were sent and may take until then to arrive. */
   void add(long from, long to, long until) {
-    sent.add(new Sent(from, to, until));
+    sent.add(new InFlightAppend(from, to, until));
   }
 
   /** The replica has everything up to this sequence. */
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -57,7 +57,7 @@
       List<NodeAddress> sources,
       BooleanSupplier stillPending,
       Runnable whenDone) {
-    new CopyIn(name, number, sources, stillPending, whenDone).next();
+    new CatchUpTask(name, number, sources, stillPending, whenDone).next();
   }
 
   /**
@@ -65,7 +65,7 @@
    * One that is slow or silent holds the next up only for a moment, and once a majority is copied
    * no further one is asked.
    */
-  private final class CopyIn {
+  private final class CatchUpTask {
     private final String name;
     private final long number;
     private final List<NodeAddress> sources;
@@ -74,7 +74,7 @@
     private int begun;
     private int done;
 
-    CopyIn(
+    CatchUpTask(
         String name,
         long number,
         List<NodeAddress> sources,
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -52,7 +52,7 @@
   private final Set<String> unfinished = new TreeSet<>();
 
   /** Batches that are over, with since when this process has known so. */
-  private final Map<String, Long> overSince = new TreeMap<>();
+  private final Map<String, Long> endedSince = new TreeMap<>();
 
   private long removed;
 
@@ -60,7 +60,7 @@
    * Once-id to the one token that claimed it here. Written once; taken back only by the token
    * itself.
    */
-  private final Map<String, String> claims = new LinkedHashMap<>();
+  private final Map<String, String> onceClaims = new LinkedHashMap<>();
 
   public StorageNode(Environment environment, NodeIdentity identity) {
     this(environment, identity, NodeSettings.DEFAULT);
@@ -69,7 +69,7 @@
   public StorageNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
     super(environment, identity, settings);
     replicas = new LogReplicas(environment, this::send, this::committed, MetadataKeys::shardOf);
-    catchUp = new ReplicaCatchUp(environment, this, replicas, claims, MetadataKeys::shardOf);
+    catchUp = new ReplicaCatchUp(environment, this, replicas, onceClaims, MetadataKeys::shardOf);
   }
 
   public LogReplicas replicas() {
@@ -87,16 +87,16 @@
 
   private void remember(LogRecord record) {
     if (record.epoch().node().isEmpty()) {
-      claims.remove(record.key());
+      onceClaims.remove(record.key());
     } else {
-      claims.put(record.key(), record.epoch().node());
+      onceClaims.put(record.key(), record.epoch().node());
     }
   }
 
   @Override
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>(replicas.checkpoint());
-    claims.forEach((id, token) -> records.add(ReplicaCatchUp.onceClaimRecord(id, token)));
+    onceClaims.forEach((id, token) -> records.add(ReplicaCatchUp.onceClaimRecord(id, token)));
     return records;
   }
 
@@ -104,19 +104,19 @@
   public void start() {
     super.start();
     replicas.finishRecovery();
-    repeatEvery(BatchConstants.LEADERLESS_SCAN_INTERVAL_MS, this::reportOrphans);
-    repeatEvery(BatchConstants.RETENTION_SCAN_INTERVAL_MS, this::removeOld);
+    repeatEvery(BatchConstants.LEADERLESS_SCAN_INTERVAL_MS, this::reportLeaderlessBatches);
+    repeatEvery(BatchConstants.RETENTION_SCAN_INTERVAL_MS, this::removeExpiredBatches);
   }
 
   /**
    * The first replica of a batch has it removed by the batch's leader once it was kept long enough.
    */
-  private void removeOld() {
+  private void removeExpiredBatches() {
     if (configuration == null) {
       return;
     }
     long now = environment.nowMs();
-    overSince.entrySet().stream()
+    endedSince.entrySet().stream()
         .filter(
             entry ->
                 now - entry.getValue()
@@ -154,14 +154,14 @@
     String kind = BatchEvent.kindOf(entry.event());
     if (kind.equals(BatchEvent.ACCEPTED)) {
       unfinished.add(key);
-      overSince.remove(key);
+      endedSince.remove(key);
     } else if (kind.equals(BatchEvent.FINISHED)
         || kind.equals(BatchEvent.ENDED)
         || kind.equals(BatchEvent.REFUSED)) {
       unfinished.remove(key);
-      overSince.put(key, environment.nowMs());
+      endedSince.put(key, environment.nowMs());
     } else if (kind.equals(BatchEvent.REMOVED)) {
-      overSince.remove(key);
+      endedSince.remove(key);
       removed++;
     }
     traceLog.add("committed", key, "sequence " + entry.sequence() + " " + kind);
@@ -171,7 +171,7 @@
    * Unfinished batches whose owner has gone silent are told to the edge that comes first for them
    * now.
    */
-  private void reportOrphans() {
+  private void reportLeaderlessBatches() {
     Map<NodeAddress, List<String>> orphans = new HashMap<>();
     for (String key : unfinished) {
       if (replicas.isLeaderSilent(replicas.replica(key))) {
@@ -204,7 +204,7 @@
   protected void handleRequest(PeerRequest request) {
     switch (request.operation()) {
       case "copy" -> catchUp.servePage(request);
-      case "peek" -> peek(request);
+      case "peek" -> lookUpRecord(request);
       case "claim" -> claim(request);
       case "unclaim" -> unclaim(request);
       default -> respond(request, Response.of(new ApiError.UnknownRequest(request.operation())));
@@ -212,7 +212,7 @@
   }
 
   /** True, and told so, if the asker speaks of an older replica set than the one known here. */
-  private boolean refusesOldSet(PeerRequest request) {
+  private boolean rejectsStaleConfiguration(PeerRequest request) {
     long known = replicas.configurationVersion(MetadataKeys.shardOf(request.key()));
     boolean old = Json.tree(request.body()).path("setNumber").asLong() < known;
     if (old) {
@@ -221,8 +221,8 @@
     return old;
   }
 
-  private void peek(PeerRequest request) {
-    if (refusesOldSet(request)) {
+  private void lookUpRecord(PeerRequest request) {
+    if (rejectsStaleConfiguration(request)) {
       return;
     }
     LogReplica replica = replicas.replicas().get(request.key());
@@ -240,11 +240,11 @@
   }
 
   private void claim(PeerRequest request) {
-    if (!environment.acceptsWrites() || refusesOldSet(request)) {
+    if (!environment.acceptsWrites() || rejectsStaleConfiguration(request)) {
       return;
     }
     String token = Json.tree(request.body()).path("token").asText();
-    String holder = claims.putIfAbsent(request.key(), token);
+    String holder = onceClaims.putIfAbsent(request.key(), token);
     if (holder != null && !holder.equals(token)) {
       respond(request, Response.of(new ApiError.AlreadyClaimed(request.key())));
       return;
@@ -262,7 +262,7 @@
    */
   private void unclaim(PeerRequest request) {
     JsonNode body = Json.tree(request.body());
-    boolean holds = claims.remove(request.key(), body.path("token").asText());
+    boolean holds = onceClaims.remove(request.key(), body.path("token").asText());
     List<LogRecord> records =
         holds ? List.of(ReplicaCatchUp.onceClaimRecord(request.key(), "")) : List.of();
     environment.write(
@@ -294,9 +294,9 @@
             return;
           }
           if (holds(shard.replicas())) {
-            sayCopied(name, shard.number());
+            reportCaughtUp(name, shard.number());
           } else {
-            copyIn(name, shard);
+            catchUp(name, shard);
           }
         });
   }
@@ -311,7 +311,7 @@
   }
 
   /** Said again until the shard's number moves on: the core may be changing hands just now. */
-  private void sayCopied(String name, long number) {
+  private void reportCaughtUp(String name, long number) {
     if (!stillPending(name, number)) {
       return;
     }
@@ -322,10 +322,10 @@
         PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
         response -> {});
     environment.schedule(
-        ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> sayCopied(name, number));
+        ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> reportCaughtUp(name, number));
   }
 
-  private void copyIn(String name, ShardAssignment shard) {
+  private void catchUp(String name, ShardAssignment shard) {
     traceLog.add("copying", name, "set " + shard.number());
     catchUp.catchUp(
         name,
@@ -334,7 +334,7 @@
         () -> stillPending(name, shard.number()),
         () -> {
           traceLog.add("copied", name, "set " + shard.number());
-          sayCopied(name, shard.number());
+          reportCaughtUp(name, shard.number());
         });
   }
 
@@ -348,7 +348,7 @@
     return super.status()
         .put("keys", replicas.replicas().size())
         .put("unfinished", unfinished.size())
-        .put("onceClaims", claims.size())
+        .put("onceClaims", onceClaims.size())
         .put("removed", removed);
   }
 
--- a/data-plane/src/main/java/applespindle/dataplane/PieceStream.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkStream.java
@@ -9,7 +9,7 @@
 /**
  * A body on its way to one client, piece by piece; closed by the server when the client has gone.
  */
-final class PieceStream extends AbstractChannelSupplier<ByteBuf> {
+final class ChunkStream extends AbstractChannelSupplier<ByteBuf> {
   private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
   private final Runnable whenClientGone;
   private final int waitingMost;
@@ -20,7 +20,7 @@
   private Exception cut;
 
   /** A client that does not read, with so many pieces or bytes waiting for it, counts as gone. */
-  PieceStream(Runnable whenClientGone, int waitingMost, int waitingBytesMost) {
+  ChunkStream(Runnable whenClientGone, int waitingMost, int waitingBytesMost) {
     this.whenClientGone = whenClientGone;
     this.waitingMost = waitingMost;
     this.waitingBytesMost = waitingBytesMost;
@@ -38,7 +38,7 @@
       waiting.add(piece);
       waitingBytes += piece.length;
     } else {
-      closeEx(new Cut());
+      closeEx(new StreamTruncatedException());
     }
   }
 
@@ -51,7 +51,7 @@
 
   /** Ends the connection without the format's end, so that nobody takes the body for whole. */
   void cut() {
-    cut = new Cut();
+    cut = new StreamTruncatedException();
     if (asked != null) {
       asked.trySetException(cut);
     }
@@ -98,8 +98,8 @@
     }
   }
 
-  private static final class Cut extends Exception {
-    Cut() {
+  private static final class StreamTruncatedException extends Exception {
+    StreamTruncatedException() {
       super("client gone or body cut", null, false, false);
     }
   }
--- a/data-plane/src/main/java/applespindle/dataplane/ClientSocket.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
@@ -21,7 +21,7 @@
  * head and each of its pieces apart. Invariants: at most one read and one write of the inner socket
  * are open; bytes go both ways in order; a head is handed on whole and sound, or not at all.
  */
-final class ClientSocket implements ITcpSocket {
+final class ClientConnection implements ITcpSocket {
   private enum Phase {
     HEAD,
     BODY,
@@ -107,7 +107,7 @@
 
   private Exception closed;
 
-  ClientSocket(
+  ClientConnection(
       ITcpSocket inner,
       NioReactor reactor,
       Supplier<RoutingConfiguration.ClientLimits> limits,
@@ -298,7 +298,7 @@
     RoutingConfiguration.ClientLimits known = limits.get();
     int most =
         known == null || known.headBytesMost() == 0
-            ? OpaqueDoor.HEAD_BYTES_MOST
+            ? ProxyEndpoint.HEAD_BYTES_MOST
             : known.headBytesMost();
     byte[] array = headBytes.array();
     for (int index = headBytes.head() + headSize; index < headBytes.tail(); index++) {
@@ -401,7 +401,7 @@
     } else if (phase == Phase.HEAD && headBytes == null) {
       SettablePromise<ByteBuf> present = asked;
       asked = null;
-      present.setException(new Refused());
+      present.setException(new RequestRejectedException());
     } else {
       refuse("408 Request Timeout");
     }
@@ -472,7 +472,7 @@
               if (closed != null) {
                 closeInner();
               } else if (closing) {
-                linger(() -> told.trySetException(new Refused()));
+                linger(() -> told.trySetException(new RequestRejectedException()));
               } else if (told != null) {
                 told.set(null);
               }
@@ -572,8 +572,8 @@
     inner.closeEx(closed);
   }
 
-  private static final class Refused extends Exception {
-    Refused() {
+  private static final class RequestRejectedException extends Exception {
+    RequestRejectedException() {
       super("connection ended by the door", null, false, false);
     }
   }
--- a/data-plane/src/main/java/applespindle/dataplane/DataPlane.java
+++ b/data-plane/src/main/java/applespindle/dataplane/DataPlane.java
@@ -26,7 +26,7 @@
     HttpInterface http = new HttpInterface(process);
     Node node = process.node();
     if (node instanceof EdgeNode edge) {
-      new EdgeInterface(process, edge).addTo(http);
+      new EdgeHttpInterface(process, edge).addTo(http);
     }
     http.listen();
   }
--- a/data-plane/src/main/java/applespindle/dataplane/EdgeInterface.java
+++ b/data-plane/src/main/java/applespindle/dataplane/EdgeHttpInterface.java
@@ -24,7 +24,7 @@
 import java.util.List;
 
 /** What callers and batch senders see of an edge. */
-final class EdgeInterface {
+final class EdgeHttpInterface {
   /**
    * A live request's body; further fields of the published format pass through to the worker as
    * they are.
@@ -45,7 +45,7 @@
   private final NodeProcess process;
   private final EdgeNode edge;
 
-  EdgeInterface(NodeProcess process, EdgeNode edge) {
+  EdgeHttpInterface(NodeProcess process, EdgeNode edge) {
     this.process = process;
     this.edge = edge;
   }
@@ -165,14 +165,14 @@
     return HttpInterface.render(Response.of(200, wholeBody(output, finishReason)));
   }
 
-  static HttpResponse wholeLater(PieceStream events) {
+  static HttpResponse wholeLater(ChunkStream events) {
     return HttpResponse.ok200()
         .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
         .withBodyStream(events)
         .build();
   }
 
-  static HttpResponse streamed(PieceStream events) {
+  static HttpResponse streamed(ChunkStream events) {
     return HttpResponse.ok200()
         .withHeader(HttpHeaders.CONTENT_TYPE, "text/event-stream")
         .withBodyStream(events)
--- a/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
@@ -31,7 +31,7 @@
   private final SettablePromise<HttpResponse> response = new SettablePromise<>();
 
   /** On the http thread only. */
-  private PieceStream events;
+  private ChunkStream events;
 
   private boolean blanksGo;
   private boolean over;
@@ -62,10 +62,10 @@
     process.toLogic(() -> handle.cancel());
   }
 
-  private PieceStream events() {
+  private ChunkStream events() {
     if (events == null) {
-      events = new PieceStream(this::senderGone, WAITING_MOST, Integer.MAX_VALUE);
-      response.trySet(EdgeInterface.streamed(events));
+      events = new ChunkStream(this::senderGone, WAITING_MOST, Integer.MAX_VALUE);
+      response.trySet(EdgeHttpInterface.streamed(events));
     }
     return events;
   }
@@ -114,8 +114,8 @@
                 return;
               }
               if (events == null) {
-                events = new PieceStream(this::senderGone, WAITING_MOST, Integer.MAX_VALUE);
-                response.trySet(EdgeInterface.wholeLater(events));
+                events = new ChunkStream(this::senderGone, WAITING_MOST, Integer.MAX_VALUE);
+                response.trySet(EdgeHttpInterface.wholeLater(events));
               }
               events.push(new byte[] {' '});
               nextBlank();
@@ -128,14 +128,14 @@
         () -> {
           over = true;
           if (!request.stream() && events != null) {
-            events.push(Json.bytes(EdgeInterface.wholeBody(wholeOutput, finishReason)));
+            events.push(Json.bytes(EdgeHttpInterface.wholeBody(wholeOutput, finishReason)));
             events.end();
           } else if (request.stream()) {
             events().push(piece("", finishReason));
             events().push("data: [DONE]\n\n".getBytes(UTF_8));
             events().end();
           } else {
-            response.trySet(EdgeInterface.whole(wholeOutput, finishReason));
+            response.trySet(EdgeHttpInterface.whole(wholeOutput, finishReason));
           }
         });
   }
--- a/data-plane/src/main/java/applespindle/dataplane/OpaqueDoor.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
@@ -47,7 +47,7 @@
  * before the logic hears of it; what is refused here was never passed on. All on the http thread,
  * except the questions to the logic.
  */
-public final class OpaqueDoor {
+public final class ProxyEndpoint {
   /**
    * Headers that belong to one connection and go no further, besides those that Connection names.
    */
@@ -79,12 +79,12 @@
   private volatile RoutingConfiguration.ClientLimits limits;
 
   /** On the http thread only, as are the sockets. */
-  private final Set<ClientSocket> sockets = new HashSet<>();
+  private final Set<ClientConnection> sockets = new HashSet<>();
 
   /** The socket being accepted. */
-  private ClientSocket accepted;
+  private ClientConnection accepted;
 
-  public OpaqueDoor(NodeProcess process, EdgeGateway gateway, RequestFormat format) {
+  public ProxyEndpoint(NodeProcess process, EdgeGateway gateway, RequestFormat format) {
     this.process = process;
     this.gateway = gateway;
     this.format = format;
@@ -100,12 +100,12 @@
     gateway.onConfigurationChange(
         configuration -> {
           limits = configuration.clients();
-          process.toHttp(() -> List.copyOf(sockets).forEach(ClientSocket::limitsChanged));
+          process.toHttp(() -> List.copyOf(sockets).forEach(ClientConnection::limitsChanged));
         });
     HttpServer server =
         HttpServer.builder(process.httpLoop(), this::serve)
             .withKeepAliveTimeout(IDLE_MOST)
-            .withInspector(new Sockets())
+            .withInspector(new ConnectionInspector())
             .withHttpErrorFormatter(
                 fault ->
                     Promise.of(
@@ -124,9 +124,9 @@
   }
 
   private void serve(HttpServer server, ITcpSocket socket) {
-    ClientSocket[] guarded = new ClientSocket[1];
+    ClientConnection[] guarded = new ClientConnection[1];
     guarded[0] =
-        new ClientSocket(
+        new ClientConnection(
             socket, process.httpLoop(), () -> limits, () -> sockets.remove(guarded[0]));
     accepted = guarded[0];
     sockets.add(accepted);
@@ -134,7 +134,7 @@
   }
 
   /** Each connection keeps its socket at hand; it is told of while it is being accepted. */
-  private final class Sockets extends AbstractInspector<HttpServer.Inspector>
+  private final class ConnectionInspector extends AbstractInspector<HttpServer.Inspector>
       implements HttpServer.Inspector {
     @Override
     public void onAccept(HttpServerConnection connection) {
@@ -164,8 +164,8 @@
     public void onDisconnect(HttpServerConnection connection) {}
   }
 
-  private static ClientSocket socket(HttpRequest request) {
-    return (ClientSocket) request.getConnection().getUserData();
+  private static ClientConnection socket(HttpRequest request) {
+    return (ClientConnection) request.getConnection().getUserData();
   }
 
   /** The response is the last on its connection; a body that is still coming is read away. */
@@ -190,7 +190,7 @@
   }
 
   private Promise<HttpResponse> serve(HttpRequest request) {
-    ClientSocket socket = socket(request);
+    ClientConnection socket = socket(request);
     boolean chunked = request.getHeader(HttpHeaders.TRANSFER_ENCODING) != null;
     boolean sound = socket.bodyBegins(chunked);
     ApiError error = headFault(request);
@@ -243,7 +243,7 @@
     boolean encoded = false;
     for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
       String value = each.getValue().toString();
-      if (!HttpSyntax.isToken(ClientSocket.unmasked(each.getKey().toString()))) {
+      if (!HttpSyntax.isToken(ClientConnection.unmasked(each.getKey().toString()))) {
         // Most of all no blank before the colon, which would hide a length and make the body
         // another
         // request.
@@ -288,7 +288,7 @@
     }
     List<ProxiedRequest.Header> headers = new ArrayList<>();
     for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
-      String name = ClientSocket.unmasked(each.getKey().toString());
+      String name = ClientConnection.unmasked(each.getKey().toString());
       String lower = name.toLowerCase(Locale.ROOT);
       if (!CONNECTION_BOUND.contains(lower) && (named == null || !named.contains(lower))) {
         headers.add(new ProxiedRequest.Header(name, each.getValue().toString()));
@@ -298,7 +298,7 @@
   }
 
   private Promise<HttpResponse> answer(
-      HttpRequest http, ClientSocket socket, Arrived arrived, StageTimer trace) {
+      HttpRequest http, ClientConnection socket, Arrived arrived, StageTimer trace) {
     SettablePromise<HttpResponse> response = new SettablePromise<>();
     Runnable whenGone = decide(arrived, response, trace);
     socket.served(
@@ -339,7 +339,7 @@
       response.set(render(Response.of(request.fault())));
       return () -> {};
     }
-    OpaqueExchange exchange = new OpaqueExchange(process, response, this::render);
+    ProxyExchange exchange = new ProxyExchange(process, response, this::render);
     boolean taken =
         process.toLogic(
             () -> {
--- a/data-plane/src/main/java/applespindle/dataplane/OpaqueExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
@@ -22,7 +22,7 @@
  * is decided. What the logic tells is passed on in order, and what it tells in one task goes over
  * in one; the client's going is told to the logic at most once.
  */
-final class OpaqueExchange implements ProxiedResponseListener {
+final class ProxyExchange implements ProxiedResponseListener {
   private static final int GATHERED_LEAST = 4;
   private static final int WAITING_BYTES_MOST = 4 << 20;
 
@@ -31,7 +31,7 @@
   private final Function<Response, HttpResponse> refusal;
 
   /** On the http thread only. */
-  private PieceStream body;
+  private ChunkStream body;
 
   private boolean over;
 
@@ -52,7 +52,7 @@
   /** Guarded by this; null once the http thread has taken it. */
   private Told told;
 
-  OpaqueExchange(
+  ProxyExchange(
       NodeProcess process,
       SettablePromise<HttpResponse> response,
       Function<Response, HttpResponse> refusal) {
@@ -142,7 +142,7 @@
       return;
     }
     if (told.head != null) {
-      body = new PieceStream(this::clientGone, Integer.MAX_VALUE, WAITING_BYTES_MOST);
+      body = new ChunkStream(this::clientGone, Integer.MAX_VALUE, WAITING_BYTES_MOST);
       boolean bodiless = told.head.status() == 204 || told.head.status() == 304;
       HttpResponse.Builder builder = begin(told.head);
       response.trySet(bodiless ? builder.build() : builder.withBodyStream(body).build());
--- a/data-plane/src/test/java/applespindle/dataplane/ClientSocketTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ClientConnectionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes out to the client's connection, write for write. */
-final class ClientSocketTest {
+final class ClientConnectionTest {
   /** Writes are kept apart; nothing is ever read. */
   private static final class Inner implements ITcpSocket {
     final List<String> writes = new ArrayList<>();
@@ -53,7 +53,7 @@
 
   private final Eventloop loop = Eventloop.builder().withCurrentThread().build();
   private final Inner inner = new Inner();
-  private final ClientSocket socket = new ClientSocket(inner, loop, () -> null, () -> {});
+  private final ClientConnection socket = new ClientConnection(inner, loop, () -> null, () -> {});
 
   private Promise<Void> write(String text) {
     return socket.write(ByteBuf.wrapForReading(text.getBytes(ISO_8859_1)));
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorFuzzTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
@@ -24,22 +24,22 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /** Clients on real sockets that send sound and spoiled bytes, split in any way. */
-final class OpaqueDoorFuzzTest {
+final class ProxyEndpointFuzzTest {
   private static final ClientLimits WIDE = new ClientLimits(16_384, 1 << 20, 60_000, 60_000);
   private static final String LAST = "/last";
-  private static TestDoor door;
+  private static TestProxyEndpoint door;
 
   /** What became of one text: what the logic got, and what the client read. */
   private record Outcome(List<ProxiedRequest> passed, String answer) {
     private List<String> shown() {
-      return passed.stream().map(OpaqueDoorFuzzTest::shown).toList();
+      return passed.stream().map(ProxyEndpointFuzzTest::shown).toList();
     }
   }
 
   @BeforeContainer
   static void open() throws IOException {
-    door = new TestDoor();
-    door.answer = OpaqueDoorFuzzTest::whole;
+    door = new TestProxyEndpoint();
+    door.answer = ProxyEndpointFuzzTest::whole;
   }
 
   private static void whole(ProxiedResponseListener listener) {
@@ -67,7 +67,8 @@
       answer = "";
     }
     afterLogic();
-    return new Outcome(door.passed.stream().map(TestDoor.Passed::request).toList(), answer);
+    return new Outcome(
+        door.passed.stream().map(TestProxyEndpoint.Passed::request).toList(), answer);
   }
 
   private static String readAll(Socket socket) {
@@ -88,7 +89,7 @@
   private static void afterLogic() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     door.onLogic(() -> done.complete(null));
-    done.orTimeout(TestDoor.LIMIT_S, TimeUnit.SECONDS).join();
+    done.orTimeout(TestProxyEndpoint.LIMIT_S, TimeUnit.SECONDS).join();
   }
 
   private static String shown(ProxiedRequest request) {
@@ -118,8 +119,8 @@
     door.limit(WIDE);
     door.passed.clear();
     try (Socket socket = door.connect()) {
-      TestDoor.send(socket, TestDoor.post(LAST, "", "abc"));
-      assertThat(TestDoor.readUntil(socket, "\r\n\r\n")).startsWith("HTTP/1.1 200");
+      TestProxyEndpoint.send(socket, TestProxyEndpoint.post(LAST, "", "abc"));
+      assertThat(TestProxyEndpoint.readUntil(socket, "\r\n\r\n")).startsWith("HTTP/1.1 200");
     }
     afterLogic();
     assertThat(door.passed).hasSize(1);
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueDoorTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointTest.java
@@ -4,7 +4,7 @@
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import applespindle.adapters.NodeProcess;
-import applespindle.adapters.Startup;
+import applespindle.adapters.StartupOptions;
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.batch.BatchSubmission;
 import applespindle.corelogic.edge.EdgeNode;
@@ -27,7 +27,7 @@
  * What the door lets through, against raw bytes. An edge without a bundle refuses whatever reaches
  * it with 503.
  */
-final class OpaqueDoorTest {
+final class ProxyEndpointTest {
   /** Remembers every request that got past the door. */
   private static final class Remembering implements RequestFormat {
     final Queue<Arrived> arrived = new ConcurrentLinkedQueue<>();
@@ -78,11 +78,11 @@
 
   @BeforeAll
   static void open() throws IOException {
-    OpaqueDoor.allowHeads();
+    ProxyEndpoint.allowHeads();
     port = freePort();
     String peer = "127.0.0.1:" + freePort();
     var startup =
-        new Startup(
+        new StartupOptions(
             "edge",
             "zone",
             "edge",
@@ -98,7 +98,7 @@
             (environment, identity) -> new EdgeNode(environment, identity, NodeSettings.DEFAULT))
         .start(
             process ->
-                new OpaqueDoor(process, (EdgeNode) process.node(), FORMAT)
+                new ProxyEndpoint(process, (EdgeNode) process.node(), FORMAT)
                     .listen("127.0.0.1:" + port));
   }
 
--- a/data-plane/src/test/java/applespindle/dataplane/OpaqueAnswersTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyResponsesTest.java
@@ -1,9 +1,9 @@
 package applespindle.dataplane;
 
-import static applespindle.dataplane.TestDoor.post;
-import static applespindle.dataplane.TestDoor.readAll;
-import static applespindle.dataplane.TestDoor.readUntil;
-import static applespindle.dataplane.TestDoor.send;
+import static applespindle.dataplane.TestProxyEndpoint.post;
+import static applespindle.dataplane.TestProxyEndpoint.readAll;
+import static applespindle.dataplane.TestProxyEndpoint.readUntil;
+import static applespindle.dataplane.TestProxyEndpoint.send;
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
@@ -25,15 +25,15 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes through the door both ways, by raw bytes, and the limits it keeps to. */
-final class OpaqueAnswersTest {
+final class ProxyResponsesTest {
   private static final ClientLimits WIDE = new ClientLimits(16_384, 1 << 20, 60_000, 60_000);
   private static final ResponseHead STREAM =
       new ResponseHead(200, List.of(new Header("Content-Type", "text/event-stream")));
-  private static TestDoor door;
+  private static TestProxyEndpoint door;
 
   @BeforeAll
   static void open() throws IOException {
-    door = new TestDoor();
+    door = new TestProxyEndpoint();
   }
 
   @BeforeEach
@@ -62,7 +62,7 @@
     try (GZIPOutputStream gzip = new GZIPOutputStream(packed)) {
       gzip.write("some words, some words".getBytes(ISO_8859_1));
     }
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     String body = packed.toString(ISO_8859_1);
     String chunked =
         "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\ncontent-encoding:GZIP\r\n\r\n"
@@ -87,7 +87,7 @@
 
   @Test
   void aHeadMayComeByteByByte() throws Exception {
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     try (Socket socket = door.connect()) {
       socket.setTcpNoDelay(true);
       for (char each : post("/slow", "Content-Encoding: gzip\r\n", "abc").toCharArray()) {
@@ -114,11 +114,11 @@
   void aRequestThatComesEarlyWaitsForItsTurn() throws Exception {
     try (Socket socket = door.connect()) {
       send(socket, post("/first", "", "abc"));
-      TestDoor.Passed first = door.nextPassed();
+      TestProxyEndpoint.Passed first = door.nextPassed();
       send(socket, post("/second", "", "abc"));
       door.onLogic(() -> whole(first.listener()));
       assertThat(readUntil(socket, "in two")).startsWith("HTTP/1.1 200");
-      TestDoor.Passed second = door.nextPassed();
+      TestProxyEndpoint.Passed second = door.nextPassed();
       assertThat(second.request().target()).isEqualTo("/second");
       door.onLogic(() -> whole(second.listener()));
       assertThat(readUntil(socket, "in two")).startsWith("HTTP/1.1 200");
@@ -153,7 +153,7 @@
 
   @Test
   void whatIsWholeAtOnceHasALength() throws Exception {
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     try (Socket socket = door.connect()) {
       send(socket, post("/x", "", "abc"));
       String response = readUntil(socket, "in two");
@@ -178,7 +178,7 @@
       readUntil(socket, "data: 2\n\n");
       door.onLogic(listener::end);
       readUntil(socket, "0\r\n\r\n");
-      door.answer = OpaqueAnswersTest::whole;
+      door.answer = ProxyResponsesTest::whole;
       send(socket, post("/again", "", "abc"));
       readUntil(socket, "in two");
     }
@@ -205,13 +205,13 @@
   void aClientThatGoesIsToldToTheLogic() throws Exception {
     Socket before = door.connect();
     send(before, post("/x", "", "abc"));
-    TestDoor.Passed unanswered = door.nextPassed();
+    TestProxyEndpoint.Passed unanswered = door.nextPassed();
     before.close();
-    unanswered.cancelled().get(TestDoor.LIMIT_S, TimeUnit.SECONDS);
+    unanswered.cancelled().get(TestProxyEndpoint.LIMIT_S, TimeUnit.SECONDS);
 
     Socket midway = door.connect();
     send(midway, post("/x", "", "abc"));
-    TestDoor.Passed begun = door.nextPassed();
+    TestProxyEndpoint.Passed begun = door.nextPassed();
     door.onLogic(
         () -> {
           begun.listener().head(STREAM);
@@ -219,7 +219,7 @@
         });
     readUntil(midway, "data: 1\n\n");
     midway.close();
-    begun.cancelled().get(TestDoor.LIMIT_S, TimeUnit.SECONDS);
+    begun.cancelled().get(TestProxyEndpoint.LIMIT_S, TimeUnit.SECONDS);
   }
 
   // ---- limits
@@ -246,7 +246,7 @@
 
   @Test
   void idleConnectionsEndByTheLimitsInForce() throws Exception {
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     try (Socket fresh = door.connect();
         Socket used = door.connect()) {
       send(used, post("/x", "", "abc"));
@@ -262,7 +262,7 @@
   void aConnectionThatRestedForFourFifthsOfTheLimitIsServed() throws Exception {
     int idleMs = 1_000;
     door.limit(new ClientLimits(16_384, 1 << 20, 60_000, idleMs));
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     try (Socket socket = door.connect()) {
       for (int round = 0; round < 3; round++) {
         send(socket, post("/x", "", "abc"));
@@ -280,7 +280,7 @@
   /** Its client may be sending at this moment, and know of the change only later. */
   @Test
   void aShorterLimitEndsNoConnectionAtTheMomentOfItsChange() throws Exception {
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     try (Socket socket = door.connect()) {
       send(socket, post("/x", "", "abc"));
       readUntil(socket, "in two");
@@ -295,7 +295,7 @@
   @Test
   void aRequestThatCameWhileTheProcessStoodStillIsServed() throws Exception {
     door.limit(new ClientLimits(16_384, 1 << 20, 60_000, 300));
-    door.answer = OpaqueAnswersTest::whole;
+    door.answer = ProxyResponsesTest::whole;
     try (Socket socket = door.connect()) {
       send(socket, post("/x", "", "abc"));
       readUntil(socket, "in two");
--- a/data-plane/src/test/java/applespindle/dataplane/TestDoor.java
+++ b/data-plane/src/test/java/applespindle/dataplane/TestProxyEndpoint.java
@@ -3,7 +3,7 @@
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import applespindle.adapters.NodeProcess;
-import applespindle.adapters.Startup;
+import applespindle.adapters.StartupOptions;
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.batch.BatchSubmission;
 import applespindle.corelogic.configuration.RoutingConfiguration;
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 
 /** A door on loopback before a logic that answers as a test says. */
-final class TestDoor {
+final class TestProxyEndpoint {
   static final long LIMIT_S = 20;
 
   /** One request that reached the logic, which tells its listener what the test wants. */
@@ -127,12 +127,12 @@
   private final NodeProcess process;
   private Consumer<RoutingConfiguration> bundleChanges;
 
-  TestDoor() throws IOException {
-    OpaqueDoor.allowHeads();
+  TestProxyEndpoint() throws IOException {
+    ProxyEndpoint.allowHeads();
     port = freePort();
     String peer = "127.0.0.1:" + freePort();
     var startup =
-        new Startup(
+        new StartupOptions(
             "edge",
             "zone",
             "edge",
@@ -148,7 +148,7 @@
             startup,
             (environment, identity) -> new EdgeNode(environment, identity, NodeSettings.DEFAULT));
     process.start(
-        started -> new OpaqueDoor(started, new Gateway(), FORMAT).listen("127.0.0.1:" + port));
+        started -> new ProxyEndpoint(started, new Gateway(), FORMAT).listen("127.0.0.1:" + port));
   }
 
   private static int freePort() throws IOException {
--- a/operator-tool/src/main/java/applespindle/operatortool/BundlePatching.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/ConfigurationPatching.java
@@ -14,7 +14,7 @@
  * Changes the bundle in force by a patch. The result is made here as the core makes it, and signed:
  * so what is in force is exactly what its operator signed.
  */
-final class BundlePatching {
+final class ConfigurationPatching {
   /** A patch that builds on one version; sent again it stays the same change. */
   final class Change {
     private final byte[] patch;
@@ -35,7 +35,7 @@
   private final String keyId;
   private final String privateKey;
 
-  BundlePatching(HttpCaller caller, String core, String keyId, String privateKey) {
+  ConfigurationPatching(HttpCaller caller, String core, String keyId, String privateKey) {
     this.caller = caller;
     this.core = core;
     this.keyId = keyId;
--- a/operator-tool/src/main/java/applespindle/operatortool/HttpCaller.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/HttpCaller.java
@@ -3,7 +3,7 @@
 import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.adapters.NumbersOnly;
+import applespindle.adapters.NoNameLookups;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.activej.eventloop.Eventloop;
 import io.activej.http.HttpClient;
@@ -47,7 +47,7 @@
       HttpMethod method, String address, String path, byte[] body, Map<String, String> headers) {
     Eventloop eventloop = Eventloop.builder().withCurrentThread().build();
     HttpClient client =
-        HttpClient.builder(eventloop, new NumbersOnly())
+        HttpClient.builder(eventloop, new NoNameLookups())
             .withNoKeepAlive()
             .withConnectTimeout(timeout)
             .withReadWriteTimeout(timeout)
--- a/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
@@ -198,8 +198,8 @@
                                     bytes, Files.readString(Path.of(flags.getString("key"))))))));
       }
       case "patch-bundle" -> {
-        BundlePatching patching =
-            new BundlePatching(
+        ConfigurationPatching patching =
+            new ConfigurationPatching(
                 caller,
                 address,
                 flags.getString("key_id"),
--- a/test-fleet/weakenings/run-model.sh
+++ b/test-fleet/mutations/run-model.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Takes out one check of the replicated register after the other and demands that the model check finds it: each patch
 # names the plan and the search, and the invariants of which one must break. Needs compiled classes and tests
-# (mvn -B -pl core-logic test-compile). Usage: test-fleet/weakenings/run-model.sh [NAME...]
+# (mvn -B -pl core-logic test-compile). Usage: test-fleet/mutations/run-model.sh [NAME...]
 # SECONDS_MOST: time for each search, 120 if not set. JOBS: searches at once, 2 if not set.
 set -uo pipefail
 root="$(cd "$(dirname "$0")/../.." && pwd)"
@@ -42,8 +42,8 @@
 export -f try
 export root work seconds libraries
 names=("$@")
-[[ ${#names[@]} -gt 0 ]] || names=($(cd "$root/test-fleet/weakenings" && grep -l '^model: ' *.patch model/*.patch | sed 's/\.patch$//'))
-printf '%s\n' "${names[@]}" | xargs -P "$jobs" -I{} bash -c "try '$root/test-fleet/weakenings/{}.patch'" > "$work/table"
+[[ ${#names[@]} -gt 0 ]] || names=($(cd "$root/test-fleet/mutations" && grep -l '^model: ' *.patch model/*.patch | sed 's/\.patch$//'))
+printf '%s\n' "${names[@]}" | xargs -P "$jobs" -I{} bash -c "try '$root/test-fleet/mutations/{}.patch'" > "$work/table"
 status=$?
 echo "| taken out | plan and search | broken, states reached | |"
 echo "|---|---|---|---|"
--- a/test-fleet/weakenings/run.sh
+++ b/test-fleet/mutations/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Takes out one safety check after the other and demands that the named rule is then broken, and no other than those it
-# names. Needs a built project (mvn -B package -DskipTests). Usage: test-fleet/weakenings/run.sh [NAME...]
+# names. Needs a built project (mvn -B package -DskipTests). Usage: test-fleet/mutations/run.sh [NAME...]
 set -uo pipefail
 root="$(cd "$(dirname "$0")/../.." && pwd)"
 work="$(mktemp -d)"
@@ -35,8 +35,8 @@
 export -f try
 export root work
 names=("$@")
-[[ ${#names[@]} -gt 0 ]] || names=($(cd "$root/test-fleet/weakenings" && ls *.patch | sed 's/\.patch$//'))
-printf '%s\n' "${names[@]}" | xargs -P 4 -I{} bash -c "try '$root/test-fleet/weakenings/{}.patch'" > "$work/table"
+[[ ${#names[@]} -gt 0 ]] || names=($(cd "$root/test-fleet/mutations" && ls *.patch | sed 's/\.patch$//'))
+printf '%s\n' "${names[@]}" | xargs -P 4 -I{} bash -c "try '$root/test-fleet/mutations/{}.patch'" > "$work/table"
 status=$?
 echo "| taken out | must break | scenario | broken in so many seeds | |"
 echo "|---|---|---|---|---|"
--- a/test-fleet/src/main/java/applespindle/testfleet/Checker.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Checker.java
@@ -30,7 +30,7 @@
     BUNDLE_NOT_IN_FORCE,
     SERVICE_NOT_BACK,
     CEILING_OVERSHOT,
-    /** Of opaque requests and batches: see OpaqueChecker. */
+    /** Of opaque requests and batches: see ProxyChecker. */
     UNASKED_RUN,
     RAN_TWICE,
     REFUSED_REQUEST_RAN,
@@ -90,7 +90,7 @@
     checker.commands();
     checker.ceiling();
     checker.roomRefusals();
-    checker.violations.addAll(OpaqueChecker.check(checker.seen));
+    checker.violations.addAll(ProxyChecker.check(checker.seen));
     return checker.violations;
   }
 
@@ -250,7 +250,8 @@
             }
             if (item == null
                 || succeeded
-                    && !each.text().equals(StandInOutput.whole(item.text(), (int) item.number()))) {
+                    && !each.text()
+                        .equals(EmulatedOutput.whole(item.text(), (int) item.number()))) {
               violated(Rule.RESULT_NOT_WHOLE, each.atMs(), key + " item " + id);
             }
           }
@@ -338,7 +339,7 @@
             each.atMs(),
             each.subject() + " was told that it did not run");
       }
-      String whole = StandInOutput.whole(request.text(), (int) request.number());
+      String whole = EmulatedOutput.whole(request.text(), (int) request.number());
       if (!whole.startsWith(each.text())) {
         violated(Rule.WRONG_OR_CUT_ANSWER, each.atMs(), each.subject() + " got another's output");
       } else if (each.detail().equals("complete") && !each.text().equals(whole)) {
--- a/test-fleet/src/main/java/applespindle/testfleet/CoreWatch.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
@@ -12,7 +12,7 @@
  * every core process for a confirmed read of every key that has an owner, over and over. Measures
  * how long no process served a key, how many terms the owners used up, and how long answers took.
  */
-final class CoreWatch {
+final class ControlPlaneProbe {
   private static final long EVERY_MS = 200;
   private static final long PATIENCE_MS = 15_000;
 
@@ -40,7 +40,7 @@
   /** The longest time until any answer, a refusal included, of a process that could answer. */
   long slowestAnswerMs;
 
-  CoreWatch(SimulatedFleet fleet, long fromMs, long toMs) {
+  ControlPlaneProbe(SimulatedFleet fleet, long fromMs, long toMs) {
     this.fleet = fleet;
     this.simulation = fleet.simulation;
     this.fromMs = fromMs;
--- a/test-fleet/src/main/java/applespindle/testfleet/Instants.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/CrashPoints.java
@@ -17,7 +17,7 @@
  * its taking in), one run of a scenario in which the process falls right then, by kill or by power
  * loss, and comes back 3 s later. Usage: FILE SEED [COUNT...].
  */
-public final class Instants {
+public final class CrashPoints {
   /**
    * Steps of replication, of news and what confirms it, of dispatch, of copying and set changes.
    */
@@ -125,5 +125,5 @@
     System.exit(broken.isEmpty() ? 0 : 1);
   }
 
-  private Instants() {}
+  private CrashPoints() {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet;
 
-import applespindle.testfleet.StandInWorkers.Pace;
+import applespindle.testfleet.EmulatedWorkers.Pace;
 
 /**
  * The two deployments of today, a small one for trying out, and one of many edges. Paces are ours;
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
@@ -17,7 +17,7 @@
 import applespindle.corelogic.live.ProxiedResponseListener;
 import applespindle.corelogic.live.RequestHandle;
 import applespindle.corelogic.metadata.SignedConfiguration;
-import applespindle.testfleet.OpaqueWorkers.Worker;
+import applespindle.testfleet.ProxyWorkers.Worker;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -96,7 +96,7 @@
   // ---- fleet
 
   private void build() {
-    simulation.outside = new Outside(simulation, 2, 800, 210);
+    simulation.outside = new SimulatedPlatform(simulation, 2, 800, 210);
     simulation.outside.workers.engine = shape.engine();
     simulation.outside.workers.paces = shape.paces();
     simulation.outside.workers.watcher = this::seen;
@@ -221,10 +221,10 @@
             .toList();
     simulation.atMs(
         TRAFFIC_FROM_MS + trouble.fromMs(),
-        () -> hit.forEach(worker -> worker.become(OpaqueWorkers.Condition.DARK)));
+        () -> hit.forEach(worker -> worker.become(ProxyWorkers.Condition.DARK)));
     simulation.atMs(
         TRAFFIC_FROM_MS + trouble.untilMs(),
-        () -> hit.forEach(worker -> worker.become(OpaqueWorkers.Condition.WELL)));
+        () -> hit.forEach(worker -> worker.become(ProxyWorkers.Condition.WELL)));
   }
 
   private double burst(String kind) {
@@ -385,7 +385,7 @@
         simulation.outside.workers.present().stream()
             .anyMatch(
                 each ->
-                    each.condition == OpaqueWorkers.Condition.WELL
+                    each.condition == ProxyWorkers.Condition.WELL
                         && each.inWork() < each.slots - 1);
     result.liveWaitedWhileOthersIdle += idle ? 1 : 0;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/StandInOutput.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/EmulatedOutput.java
@@ -8,7 +8,7 @@
  * What a stand-in worker writes for a prompt: the same for the same prompt, so that a checker can
  * tell a whole output.
  */
-public final class StandInOutput {
+public final class EmulatedOutput {
   public static final int TOKENS_UNLESS_TOLD = 8;
 
   public static String token(String prompt, int position) {
@@ -29,5 +29,5 @@
     return crc.getValue();
   }
 
-  private StandInOutput() {}
+  private EmulatedOutput() {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/StandInWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/EmulatedWorkers.java
@@ -27,7 +27,7 @@
 /**
  * Language workers that are none: they stream a made-up output at a set pace and report their load.
  */
-public final class StandInWorkers {
+public final class EmulatedWorkers {
   /** Prefixes a worker's cache holds; beyond that the one used longest ago goes. */
   private static final int CACHE_PREFIXES = 64;
 
@@ -92,7 +92,7 @@
       boolean warm = cache.put(prefix, true) != null;
       cacheLooks++;
       cacheHits += warm ? 1 : 0;
-      int tokens = body.path("max_tokens").asInt(StandInOutput.TOKENS_UNLESS_TOLD);
+      int tokens = body.path("max_tokens").asInt(EmulatedOutput.TOKENS_UNLESS_TOLD);
       return HttpResponse.ok200()
           .withHeader(HttpHeaders.CONTENT_TYPE, "text/event-stream")
           .withBodyStream(new Output(prompt, item, tokens, warm ? 0 : pace.coldPrefixMs()))
@@ -147,7 +147,7 @@
           return;
         }
         boolean last = position == tokens;
-        String text = last ? "" : StandInOutput.token(prompt, position);
+        String text = last ? "" : EmulatedOutput.token(prompt, position);
         position++;
         if (last) {
           history.add(nowMs(), Kind.WORKER_FINISHED, id, item, prompt, 0);
@@ -188,7 +188,7 @@
   private final List<Worker> workers = new ArrayList<>();
   private final History history;
 
-  public StandInWorkers(Pace pace, History history) {
+  public EmulatedWorkers(Pace pace, History history) {
     this.pace = pace;
     this.history = history;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
@@ -159,7 +159,7 @@
   Set<String> spares = Set.of();
 
   public final History history = new History();
-  public final StandInWorkers workers;
+  public final EmulatedWorkers workers;
   public final Map<String, Member> members = new LinkedHashMap<>();
   public final Signing.Keys keys = Signing.generate();
   public final HttpCaller caller = new HttpCaller(Duration.ofSeconds(10));
@@ -189,7 +189,7 @@
     this.folder = Files.createDirectories(folder);
     this.classPath = classPath;
     this.nextPort = firstPort;
-    this.workers = new StandInWorkers(deployment.pace, history);
+    this.workers = new EmulatedWorkers(deployment.pace, history);
   }
 
   private String address() throws IOException {
@@ -340,7 +340,8 @@
         .forEach(
             worker -> {
               String pool = spares.contains(worker.id) ? "spare" : "main";
-              history.add(StandInWorkers.nowMs(), History.Kind.WORKER_POOL, worker.id, pool, "", 0);
+              history.add(
+                  EmulatedWorkers.nowMs(), History.Kind.WORKER_POOL, worker.id, pool, "", 0);
               rows.addObject()
                   .put("id", worker.id)
                   .put("address", worker.address)
@@ -354,12 +355,12 @@
    */
   void rollOut(long number, String bundle) {
     history.add(
-        StandInWorkers.nowMs(), History.Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
+        EmulatedWorkers.nowMs(), History.Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
     Deployment.pools(bundle)
         .forEach(
             (trafficClass, pool) ->
                 history.add(
-                    StandInWorkers.nowMs(),
+                    EmulatedWorkers.nowMs(),
                     History.Kind.BUNDLE_WAY,
                     Long.toString(number),
                     trafficClass,
@@ -381,7 +382,7 @@
       List<Member> cores = ofRole("core");
       Result result = command.apply(cores.get(attempt % cores.size()).http);
       history.add(
-          StandInWorkers.nowMs(),
+          EmulatedWorkers.nowMs(),
           kind,
           subject,
           result.body().path("type").asText(""),
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
@@ -78,10 +78,10 @@
             deployment, folder, System.getProperty("java.class.path"), flags.getInt("first_port"));
     fleet.spares = Set.copyOf(flags.<String>getList("spare"));
     Runtime.getRuntime().addShutdownHook(new Thread(fleet::close));
-    long startedAt = StandInWorkers.nowMs();
+    long startedAt = EmulatedWorkers.nowMs();
     fleet.start();
     fleet.open(OPEN_MS);
-    System.out.println("ready after " + (StandInWorkers.nowMs() - startedAt) + " ms");
+    System.out.println("ready after " + (EmulatedWorkers.nowMs() - startedAt) + " ms");
     if (flags.getInt("traffic") == null) {
       fleet
           .members
@@ -96,7 +96,7 @@
       Thread.currentThread().join();
     }
     TimeUnit.MILLISECONDS.sleep(
-        Math.max(0, TRAFFIC_FROM_MS - (StandInWorkers.nowMs() - startedAt)));
+        Math.max(0, TRAFFIC_FROM_MS - (EmulatedWorkers.nowMs() - startedAt)));
     long everyMs = deployment == Deployment.COOPERATIVE ? 2_000 : 4_000;
     var plan =
         new RealTraffic.Plan(
@@ -145,7 +145,7 @@
   }
 
   private static void runFaults(Fleet fleet, List<String> faults) {
-    long begunAt = StandInWorkers.nowMs();
+    long begunAt = EmulatedWorkers.nowMs();
     Member last = null;
     for (String fault : faults) {
       String[] words = fault.split(":");
@@ -153,7 +153,7 @@
         TimeUnit.MILLISECONDS.sleep(
             Math.max(
                 0,
-                begunAt + (long) (Double.parseDouble(words[0]) * 1_000) - StandInWorkers.nowMs()));
+                begunAt + (long) (Double.parseDouble(words[0]) * 1_000) - EmulatedWorkers.nowMs()));
         if (ofOutside(fleet, words)) {
           continue;
         }
@@ -161,7 +161,7 @@
         last = target;
         System.out.println(words[0] + " s: " + words[1] + " " + target.name);
         fleet.history.add(
-            StandInWorkers.nowMs(), History.Kind.FAULT, words[1] + " " + target.name, "", "", 0);
+            EmulatedWorkers.nowMs(), History.Kind.FAULT, words[1] + " " + target.name, "", "", 0);
         switch (words[1]) {
           case "kill" -> target.kill();
           case "start" -> target.start();
@@ -193,7 +193,7 @@
       case "leaving" -> fleet.markLeaving(words[2]);
       case "dark", "cuts", "garbage", "refuses", "well" -> {
         fleet.history.add(
-            StandInWorkers.nowMs(),
+            EmulatedWorkers.nowMs(),
             History.Kind.FAULT,
             "worker " + words[2] + " " + words[1],
             "",
--- a/test-fleet/src/main/java/applespindle/testfleet/Touch.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
@@ -13,7 +13,7 @@
  * Which machines are bound by time limits at a moment: those without trouble for a while, before a
  * settled core. Read from what was done to the fleet, never from what a node says of itself.
  */
-final class Touch {
+final class HealthyMachines {
   private static final Set<String> CORE_ROLES = Set.of("core", "storage");
 
   /**
@@ -28,7 +28,7 @@
   private final TreeMap<Long, Boolean> coreSettled = new TreeMap<>();
   private final long contactMs;
 
-  Touch(List<Seen> seen, long contactMs, long losses) {
+  HealthyMachines(List<Seen> seen, long contactMs, long losses) {
     this.contactMs = contactMs;
     Map<String, Set<String>> core = new HashMap<>();
     for (Seen each : seen) {
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueBatchRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchRules.java
@@ -4,10 +4,10 @@
 import applespindle.testfleet.Checker.Violation;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.History.Seen;
-import applespindle.testfleet.OpaqueOutput.Part;
-import applespindle.testfleet.OpaqueTraffic.Batch;
-import applespindle.testfleet.OpaqueTraffic.Route;
-import applespindle.testfleet.OpaqueTraffic.Run;
+import applespindle.testfleet.ProxiedOutput.Part;
+import applespindle.testfleet.ProxyTraffic.Batch;
+import applespindle.testfleet.ProxyTraffic.Route;
+import applespindle.testfleet.ProxyTraffic.Run;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,10 +16,10 @@
  * Opaque batches: nothing accepted is lost, nothing runs that should not, results stay as they
  * were.
  */
-final class OpaqueBatchRules extends OpaqueRules {
+final class ProxiedBatchRules extends ProxyRules {
   private static final long UNLIMITED = Long.MAX_VALUE / 1_000;
 
-  OpaqueBatchRules(OpaqueTraffic traffic, List<Violation> violations) {
+  ProxiedBatchRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
 
@@ -182,7 +182,7 @@
         ofItem.stream().filter(run -> run.ended() != null && run.ended().number() == 500).count();
     int attempts =
         traffic.changes.values().stream()
-            .map(change -> OpaqueTraffic.routeOf(change, batch.host, batch.path))
+            .map(change -> ProxyTraffic.routeOf(change, batch.host, batch.path))
             .filter(route -> route != null)
             .mapToInt(Route::attempts)
             .min()
@@ -197,7 +197,7 @@
                             > batch.firstSentMs
                                 - traffic.bound("applyMs", 2_000)
                                 - traffic.bound("ackMs", 4_000))
-            .anyMatch(change -> OpaqueTraffic.routeOf(change, batch.host, batch.path) == null);
+            .anyMatch(change -> ProxyTraffic.routeOf(change, batch.host, batch.path) == null);
     return failures >= Math.max(1, attempts)
         || routeGone
         || atMs >= batch.endAskedMs
@@ -221,7 +221,7 @@
           traffic.changes.values().stream()
               .filter(traffic::mayBeInForce)
               .filter(change -> change.sentMs() <= taken.acceptedMs)
-              .map(change -> OpaqueTraffic.routeOf(change, taken.host, taken.path))
+              .map(change -> ProxyTraffic.routeOf(change, taken.host, taken.path))
               .filter(route -> route != null)
               .mapToLong(route -> route.tokensMost() == 0 ? UNLIMITED : route.tokensMost())
               .max()
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueOutput.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedOutput.java
@@ -8,7 +8,7 @@
  * What a simulated worker writes for what was asked: it names what it answers, its tokens and the
  * run that made them.
  */
-final class OpaqueOutput {
+final class ProxiedOutput {
   /** A part of an output: tokens first to last of what was asked, made by a run. */
   record Part(String asked, int first, int last, String run) {
     /** Null if the text is no part of any output. */
@@ -40,5 +40,5 @@
     return Long.toString(crc.getValue(), 36);
   }
 
-  private OpaqueOutput() {}
+  private ProxiedOutput() {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueResponseRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
@@ -4,8 +4,8 @@
 import applespindle.testfleet.Checker.Violation;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.History.Seen;
-import applespindle.testfleet.OpaqueOutput.Part;
-import applespindle.testfleet.OpaqueTraffic.Run;
+import applespindle.testfleet.ProxiedOutput.Part;
+import applespindle.testfleet.ProxyTraffic.Run;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -13,10 +13,10 @@
 import java.util.Set;
 
 /** What clients get: whole responses of their own request, and service without long gaps. */
-final class OpaqueResponseRules extends OpaqueRules {
+final class ProxiedResponseRules extends ProxyRules {
   private static final int ATTEMPTS_LEAST = 3;
 
-  OpaqueResponseRules(OpaqueTraffic traffic, List<Violation> violations) {
+  ProxiedResponseRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
 
@@ -33,7 +33,7 @@
       boolean whole = answer.detail().equals("complete");
       if (head == null
           || !head.request().equals(answer.subject())
-          || !stamp.equals(OpaqueOutput.stamp(request.text(), stamp.split("[.]")[0]))) {
+          || !stamp.equals(ProxiedOutput.stamp(request.text(), stamp.split("[.]")[0]))) {
         violated(
             Rule.WRONG_OR_CUT_ANSWER, answer.atMs(), answer.subject() + " has the stamp " + stamp);
       } else if (answer.number() >= 300) {
@@ -56,12 +56,12 @@
   }
 
   private String failure(Run run, long status) {
-    return OpaqueChecker.failure(run.began() == null ? "" : run.began().text(), status);
+    return ProxyChecker.failure(run.began() == null ? "" : run.began().text(), status);
   }
 
   private void plain(Seen request, Seen answer, Run run, String body, boolean whole, String stamp) {
     String output =
-        OpaqueOutput.text(request.text(), 1, (int) request.number(), stamp.split("[.]")[0]);
+        ProxiedOutput.text(request.text(), 1, (int) request.number(), stamp.split("[.]")[0]);
     if (whole ? !body.equals(output) : !output.startsWith(body)) {
       violated(
           Rule.WRONG_OR_CUT_ANSWER,
@@ -124,7 +124,7 @@
     }
     for (Seen answer : traffic.answers.values()) {
       Seen request = traffic.requests.get(answer.subject());
-      String edge = OpaqueTraffic.edgeOf(request);
+      String edge = ProxyTraffic.edgeOf(request);
       boolean broke = answer.detail().equals("cut") || answer.detail().equals("broken");
       boolean planned =
           stops.getOrDefault(edge, List.of()).stream()
@@ -140,7 +140,7 @@
                   run ->
                       run.ended() != null
                           && run.ended().number() != 200
-                          && run.ended().number() != OpaqueChecker.DROPPED
+                          && run.ended().number() != ProxyChecker.DROPPED
                           && run.ended().atMs() < answer.atMs());
       boolean passedOnOrLate =
           !ofRequest.isEmpty()
@@ -185,7 +185,7 @@
       if (each.kind() != Kind.REQUEST_ANSWERED) {
         continue;
       }
-      String edge = OpaqueTraffic.edgeOf(traffic.requests.get(each.subject()));
+      String edge = ProxyTraffic.edgeOf(traffic.requests.get(each.subject()));
       boolean good =
           each.detail().equals("complete")
               || !traffic.touch.inTouch(edge, each.atMs())
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueChecker.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyChecker.java
@@ -9,17 +9,17 @@
  * The never-rules of opaque requests, opaque batches, the outside list and changes of routes, from
  * outside alone.
  */
-final class OpaqueChecker {
+final class ProxyChecker {
   /** How a run ended whose caller left. */
   static final int DROPPED = -1;
 
   static List<Violation> check(List<Seen> seen) {
-    OpaqueTraffic traffic = new OpaqueTraffic(seen);
+    ProxyTraffic traffic = new ProxyTraffic(seen);
     List<Violation> violations = new ArrayList<>();
-    var runs = new OpaqueRunRules(traffic, violations);
-    var responses = new OpaqueResponseRules(traffic, violations);
-    var changes = new OpaqueChangeRules(traffic, violations);
-    var batches = new OpaqueBatchRules(traffic, violations);
+    var runs = new WorkerRunRules(traffic, violations);
+    var responses = new ProxiedResponseRules(traffic, violations);
+    var changes = new RouteChangeRules(traffic, violations);
+    var batches = new ProxiedBatchRules(traffic, violations);
     runs.runsAreAsAsked();
     responses.responsesAreWhole();
     runs.leavingWorkersGetNothing();
@@ -37,5 +37,5 @@
     return "failed " + status + " " + run;
   }
 
-  private OpaqueChecker() {}
+  private ProxyChecker() {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
@@ -16,7 +16,7 @@
 import applespindle.corelogic.live.ProxiedResponseListener;
 import applespindle.corelogic.live.RequestHandle;
 import applespindle.testfleet.History.Kind;
-import applespindle.testfleet.OpaqueOperators.Route;
+import applespindle.testfleet.RouteOperators.Route;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -33,7 +33,7 @@
  * Clients of opaque requests and of opaque batches, who try again just as far as the answers they
  * got allow it.
  */
-final class OpaqueClients {
+final class ProxyClients {
   static final long DEADLINE_MS = 4_000;
   private static final long STREAM_SILENCE_MS = 2_000;
   private static final int TRIES = 4;
@@ -50,7 +50,7 @@
 
   private final SimulatedFleet fleet;
   private final Simulation simulation;
-  private final OpaqueOperators operators;
+  private final RouteOperators operators;
   private final History history;
   private long ids;
 
@@ -67,7 +67,7 @@
   final List<Long> latencies = new ArrayList<>();
   final List<BatchClient> batches = new ArrayList<>();
 
-  OpaqueClients(SimulatedFleet fleet, OpaqueOperators operators) {
+  ProxyClients(SimulatedFleet fleet, RouteOperators operators) {
     this.fleet = fleet;
     this.simulation = fleet.simulation;
     this.operators = operators;
@@ -220,7 +220,7 @@
               + " "
               + edge.name
               + (wish.resumeAfter.isEmpty() ? "" : " " + wish.resumeAfter),
-          OpaqueWorkers.asked(request),
+          ProxyWorkers.asked(request),
           wish.tokens);
       simulation.call(
           edge,
@@ -432,9 +432,9 @@
 
     private String itemMark() {
       if (simulation.random.nextInt(40) == 0) {
-        return OpaqueWorkers.IMPOSSIBLE;
+        return ProxyWorkers.IMPOSSIBLE;
       }
-      return simulation.random.nextInt(15) == 0 ? OpaqueWorkers.FAILING : "plain";
+      return simulation.random.nextInt(15) == 0 ? ProxyWorkers.FAILING : "plain";
     }
 
     BatchClient(Route route, int items) {
@@ -644,7 +644,9 @@
       closedFromMs = simulation.simulatedNowMs();
       boolean kept =
           simulation.simulatedNowMs()
-              < sentMs + Outside.KEEP_BATCHES_MS - (untilMs - simulation.simulatedNowMs());
+              < sentMs
+                  + SimulatedPlatform.KEEP_BATCHES_MS
+                  - (untilMs - simulation.simulatedNowMs());
       closed = !kept && known.size() == batch.items().size();
       if (accepted && !closed) {
         readAll(0, untilMs);
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyRules.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /** A group of rules over the same traffic; each adds what it finds to one list. */
-abstract class OpaqueRules {
-  final OpaqueTraffic traffic;
+abstract class ProxyRules {
+  final ProxyTraffic traffic;
   private final List<Violation> violations;
 
-  OpaqueRules(OpaqueTraffic traffic, List<Violation> violations) {
+  ProxyRules(ProxyTraffic traffic, List<Violation> violations) {
     this.traffic = traffic;
     this.violations = violations;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
@@ -2,7 +2,7 @@
 
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.History.Seen;
-import applespindle.testfleet.OpaqueOutput.Part;
+import applespindle.testfleet.ProxiedOutput.Part;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 
 /** What was seen of opaque requests, batches and changes of routes, put together for the rules. */
-final class OpaqueTraffic {
+final class ProxyTraffic {
   /** Statuses that promise that nothing ran. */
   static final Set<Long> PROMISES = Set.of(408L, 421L, 429L, 503L);
 
@@ -87,7 +87,7 @@
   }
 
   final List<Seen> seen;
-  final Touch touch;
+  final HealthyMachines touch;
   final Map<String, Long> bounds = new HashMap<>();
   final Map<String, Seen> requests = new HashMap<>();
   final Map<String, Seen> answers = new HashMap<>();
@@ -104,10 +104,10 @@
   final Map<String, Batch> batches = new LinkedHashMap<>();
   final Map<String, String> batchOfItem = new HashMap<>();
 
-  OpaqueTraffic(List<Seen> seen) {
+  ProxyTraffic(List<Seen> seen) {
     this.seen = seen;
     of(Kind.BOUND).forEach(each -> bounds.put(each.subject(), each.number()));
-    touch = new Touch(seen, bound("contactMs", 3_000), bound("losses", 1));
+    touch = new HealthyMachines(seen, bound("contactMs", 3_000), bound("losses", 1));
     learn();
   }
 
@@ -242,7 +242,7 @@
       if (run == null
           || run.began() == null
           || !run.request().equals(request)
-          || !part.asked().equals(OpaqueOutput.sum(asked))) {
+          || !part.asked().equals(ProxiedOutput.sum(asked))) {
         return "another's piece " + text;
       }
       if (part.first() != last + 1 || part.last() < part.first()) {
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyWorkers.java
@@ -26,7 +26,7 @@
  * that another may get later; it works on so many at once, reads of a prompt what it does not keep,
  * lets urgent ones take the place of others and keeps its output to what it was asked.
  */
-final class OpaqueWorkers {
+final class ProxyWorkers {
   /**
    * GREY fails a part, ERRS answers a part with 500, LOSES runs and resets, SLOWS when nearly full.
    */
@@ -384,7 +384,7 @@
       double took = stream ? 0 : engine.eventMs() * (tokens - first);
       if (stream && first <= last) {
         sendHead(200);
-        String text = OpaqueOutput.text(asked, first, last, label);
+        String text = ProxiedOutput.text(asked, first, last, label);
         tell(() -> piece(Integer.toString(last), "id: " + last + "\ndata: " + text + "\n\n"));
       }
       if (position < tokens) {
@@ -432,7 +432,7 @@
                     new Header(
                         "Content-Type",
                         stream && status == 200 ? "text/event-stream" : "text/plain"),
-                    new Header("Stamp", OpaqueOutput.stamp(asked, label))));
+                    new Header("Stamp", ProxiedOutput.stamp(asked, label))));
         tell(
             () -> {
               tellLoad(load);
@@ -448,8 +448,8 @@
       if (failure || !stream) {
         String text =
             failure
-                ? OpaqueChecker.failure(label, status)
-                : OpaqueOutput.text(asked, 1, tokens, label);
+                ? ProxyChecker.failure(label, status)
+                : ProxiedOutput.text(asked, 1, tokens, label);
         int half = text.length() / 2;
         tell(() -> piece("", text.substring(0, half)));
         tell(() -> piece("", text.substring(half)));
@@ -523,7 +523,7 @@
           wireMs,
           () -> {
             if (!over) {
-              ended(OpaqueChecker.DROPPED);
+              ended(ProxyChecker.DROPPED);
             }
           });
     }
@@ -551,7 +551,7 @@
   long readTokens;
   long promptedTokens;
 
-  OpaqueWorkers(Simulation simulation) {
+  ProxyWorkers(Simulation simulation) {
     this.simulation = simulation;
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
@@ -3,7 +3,7 @@
 import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.adapters.NumbersOnly;
+import applespindle.adapters.NoNameLookups;
 import applespindle.corelogic.batch.BatchKeys;
 import applespindle.corelogic.common.Json;
 import applespindle.testfleet.Fleet.Member;
@@ -121,7 +121,7 @@
 
     void submit() {
       tries++;
-      firstSentAt = firstSentAt < 0 ? StandInWorkers.nowMs() : firstSentAt;
+      firstSentAt = firstSentAt < 0 ? EmulatedWorkers.nowMs() : firstSentAt;
       sentTo = anotherEdge(sentTo);
       see(Kind.SUBMIT_SENT, key, "", "", fleet.deployment.batchItems);
       call(
@@ -141,7 +141,7 @@
                 status);
             if (status == 201) {
               batch = answer.path("batch").asText();
-              acceptedAt = StandInWorkers.nowMs();
+              acceptedAt = EmulatedWorkers.nowMs();
               poll();
             } else if (tries < plan.submitTries() && !(givesUp && definiteRefusal(status))) {
               eventloop.delay(1_000L, this::submit);
@@ -170,7 +170,7 @@
               next = page.path("next").asLong();
               if (page.path("state").asText().equals("finished")
                   && next >= fleet.deployment.batchItems) {
-                finishedAt = StandInWorkers.nowMs();
+                finishedAt = EmulatedWorkers.nowMs();
                 over = true;
                 return;
               }
@@ -197,7 +197,7 @@
     this.plan = plan;
     random = new Random(plan.seed());
     client =
-        HttpClient.builder(eventloop, new NumbersOnly())
+        HttpClient.builder(eventloop, new NoNameLookups())
             .withNoKeepAlive()
             .withReadWriteTimeout(Duration.ofMillis(plan.patienceMs()))
             .withConnectTimeout(Duration.ofSeconds(2))
@@ -212,7 +212,7 @@
     thread.start();
     eventloop.execute(
         () -> {
-          endsAt = StandInWorkers.nowMs() + plan.lengthMs();
+          endsAt = EmulatedWorkers.nowMs() + plan.lengthMs();
           see(
               Kind.CEILING,
               "",
@@ -229,13 +229,13 @@
                 batches();
               });
           eventloop.delay(
-              plan.lengthMs(), () -> waitForEnd(StandInWorkers.nowMs() + plan.settleMs()));
+              plan.lengthMs(), () -> waitForEnd(EmulatedWorkers.nowMs() + plan.settleMs()));
         });
     done.await();
   }
 
   private void waitForEnd(long latest) {
-    if (senders.stream().allMatch(sender -> sender.over) || StandInWorkers.nowMs() > latest) {
+    if (senders.stream().allMatch(sender -> sender.over) || EmulatedWorkers.nowMs() > latest) {
       eventloop.delay(2_000L, done::countDown);
     } else {
       eventloop.delay(POLL_MS, () -> waitForEnd(latest));
@@ -260,7 +260,7 @@
   /** Notes a page of results, or the answer given in its place. */
   public static void seeResults(History history, String key, int status, JsonNode page) {
     String state = page.path(status == 200 ? "state" : "type").asText("");
-    long nowMs = StandInWorkers.nowMs();
+    long nowMs = EmulatedWorkers.nowMs();
     history.add(nowMs, Kind.BATCH_READ, key, state, page.path("recorded").asText("0"), status);
     if (status != 200) {
       return;
@@ -273,7 +273,7 @@
   }
 
   private void see(Kind kind, String subject, String detail, String text, long number) {
-    fleet.history.add(StandInWorkers.nowMs(), kind, subject, detail, text, number);
+    fleet.history.add(EmulatedWorkers.nowMs(), kind, subject, detail, text, number);
   }
 
   private static JsonNode tree(String text) {
@@ -364,7 +364,7 @@
   }
 
   private void batches() {
-    if (StandInWorkers.nowMs() >= endsAt) {
+    if (EmulatedWorkers.nowMs() >= endsAt) {
       return;
     }
     int number = senders.size() + 1;
@@ -376,7 +376,7 @@
   }
 
   private void live(String trafficClass, double perSecond) {
-    if (StandInWorkers.nowMs() >= endsAt || perSecond <= 0) {
+    if (EmulatedWorkers.nowMs() >= endsAt || perSecond <= 0) {
       return;
     }
     sendLive(trafficClass);
@@ -392,7 +392,7 @@
     String prompt = SimulatedFleet.familyPrompt(random.nextInt(SimulatedFleet.FAMILIES), id);
     boolean stream = random.nextBoolean();
     see(Kind.LIVE_SENT, id, once, prompt, tokens);
-    long sentAt = StandInWorkers.nowMs();
+    long sentAt = EmulatedWorkers.nowMs();
     byte[] body =
         Json.bytes(
             JSON.createObjectNode()
@@ -423,7 +423,7 @@
           if (complete) {
             latencies
                 .computeIfAbsent(trafficClass, unseen -> new ArrayList<>())
-                .add(StandInWorkers.nowMs() - sentAt);
+                .add(EmulatedWorkers.nowMs() - sentAt);
           }
         });
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueChangeRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
@@ -4,18 +4,18 @@
 import applespindle.testfleet.Checker.Violation;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.History.Seen;
-import applespindle.testfleet.OpaqueTraffic.Batch;
-import applespindle.testfleet.OpaqueTraffic.Change;
-import applespindle.testfleet.OpaqueTraffic.Route;
-import applespindle.testfleet.OpaqueTraffic.Run;
+import applespindle.testfleet.ProxyTraffic.Batch;
+import applespindle.testfleet.ProxyTraffic.Change;
+import applespindle.testfleet.ProxyTraffic.Route;
+import applespindle.testfleet.ProxyTraffic.Run;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Changes of routes: who wins, what is read back, and what each request shows to be in force. */
-final class OpaqueChangeRules extends OpaqueRules {
-  OpaqueChangeRules(OpaqueTraffic traffic, List<Violation> violations) {
+final class RouteChangeRules extends ProxyRules {
+  RouteChangeRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
 
@@ -108,7 +108,7 @@
                 request,
                 request.text(),
                 request.atMs(),
-                OpaqueTraffic.edgeOf(request),
+                ProxyTraffic.edgeOf(request),
                 each.atMs(),
                 null,
                 provenAt);
@@ -135,8 +135,8 @@
             .filter(
                 change -> {
                   Route route =
-                      OpaqueTraffic.routeOf(
-                          change, OpaqueTraffic.host(asked), OpaqueTraffic.path(asked));
+                      ProxyTraffic.routeOf(
+                          change, ProxyTraffic.host(asked), ProxyTraffic.path(asked));
                   return pool == null
                       ? route == null
                       : route != null && route.pools().contains(pool);
@@ -186,8 +186,8 @@
   private static String described(Seen request, String asked, String edge, String pool) {
     return (request == null ? "an item" : request.subject())
         + " asked "
-        + OpaqueTraffic.host(asked)
-        + OpaqueTraffic.path(asked)
+        + ProxyTraffic.host(asked)
+        + ProxyTraffic.path(asked)
         + " at "
         + edge
         + (pool == null ? " and was told of no route" : " ran in " + pool);
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
@@ -21,7 +21,7 @@
  * sometimes at once, sometimes under one number, sometimes faulty ones. What gets no clear answer
  * is sent again as it was, to any node.
  */
-final class OpaqueOperators {
+final class RouteOperators {
   static final long RETENTION_MS = 60_000;
   private static final long TIMEOUT_MS = 4_000;
   private static final long TARGET_MS = 500;
@@ -91,7 +91,7 @@
 
   long slowestYesMs;
 
-  OpaqueOperators(SimulatedFleet fleet, long waitingTokensMost) {
+  RouteOperators(SimulatedFleet fleet, long waitingTokensMost) {
     this.fleet = fleet;
     this.simulation = fleet.simulation;
     this.waitingTokensMost = waitingTokensMost;
@@ -360,7 +360,7 @@
           .put("prefixBlockChars", 64)
           .put("prefixBlocks", 4)
           .put("loadFactor", 1.5)
-          .put("slots", OpaqueWorkers.SLOTS)
+          .put("slots", ProxyWorkers.SLOTS)
           .put("connectionsMost", 200)
           .put("keptTokensMost", 20_000);
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/Scenario.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Scenario.java
@@ -26,9 +26,9 @@
  * edge-links (Mbit/s of each edge's link), edge-processor (share of a core that each edge has; what
  * an edge does takes no time without it), larger-edges (how many edges have another share of a
  * core, and another Mbit/s), list (lag in ms, calls a second), waiting-tokens (the most on the
- * batch route), watch-core (from, to: a trouble of the core, see CoreWatch), random (from, to: one
- * fault after the other, each mended before the next), losses (disks are lost too), expect (what,
- * number). Whatever the file says, the outside checker and the invariants always count.
+ * batch route), watch-core (from, to: a trouble of the core, see ControlPlaneProbe), random (from,
+ * to: one fault after the other, each mended before the next), losses (disks are lost too), expect
+ * (what, number). Whatever the file says, the outside checker and the invariants always count.
  */
 public final class Scenario {
   private static final long TRAFFIC_FROM_MS = 15_000;
@@ -209,7 +209,7 @@
     fleet.largerEdges(largerEdges, largerEdgeShare, largerEdgeMbits);
     fleet.start();
     if (watchToMs > 0) {
-      fleet.watch = new CoreWatch(fleet, watchFromMs, watchToMs);
+      fleet.watch = new ControlPlaneProbe(fleet, watchFromMs, watchToMs);
     }
     if (outsideLosses > 0) {
       opaque.forEach(
@@ -642,7 +642,7 @@
       case "opaque-worker" ->
           opaqueWorkers(fleet, words[1])
               .forEach(
-                  worker -> worker.become(OpaqueWorkers.Condition.valueOf(words[2].toUpperCase())));
+                  worker -> worker.become(ProxyWorkers.Condition.valueOf(words[2].toUpperCase())));
       case "opaque-worker-leaves" -> opaqueWorkers(fleet, words[1]).forEach(fleet.outside::leave);
       case "opaque-worker-crashes" ->
           opaqueWorkers(fleet, words[1])
@@ -716,7 +716,7 @@
     }
     Process process = fleet.simulation.processes.get(names.get(0));
     process.stopPolitely(
-        Outside.GRACE_MS,
+        SimulatedPlatform.GRACE_MS,
         () ->
             fleet.simulation.afterMs(
                 1_000,
@@ -728,8 +728,8 @@
   }
 
   /** By id, by pool, "any" or "every". */
-  private static List<OpaqueWorkers.Worker> opaqueWorkers(SimulatedFleet fleet, String word) {
-    List<OpaqueWorkers.Worker> present =
+  private static List<ProxyWorkers.Worker> opaqueWorkers(SimulatedFleet fleet, String word) {
+    List<ProxyWorkers.Worker> present =
         fleet.outside.workers.present().stream().filter(worker -> !worker.leaving).toList();
     return word.equals("any")
         ? List.of(present.get(fleet.simulation.random.nextInt(present.size())))
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -240,16 +240,16 @@
    * The platform round the fleet, its operators and its clients; null where the fleet runs the
    * product's own way.
    */
-  Outside outside;
+  SimulatedPlatform outside;
 
-  OpaqueOperators operators;
-  OpaqueClients clients;
+  RouteOperators operators;
+  ProxyClients clients;
 
   /** Expectations of a scenario that did not hold at their time. */
   final List<String> earlyFaults = new ArrayList<>();
 
   /** Callers of the core, where the scenario has them. */
-  CoreWatch watch;
+  ControlPlaneProbe watch;
 
   /** With opaque workers, listed outside, and nodes that bear so many losses at once. */
   static SimulatedFleet withOutside(
@@ -264,10 +264,10 @@
       fleet.addWithDisk("core-" + more, "core", more - 1);
       fleet.addWithDisk("storage-" + more, "storage", more - 1);
     }
-    fleet.outside = new Outside(fleet.simulation, losses, lagMs, listCallsPerS);
+    fleet.outside = new SimulatedPlatform(fleet.simulation, losses, lagMs, listCallsPerS);
     fleet.simulation.outside = fleet.outside;
-    fleet.operators = new OpaqueOperators(fleet, waitingTokensMost);
-    fleet.clients = new OpaqueClients(fleet, fleet.operators);
+    fleet.operators = new RouteOperators(fleet, waitingTokensMost);
+    fleet.clients = new ProxyClients(fleet, fleet.operators);
     for (int index = 0; index < deployment.workers; index++) {
       fleet.outside.join(index % 2 == 0 ? "alpha" : "beta", "zone-" + index % 3);
     }
