--- a/test-fleet/src/main/java/applespindle/testfleet/Outside.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
@@ -7,7 +7,7 @@
  * The platform round a simulated fleet: its bounds, its workers of opaque requests and its list of
  * them.
  */
-final class Outside {
+final class SimulatedPlatform {
   static final long DRAIN_MS = 3_000;
   static final long CANCEL_MS = 3_000;
   static final long GRACE_MS = 8_000;
@@ -21,14 +21,14 @@
 
   final Simulation simulation;
   final int losses;
-  final OpaqueWorkers workers;
+  final ProxyWorkers workers;
   final WorkerListing list;
   private int born;
 
-  Outside(Simulation simulation, int losses, long lagMs, double callsPerS) {
+  SimulatedPlatform(Simulation simulation, int losses, long lagMs, double callsPerS) {
     this.simulation = simulation;
     this.losses = losses;
-    this.workers = new OpaqueWorkers(simulation);
+    this.workers = new ProxyWorkers(simulation);
     this.list = new WorkerListing(simulation, lagMs, callsPerS);
     simulation.settings = bounds();
     simulation.foundedByMs = FOUNDED_BY_MS;
@@ -49,8 +49,8 @@
     bound("keepBatchesMs", KEEP_BATCHES_MS);
     bound("lossSlackMs", 200);
     bound("recoveryMs", 12_000);
-    bound("requestTimeoutMs", OpaqueClients.DEADLINE_MS);
-    bound("retentionMs", OpaqueOperators.RETENTION_MS);
+    bound("requestTimeoutMs", ProxyClients.DEADLINE_MS);
+    bound("retentionMs", RouteOperators.RETENTION_MS);
     bound("overshootPercent", Math.round(100 * OVERSHOOT));
   }
 
@@ -76,15 +76,15 @@
         LINK_MEGABITS);
   }
 
-  OpaqueWorkers.Worker join(String pool, String zone) {
+  ProxyWorkers.Worker join(String pool, String zone) {
     String address = list.freeAddress();
-    OpaqueWorkers.Worker worker = workers.add("i-" + ++born, address, pool, zone);
+    ProxyWorkers.Worker worker = workers.add("i-" + ++born, address, pool, zone);
     list.put(worker, "ready", 0);
     return worker;
   }
 
   /** Shown as leaving first, serves on for the time to drain and a little longer, and is gone. */
-  void leave(OpaqueWorkers.Worker worker) {
+  void leave(ProxyWorkers.Worker worker) {
     if (worker.leaving || worker.over) {
       return;
     }
@@ -94,11 +94,11 @@
   }
 
   /** Dies at once and stays on the list for a while. */
-  void crash(OpaqueWorkers.Worker worker, long listedOnMs) {
+  void crash(ProxyWorkers.Worker worker, long listedOnMs) {
     end(worker, listedOnMs);
   }
 
-  private void end(OpaqueWorkers.Worker worker, long listedOnMs) {
+  private void end(ProxyWorkers.Worker worker, long listedOnMs) {
     if (worker.over) {
       return;
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
@@ -6,8 +6,8 @@
 import applespindle.corelogic.environment.Environment.WorkerCall;
 import applespindle.corelogic.environment.Environment.WorkerCallListener;
 import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.testfleet.EmulatedWorkers.Pace;
 import applespindle.testfleet.History.Kind;
-import applespindle.testfleet.StandInWorkers.Pace;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -93,7 +93,7 @@
       this.callerDead = callerDead;
       this.prompt = body.path("prompt").asText();
       this.item = body.path("applespindle_item").asText("");
-      this.tokens = body.path("max_tokens").asInt(StandInOutput.TOKENS_UNLESS_TOLD);
+      this.tokens = body.path("max_tokens").asInt(EmulatedOutput.TOKENS_UNLESS_TOLD);
       this.heardAtMs = simulation.simulatedNowMs();
       this.expiresAtMs = simulation.simulatedNowMs() + call.expiryMs();
     }
@@ -178,7 +178,7 @@
         simulation.afterMs(WIRE_MS, () -> listener.end("stop"));
         return;
       }
-      String text = StandInOutput.token(prompt, position++);
+      String text = EmulatedOutput.token(prompt, position++);
       simulation.afterMs(WIRE_MS, () -> listener.text(text));
       next(pace.tokenMs());
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -3,7 +3,7 @@
 import static applespindle.corelogic.common.Json.JSON;
 
 import applespindle.adapters.PeerCodec;
-import applespindle.adapters.UnreadableFrame;
+import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.configuration.ConfigurationFormat;
 import applespindle.corelogic.constants.PeerConnectionConstants;
@@ -137,7 +137,7 @@
     private final ArrayDeque<Runnable> whileFrozen = new ArrayDeque<>();
     private final List<LogRecord> unsynced = new ArrayList<>();
     private final Set<SimulatedWorkers.Run> runs = new LinkedHashSet<>();
-    private final Set<OpaqueWorkers.Run> opaqueRuns = new LinkedHashSet<>();
+    private final Set<ProxyWorkers.Run> opaqueRuns = new LinkedHashSet<>();
 
     /** Told when the process dies: callers that wait for it. */
     private final Set<Runnable> waitingCallers = new LinkedHashSet<>();
@@ -247,7 +247,7 @@
       unsynced.clear();
       List.copyOf(runs).forEach(SimulatedWorkers.Run::dropped);
       runs.clear();
-      List.copyOf(opaqueRuns).forEach(OpaqueWorkers.Run::dropped);
+      List.copyOf(opaqueRuns).forEach(ProxyWorkers.Run::dropped);
       opaqueRuns.clear();
       List.copyOf(waitingCallers).forEach(Runnable::run);
       waitingCallers.clear();
@@ -261,7 +261,7 @@
     void resetConnections() {
       trouble(this, true, "reset");
       connections++;
-      List.copyOf(opaqueRuns).forEach(OpaqueWorkers.Run::reset);
+      List.copyOf(opaqueRuns).forEach(ProxyWorkers.Run::reset);
       opaqueRuns.clear();
       List.copyOf(waitingCallers).forEach(Runnable::run);
       waitingCallers.clear();
@@ -523,7 +523,7 @@
     @Override
     public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
       int inLife = life;
-      OpaqueWorkers.Run[] run = new OpaqueWorkers.Run[1];
+      ProxyWorkers.Run[] run = new ProxyWorkers.Run[1];
       run[0] =
           outside.workers.run(
               name,
@@ -743,7 +743,7 @@
   Instant instant;
 
   /** The platform round the fleet, where there is one: opaque workers and the list of them. */
-  Outside outside;
+  SimulatedPlatform outside;
 
   private Envelope struckByReceiving;
   public final SplittableRandom random;
@@ -784,7 +784,7 @@
   private long steps;
   private long messages;
 
-  public Simulation(long seed, Map<String, String> operatorKeys, StandInWorkers.Pace pace) {
+  public Simulation(long seed, Map<String, String> operatorKeys, EmulatedWorkers.Pace pace) {
     this.random = new SplittableRandom(seed);
     this.operatorKeys = operatorKeys;
     this.workers = new SimulatedWorkers(this, pace);
@@ -854,7 +854,7 @@
   private Envelope decoded(byte[] frame, Envelope envelope) {
     try {
       return codec.decode(frame);
-    } catch (UnreadableFrame broken) {
+    } catch (UnreadableFrameException broken) {
       throw new InvariantBroken("a message did not survive its own codec: " + envelope.message());
     }
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerEngine.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerEngine.java
@@ -26,10 +26,10 @@
     boolean tellsLoad,
     long keptTokensMost) {
   static final WorkerEngine DEFAULT =
-      new WorkerEngine(OpaqueWorkers.SLOTS, 6, 8, 0.05, 4, 0, false, true, true, 20_000);
+      new WorkerEngine(ProxyWorkers.SLOTS, 6, 8, 0.05, 4, 0, false, true, true, 20_000);
 
   /** Hears of each request that arrives at a worker, before it is queued. */
   interface Watcher {
-    void arrives(OpaqueWorkers.Worker worker, String edgeZone, ProxiedRequest request);
+    void arrives(ProxyWorkers.Worker worker, String edgeZone, ProxiedRequest request);
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
@@ -80,7 +80,7 @@
     freed.add(address);
   }
 
-  void put(OpaqueWorkers.Worker worker, String state, long listedOnMs) {
+  void put(ProxyWorkers.Worker worker, String state, long listedOnMs) {
     simulation.afterMs(
         listedOnMs,
         () -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/OpaqueRunRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
@@ -4,14 +4,14 @@
 import applespindle.testfleet.Checker.Violation;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.History.Seen;
-import applespindle.testfleet.OpaqueTraffic.Run;
+import applespindle.testfleet.ProxyTraffic.Run;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** What workers are asked to run, and how often. */
-final class OpaqueRunRules extends OpaqueRules {
-  OpaqueRunRules(OpaqueTraffic traffic, List<Violation> violations) {
+final class WorkerRunRules extends ProxyRules {
+  WorkerRunRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
 
@@ -68,7 +68,7 @@
   private void ranAsPromised(String id, List<Run> ofRequest) {
     Seen request = traffic.requests.get(id);
     List<Run> begun = ofRequest.stream().filter(run -> run.began() != null).toList();
-    if (request == null || OpaqueTraffic.repeatable(request) || begun.isEmpty()) {
+    if (request == null || ProxyTraffic.repeatable(request) || begun.isEmpty()) {
       return;
     }
     if (begun.size() > 1) {
@@ -77,7 +77,7 @@
     Seen answer = traffic.answers.get(id);
     if (answer != null
         && answer.detail().equals("refused")
-        && OpaqueTraffic.PROMISES.contains(answer.number())) {
+        && ProxyTraffic.PROMISES.contains(answer.number())) {
       violated(
           Rule.REFUSED_REQUEST_RAN,
           begun.get(0).began().atMs(),
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/CapacityProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/CapacityProgram.java
@@ -71,7 +71,7 @@
         .addArgument("--only")
         .nargs("+")
         .metavar("EXPERIMENT")
-        .help("of: " + new Slopes(new Measurements()).names());
+        .help("of: " + new ScalingMeasurements(new Measurements()).names());
     Subparser plot =
         commands.addParser("plot").help("draw a result file again and print its slopes");
     plot.addArgument("file").nargs("+").help("result files, such as docs/capacity/control.json");
@@ -114,7 +114,7 @@
 
   private static void slopes(Namespace flags, String command) throws Refused, IOException {
     Measurements measured = new Measurements();
-    Slopes slopes = new Slopes(measured);
+    ScalingMeasurements slopes = new ScalingMeasurements(measured);
     List<String> reasons = new ArrayList<>();
     demand(reasons, "--runs", flags.getInt("runs"), 1, RUNS_MOST);
     demand(reasons, "--sizes", flags.getInt("sizes"), 1, SIZES_MOST);
@@ -176,7 +176,7 @@
             + ", "
             + file.made().at()
             + ".\n\n"
-            + TargetSize.table(TargetSize.terms(file.rows()));
+            + TargetExtrapolation.table(TargetExtrapolation.terms(file.rows()));
     if (flags.getString("out") != null) {
       Measurements.writeWhole(Path.of(flags.getString("out")).resolve("target.md"), table);
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/LoneNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
@@ -1,7 +1,7 @@
 package applespindle.testfleet.capacity;
 
 import applespindle.adapters.PeerCodec;
-import applespindle.adapters.UnreadableFrame;
+import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
@@ -37,27 +37,27 @@
  * One node that is told things and whose own words go nowhere: for what it holds and what taking it
  * in costs.
  */
-final class LoneNode implements Environment {
+final class IsolatedNode implements Environment {
   private static final int FRAME_HEAD_BYTES = 4;
   private final PeerCodec codec = new PeerCodec();
   private final RandomGenerator random = new SplittableRandom(1);
   final Node node;
   long sentBytes;
 
-  LoneNode(Function<LoneNode, Node> maker) {
+  IsolatedNode(Function<IsolatedNode, Node> maker) {
     this.node = maker.apply(this);
   }
 
-  static LoneNode edge() {
-    return new LoneNode(surroundings -> new EdgeNode(surroundings, place("edge")));
+  static IsolatedNode edge() {
+    return new IsolatedNode(surroundings -> new EdgeNode(surroundings, place("edge")));
   }
 
-  static LoneNode storage() {
-    return new LoneNode(surroundings -> new StorageNode(surroundings, place("storage")));
+  static IsolatedNode storage() {
+    return new IsolatedNode(surroundings -> new StorageNode(surroundings, place("storage")));
   }
 
-  static LoneNode core() {
-    return new LoneNode(
+  static IsolatedNode core() {
+    return new IsolatedNode(
         surroundings -> new ControlPlaneNode(surroundings, place("core"), Map.of(), List.of()));
   }
 
@@ -81,7 +81,7 @@
     try {
       byte[] frame = codec.encode(new Envelope("core00000001", "10.0.1.1:7000", "", message));
       node.receive(codec.decode(frame));
-    } catch (UnreadableFrame broken) {
+    } catch (UnreadableFrameException broken) {
       throw new IllegalStateException(broken);
     }
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowHost.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightEdgeHost.java
@@ -44,7 +44,7 @@
  * thread for all, no HTTP, no disk and no workers that answer. Takes a command a line, answers each
  * by one line of JSON.
  */
-public final class HollowHost {
+public final class LightweightEdgeHost {
   /** Nodes come up this far apart, so that their beats do not fall on one instant. */
   private static final long START_APART_MS = 3;
 
@@ -76,7 +76,7 @@
 
   private final class Hollow implements Environment {
     final int index;
-    final HollowPeers peers;
+    final LightweightPeerTransport peers;
     private final SplittableRandom random;
     Node node;
     boolean up;
@@ -85,7 +85,7 @@
     Hollow(int index) throws IOException {
       this.index = index;
       this.random = new SplittableRandom(index);
-      this.peers = new HollowPeers(loop, codec, layout.address(index), this::received);
+      this.peers = new LightweightPeerTransport(loop, codec, layout.address(index), this::received);
     }
 
     void start() {
@@ -205,7 +205,7 @@
 
   private int cutRegion = -1;
 
-  private HollowHost(Layout layout, int first, int count) throws IOException {
+  private LightweightEdgeHost(Layout layout, int first, int count) throws IOException {
     this.layout = layout;
     for (int index = first; index < first + count; index++) {
       hollows.add(new Hollow(index));
@@ -219,7 +219,7 @@
     var layout =
         new Layout(
             numbers[0], numbers[1], numbers[2], List.of(arguments).subList(5, arguments.length));
-    HollowHost host = new HollowHost(layout, numbers[3], numbers[4]);
+    LightweightEdgeHost host = new LightweightEdgeHost(layout, numbers[3], numbers[4]);
     host.loop.keepAlive(true);
     Thread thread = new Thread(host.loop, "hollow");
     thread.start();
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/HollowPeers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightPeerTransport.java
@@ -2,7 +2,7 @@
 
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.PeerCodec;
-import applespindle.adapters.UnreadableFrame;
+import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.constants.PeerConnectionConstants;
 import applespindle.corelogic.protocol.Envelope;
 import io.activej.bytebuf.ByteBuf;
@@ -24,7 +24,7 @@
  * The peer frames of one hollow node over TCP, on a loop that many such nodes share. Counts what
  * goes by.
  */
-final class HollowPeers {
+final class LightweightPeerTransport {
   private static final int HEAD_BYTES = 4;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final int BUFFER_BYTES = 4096;
@@ -178,7 +178,7 @@
                   head == size
                       ? Arrays.copyOfRange(bytes, at - size, at)
                       : deflation.inflate(bytes, at - size, size)));
-        } catch (UnreadableFrame broken) {
+        } catch (UnreadableFrameException broken) {
           throw new IllegalStateException(broken);
         }
       }
@@ -195,7 +195,8 @@
   long sent;
   long received;
 
-  HollowPeers(Eventloop loop, PeerCodec codec, String address, Consumer<Envelope> receiver)
+  LightweightPeerTransport(
+      Eventloop loop, PeerCodec codec, String address, Consumer<Envelope> receiver)
       throws IOException {
     this.loop = loop;
     this.codec = codec;
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -4,7 +4,7 @@
 
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.PeerCodec;
-import applespindle.adapters.UnreadableFrame;
+import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.constants.PeerConnectionConstants;
@@ -347,7 +347,7 @@
   private void decode(byte[] frame) {
     try {
       codec.decode(frame);
-    } catch (UnreadableFrame broken) {
+    } catch (UnreadableFrameException broken) {
       throw new IllegalStateException(broken);
     }
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
@@ -84,7 +84,7 @@
   private final int cutMost;
   private final Fleet fleet;
   private final List<Host> hosts = new ArrayList<>();
-  private final HollowHost.Layout layout;
+  private final LightweightEdgeHost.Layout layout;
   private long bundleNumber = 1;
 
   ProcessScale(
@@ -110,7 +110,8 @@
     Runtime.getRuntime().addShutdownHook(new Thread(this::close));
     fleet.start();
     fleet.open(JOIN_MS);
-    layout = new HollowHost.Layout(nodes, firstPort + PORTS_OF_FLEET, ZONES, fleet.corePeers());
+    layout =
+        new LightweightEdgeHost.Layout(nodes, firstPort + PORTS_OF_FLEET, ZONES, fleet.corePeers());
     int each = (nodes + hostCount - 1) / hostCount;
     for (int first = 0; first < nodes; first += each) {
       int count = Math.min(each, nodes - first);
@@ -124,7 +125,7 @@
                   "-XX:+ExitOnOutOfMemoryError",
                   "-cp",
                   classPath,
-                  HollowHost.class.getName(),
+                  LightweightEdgeHost.class.getName(),
                   Integer.toString(nodes),
                   Integer.toString(layout.firstPort()),
                   Integer.toString(ZONES),
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/Slopes.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ScalingMeasurements.java
@@ -28,7 +28,7 @@
 import java.util.stream.IntStream;
 
 /** What each role's state and messages cost, each at three sizes or more. */
-final class Slopes {
+final class ScalingMeasurements {
   private interface Experiment {
     void run(int size, long seed);
   }
@@ -53,7 +53,7 @@
   private final Measurements measured;
   private final Map<String, Planned> planned = new LinkedHashMap<>();
 
-  Slopes(Measurements measured) {
+  ScalingMeasurements(Measurements measured) {
     this.measured = measured;
     plan("nodes", this::nodes, 25, 50, 100, 200);
     plan("workers", this::workers, 25, 50, 100, 200, 400);
@@ -625,7 +625,7 @@
         "B",
         "items in a batch",
         items,
-        appends.stream().mapToInt(LoneNode::bytesOf).max().orElse(0));
+        appends.stream().mapToInt(IsolatedNode::bytesOf).max().orElse(0));
     List<AppendRequest> ofOneReplica = firstOfEach(appends);
     add(
         "batch-items",
@@ -636,7 +636,7 @@
         items,
         heapOf(
                 () -> {
-                  LoneNode storage = LoneNode.storage();
+                  IsolatedNode storage = IsolatedNode.storage();
                   ofOneReplica.forEach(storage::tell);
                   return storage;
                 })
@@ -705,13 +705,13 @@
   }
 
   private void joined(String experiment, String variable, int size, List<MetadataRecord> items) {
-    Message checkpoint = LoneNode.checkpoint(items);
+    Message checkpoint = IsolatedNode.checkpoint(items);
     long[] nanos = new long[1];
     double heap =
         heapOf(
             () -> {
-              LoneNode edge = LoneNode.edge();
-              edge.tell(LoneNode.roster());
+              IsolatedNode edge = IsolatedNode.edge();
+              edge.tell(IsolatedNode.roster());
               long begun = THREADS.getCurrentThreadCpuTime();
               edge.tell(checkpoint);
               nanos[0] = THREADS.getCurrentThreadCpuTime() - begun;
@@ -726,15 +726,15 @@
         "B",
         variable,
         size,
-        LoneNode.bytesOf(checkpoint));
+        IsolatedNode.bytesOf(checkpoint));
   }
 
   private void joinMembers(int members, long seed) {
-    joined("join-members", "nodes", members, LoneNode.members(members));
+    joined("join-members", "nodes", members, IsolatedNode.members(members));
   }
 
   private void joinWorkers(int workers, long seed) {
-    joined("join-workers", "workers", workers, LoneNode.workers(workers));
+    joined("join-workers", "workers", workers, IsolatedNode.workers(workers));
   }
 
   private void joinRoutes(int rules, long seed) {
@@ -742,7 +742,7 @@
         "join-routes",
         "routes",
         rules,
-        List.of(LoneNode.bundle(1, MeasuredFleet.bundle(1, rules, 0))));
+        List.of(IsolatedNode.bundle(1, MeasuredFleet.bundle(1, rules, 0))));
   }
 
   /** What a core node keeps of what each edge says it knows, with 200 workers listed. */
@@ -755,7 +755,7 @@
     double heap =
         heapOf(
             () -> {
-              LoneNode core = LoneNode.core();
+              IsolatedNode core = IsolatedNode.core();
               for (int index = 0; index < edges; index++) {
                 core.tell(
                     new Message.AppliedPositions(
@@ -778,7 +778,7 @@
         "B",
         "nodes (200 workers)",
         edges,
-        LoneNode.bytesOf(new Message.AppliedPositions("10.1.0.1:7001", places)));
+        IsolatedNode.bytesOf(new Message.AppliedPositions("10.1.0.1:7001", places)));
   }
 
   /** The choice of a worker's feeder, made anew for every worker when a member comes or goes. */
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetSize.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetExtrapolation.java
@@ -13,7 +13,7 @@
  * Today's design at the target's size, worked out from measured slopes; nothing here is measured at
  * that size.
  */
-final class TargetSize {
+final class TargetExtrapolation {
   static final int NODES = 1_700;
   static final int WORKERS = 7_400;
   static final int TENANTS = 3_100;
@@ -58,12 +58,12 @@
   private final Map<String, List<Row>> series;
   private final List<Term> terms = new ArrayList<>();
 
-  private TargetSize(List<Row> rows) {
+  private TargetExtrapolation(List<Row> rows) {
     series = Measurements.bySeries(rows);
   }
 
   static List<Term> terms(List<Row> rows) throws Unusable {
-    TargetSize target = new TargetSize(rows);
+    TargetExtrapolation target = new TargetExtrapolation(rows);
     target.edge();
     target.core();
     target.losses();
@@ -241,7 +241,7 @@
   private double forOneBatch(String metric) throws Unusable {
     List<Row> found = series("batch-edges", "edge", metric);
     return (found.get(found.size() - 1).median() - at("nodes", "edge", metric, NODES))
-        / Slopes.OPEN_BATCHES;
+        / ScalingMeasurements.OPEN_BATCHES;
   }
 
   private void core() throws Unusable {
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/Links.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/NetworkFaults.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** What becomes of the bytes between processes, and between clients and edges, at this moment. */
-final class Links {
+final class NetworkFaults {
   /** In place of a process's name: those who call the edges. */
   static final String CLIENTS = "clients";
 
@@ -32,7 +32,7 @@
     }
 
     private static boolean matches(String wanted, String name) {
-      return wanted.equals(name) || wanted.equals(Trouble.ALL) && !name.equals(CLIENTS);
+      return wanted.equals(name) || wanted.equals(SoakFault.ALL) && !name.equals(CLIENTS);
     }
   }
 
@@ -64,15 +64,15 @@
     return counts;
   }
 
-  void begin(Trouble trouble) {
+  void begin(SoakFault trouble) {
     cuts.addAll(cutsOf(trouble));
   }
 
-  void end(Trouble trouble) {
+  void end(SoakFault trouble) {
     cutsOf(trouble).forEach(cuts::remove);
   }
 
-  private static List<Cut> cutsOf(Trouble trouble) {
+  private static List<Cut> cutsOf(SoakFault trouble) {
     String target = trouble.target();
     String other = trouble.other();
     List<Cut> made = new ArrayList<>();
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/PeerSender.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/PeerSender.java
@@ -2,7 +2,7 @@
 
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.PeerCodec;
-import applespindle.adapters.UnreadableFrame;
+import applespindle.adapters.UnreadableFrameException;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.Map;
@@ -38,7 +38,7 @@
               ? Arrays.copyOfRange(begun, HEAD_BYTES, HEAD_BYTES + size)
               : deflation.inflate(begun, HEAD_BYTES, size);
       return processes.getOrDefault(codec.decode(frame).fromAddress(), UNKNOWN);
-    } catch (UnreadableFrame garbage) {
+    } catch (UnreadableFrameException garbage) {
       return UNKNOWN;
     }
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/RelayedConnection.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/RelayedConnection.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet.soak;
 
-import applespindle.testfleet.soak.Links.Traffic;
+import applespindle.testfleet.soak.NetworkFaults.Traffic;
 import io.activej.bytebuf.ByteBuf;
 import io.activej.eventloop.Eventloop;
 import io.activej.net.socket.tcp.ITcpSocket;
@@ -24,7 +24,7 @@
   }
 
   /** Whoever calls the http port is a client. */
-  static final Sender CLIENT = begun -> Links.CLIENTS;
+  static final Sender CLIENT = begun -> NetworkFaults.CLIENTS;
 
   private static final long LOOK_MS = 10;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
@@ -127,7 +127,7 @@
   }
 
   private final Eventloop eventloop;
-  private final Links links;
+  private final NetworkFaults links;
   private final ITcpSocket opener;
   private final String process;
   private final Sender sender;
@@ -138,7 +138,7 @@
   private boolean over;
 
   RelayedConnection(
-      Eventloop eventloop, Links links, ITcpSocket opener, String process, Sender sender) {
+      Eventloop eventloop, NetworkFaults links, ITcpSocket opener, String process, Sender sender) {
     this.eventloop = eventloop;
     this.links = links;
     this.opener = opener;
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/Relays.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/Relays.java
@@ -19,7 +19,7 @@
 final class Relays implements Fleet.Wiring, AutoCloseable {
   private final Eventloop eventloop = Eventloop.builder().withThreadName("relays").build();
   private final Thread thread = new Thread(eventloop, "relays");
-  private final Links links;
+  private final NetworkFaults links;
 
   /** By the peer address that it tells. */
   private final Map<String, String> processes = new ConcurrentHashMap<>();
@@ -29,7 +29,7 @@
   /** Touched on the relays' thread only. */
   private final List<SimpleServer> servers = new ArrayList<>();
 
-  Relays(Links links) {
+  Relays(NetworkFaults links) {
     this.links = links;
     eventloop.ensureSelector();
     eventloop.keepAlive(true);
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/Trouble.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakFault.java
@@ -9,7 +9,7 @@
  *
  * @param other the one other process that a cut concerns, or {@link #ALL}
  */
-record Trouble(Kind kind, String target, String other, long fromMs, long untilMs) {
+record SoakFault(Kind kind, String target, String other, long fromMs, long untilMs) {
   /** In place of another process's name: all others. */
   static final String ALL = "all";
 
@@ -40,7 +40,7 @@
     }
   }
 
-  boolean overlaps(Trouble another) {
+  boolean overlaps(SoakFault another) {
     return fromMs < another.untilMs && another.fromMs < untilMs;
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/TroubleMaker.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakFaultInjector.java
@@ -1,9 +1,9 @@
 package applespindle.testfleet.soak;
 
+import applespindle.testfleet.EmulatedWorkers;
 import applespindle.testfleet.Fleet;
 import applespindle.testfleet.Fleet.Member;
 import applespindle.testfleet.History;
-import applespindle.testfleet.StandInWorkers;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,15 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /** Does to a fleet what a plan says, and heals it again. */
-final class TroubleMaker {
-  private record Step(long atMs, Trouble trouble, boolean begins) {}
+final class SoakFaultInjector {
+  private record Step(long atMs, SoakFault trouble, boolean begins) {}
 
   private final Fleet fleet;
-  private final Links links;
+  private final NetworkFaults links;
   private final InvariantCounters invariants;
   private final Map<String, DutyCycle> dutyCycles = new HashMap<>();
 
-  TroubleMaker(Fleet fleet, Links links, InvariantCounters invariants) {
+  SoakFaultInjector(Fleet fleet, NetworkFaults links, InvariantCounters invariants) {
     this.fleet = fleet;
     this.links = links;
     this.invariants = invariants;
@@ -29,11 +29,11 @@
 
   /** Returns once the last trouble is healed; killed processes are then started, not yet ready. */
   void run(SoakPlan plan) throws IOException, InterruptedException {
-    long begunAt = StandInWorkers.nowMs();
+    long begunAt = EmulatedWorkers.nowMs();
     // More is broken at a time than the brief asks to survive in time; nothing else is excused.
     note("beyond-begins");
     for (Step step : steps(plan)) {
-      TimeUnit.MILLISECONDS.sleep(Math.max(0, begunAt + step.atMs() - StandInWorkers.nowMs()));
+      TimeUnit.MILLISECONDS.sleep(Math.max(0, begunAt + step.atMs() - EmulatedWorkers.nowMs()));
       note((step.begins() ? "begin " : "end ") + step.trouble());
       if (step.begins()) {
         begin(step.trouble());
@@ -46,7 +46,7 @@
 
   private static List<Step> steps(SoakPlan plan) {
     List<Step> steps = new ArrayList<>();
-    for (Trouble trouble : plan.troubles()) {
+    for (SoakFault trouble : plan.troubles()) {
       steps.add(new Step(trouble.fromMs(), trouble, true));
       steps.add(new Step(trouble.untilMs(), trouble, false));
     }
@@ -55,10 +55,10 @@
   }
 
   private void note(String what) {
-    fleet.history.add(StandInWorkers.nowMs(), History.Kind.FAULT, what, "", "", 0);
+    fleet.history.add(EmulatedWorkers.nowMs(), History.Kind.FAULT, what, "", "", 0);
   }
 
-  private void begin(Trouble trouble) throws IOException {
+  private void begin(SoakFault trouble) throws IOException {
     Member target = fleet.member(trouble.target());
     switch (trouble.kind()) {
       case KILL -> {
@@ -71,7 +71,7 @@
     }
   }
 
-  private void end(Trouble trouble) throws IOException {
+  private void end(SoakFault trouble) throws IOException {
     Member target = fleet.member(trouble.target());
     switch (trouble.kind()) {
       case KILL -> target.start();
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakPlan.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakPlan.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet.soak;
 
-import applespindle.testfleet.soak.Trouble.Kind;
+import applespindle.testfleet.soak.SoakFault.Kind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -13,7 +13,7 @@
  * @param troubles in order of their beginning; all are over at endsMs
  */
 record SoakPlan(
-    long seed, int cores, int storages, int edges, List<Trouble> troubles, long endsMs) {
+    long seed, int cores, int storages, int edges, List<SoakFault> troubles, long endsMs) {
   private static final int CORES = 3;
   private static final int STORAGES_LEAST = 3;
   private static final int EDGES_LEAST = 4;
@@ -40,16 +40,16 @@
     addNames(names, "core", CORES);
     addNames(names, "storage", storages);
     addNames(names, "edge", edges);
-    List<Trouble> troubles = new ArrayList<>();
+    List<SoakFault> troubles = new ArrayList<>();
     int starved = random.nextInt(STARVED_EDGES_MOST + 1);
     for (int edge = 1; edge <= starved; edge++) {
-      troubles.add(new Trouble(Kind.STARVE, "edge-" + edge, Trouble.ALL, FIRST_MS, lengthMs));
+      troubles.add(new SoakFault(Kind.STARVE, "edge-" + edge, SoakFault.ALL, FIRST_MS, lengthMs));
     }
     int rows = ROWS_LEAST + random.nextInt(MORE_ROWS);
     for (int row = 0; row < rows; row++) {
       addRow(troubles, names, lengthMs, random);
     }
-    troubles.sort(Comparator.comparingLong(Trouble::fromMs));
+    troubles.sort(Comparator.comparingLong(SoakFault::fromMs));
     return new SoakPlan(seed, CORES, storages, edges, List.copyOf(troubles), lengthMs);
   }
 
@@ -60,12 +60,12 @@
   }
 
   private static void addRow(
-      List<Trouble> troubles, List<String> names, long lengthMs, Random random) {
+      List<SoakFault> troubles, List<String> names, long lengthMs, Random random) {
     long fromMs = FIRST_MS + random.nextLong(GAP_MS);
     while (fromMs + SHORTEST_MS <= lengthMs) {
       long untilMs =
           Math.min(lengthMs, fromMs + SHORTEST_MS + random.nextLong(LONGEST_MS - SHORTEST_MS));
-      Trouble drawn = draw(names, fromMs, untilMs, random);
+      SoakFault drawn = draw(names, fromMs, untilMs, random);
       if (troubles.stream().noneMatch(other -> excludes(other, drawn))) {
         troubles.add(drawn);
         fromMs = untilMs + random.nextLong(GAP_MS);
@@ -73,7 +73,7 @@
     }
   }
 
-  private static Trouble draw(List<String> names, long fromMs, long untilMs, Random random) {
+  private static SoakFault draw(List<String> names, long fromMs, long untilMs, Random random) {
     Kind kind = drawKind(random);
     List<String> targets =
         names.stream().filter(name -> !kind.ofEdgesOnly() || name.startsWith("edge-")).toList();
@@ -81,9 +81,9 @@
     List<String> others = names.stream().filter(name -> !name.equals(target)).toList();
     String other =
         random.nextDouble() < SHARE_OF_CUTS_OF_ALL
-            ? Trouble.ALL
+            ? SoakFault.ALL
             : others.get(random.nextInt(others.size()));
-    return new Trouble(kind, target, other, fromMs, untilMs);
+    return new SoakFault(kind, target, other, fromMs, untilMs);
   }
 
   /** Kills and pauses as often as all cuts together, lost answers half as often. */
@@ -106,7 +106,7 @@
   }
 
   /** A process is killed, paused or starved by one trouble at a time. */
-  private static boolean excludes(Trouble one, Trouble another) {
+  private static boolean excludes(SoakFault one, SoakFault another) {
     return one.overlaps(another)
         && one.target().equals(another.target())
         && (one.kind().equals(another.kind())
@@ -121,6 +121,6 @@
         + " storages, "
         + edges
         + " edges: "
-        + troubles.stream().map(Trouble::toString).collect(Collectors.joining(" "));
+        + troubles.stream().map(SoakFault::toString).collect(Collectors.joining(" "));
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakRun.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakRun.java
@@ -4,7 +4,7 @@
 import applespindle.testfleet.Fleet;
 import applespindle.testfleet.RealTraffic;
 import applespindle.testfleet.RealTraffic.Batch;
-import applespindle.testfleet.soak.Links.Traffic;
+import applespindle.testfleet.soak.NetworkFaults.Traffic;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -91,7 +91,7 @@
 
   /** Keeps the history in the folder; the logs are there already. */
   Outcome run(SoakPlan plan) throws IOException, InterruptedException {
-    Links links = new Links();
+    NetworkFaults links = new NetworkFaults();
     InvariantCounters invariants = new InvariantCounters();
     try (Relays relays = new Relays(links);
         Fleet fleet = new Fleet(deployment, folder, classPath, 0)) {
@@ -105,7 +105,7 @@
       fleet.open(OPEN_MS);
       RealTraffic traffic = new RealTraffic(fleet, traffic(plan));
       soak(fleet, links, invariants, plan, traffic);
-      List<String> violations = new SoakJudge(fleet, invariants).judge(traffic.batchesSeen());
+      List<String> violations = new SoakVerifier(fleet, invariants).judge(traffic.batchesSeen());
       Files.writeString(folder.resolve("history.jsonl"), fleet.history.toLines());
       Runtime.getRuntime().removeShutdownHook(closing);
       return new Outcome(
@@ -134,14 +134,18 @@
   }
 
   private static void soak(
-      Fleet fleet, Links links, InvariantCounters invariants, SoakPlan plan, RealTraffic traffic)
+      Fleet fleet,
+      NetworkFaults links,
+      InvariantCounters invariants,
+      SoakPlan plan,
+      RealTraffic traffic)
       throws InterruptedException {
     AtomicReference<Exception> fault = new AtomicReference<>();
     Thread troubles =
         new Thread(
             () -> {
               try {
-                new TroubleMaker(fleet, links, invariants).run(plan);
+                new SoakFaultInjector(fleet, links, invariants).run(plan);
               } catch (IOException | InterruptedException | RuntimeException failed) {
                 fault.set(failed);
               }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakJudge.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakVerifier.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Judges a healed fleet by what clients see of it, by its own counters and by its logs. */
-final class SoakJudge {
+final class SoakVerifier {
   private static final long READABLE_MS = 30_000;
   private static final long AGAIN_MS = 300;
   private static final int PAGE_MOST = 1_000;
@@ -27,7 +27,7 @@
   private final InvariantCounters invariants;
   private final List<String> violations = new ArrayList<>();
 
-  SoakJudge(Fleet fleet, InvariantCounters invariants) {
+  SoakVerifier(Fleet fleet, InvariantCounters invariants) {
     this.fleet = fleet;
     this.invariants = invariants;
   }
--- a/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
@@ -40,8 +40,8 @@
 
 /** The checker accepts a sound history and rejects a doctored one for each never-rule. */
 class CheckerTest {
-  private static final String WHOLE_A = StandInOutput.whole("prompt a", 3);
-  private static final String WHOLE_B = StandInOutput.whole("prompt b", 3);
+  private static final String WHOLE_A = EmulatedOutput.whole("prompt a", 3);
+  private static final String WHOLE_B = EmulatedOutput.whole("prompt b", 3);
 
   private static void add(
       History history,
@@ -68,7 +68,7 @@
     add(history, 100, BATCH_READ, "k", "finished", "2", 200);
     add(history, 200, LIVE_SENT, "l1", "once-1", "live prompt", 2);
     add(history, 210, WORKER_RECEIVED, "w1", "", "live prompt", 0);
-    add(history, 220, LIVE_ANSWERED, "l1", "complete", StandInOutput.whole("live prompt", 2), 200);
+    add(history, 220, LIVE_ANSWERED, "l1", "complete", EmulatedOutput.whole("live prompt", 2), 200);
     add(history, 300, BUNDLE_ANSWERED, "2", "", "", 200);
     add(history, 400, BUNDLE_READ, "", "", "350", 2);
     add(history, 2_400, EDGE_BUNDLE, "edge-1", "", "", 2);
@@ -121,7 +121,14 @@
         RESULT_NOT_WHOLE,
         history -> {
           add(history, 500, ITEM, "k", "c", "prompt c", 3);
-          add(history, 600, RESULT_READ, "k", "c|succeeded", StandInOutput.whole("prompt c", 2), 3);
+          add(
+              history,
+              600,
+              RESULT_READ,
+              "k",
+              "c|succeeded",
+              EmulatedOutput.whole("prompt c", 2),
+              3);
           add(history, 600, BATCH_READ, "k", "finished", "3", 200);
         });
   }
@@ -172,13 +179,20 @@
         WRONG_OR_CUT_ANSWER,
         history -> {
           add(history, 500, LIVE_SENT, "l2", "", "second", 2);
-          add(history, 600, LIVE_ANSWERED, "l2", "complete", StandInOutput.whole("other", 2), 200);
+          add(history, 600, LIVE_ANSWERED, "l2", "complete", EmulatedOutput.whole("other", 2), 200);
         });
     rejects(
         WRONG_OR_CUT_ANSWER,
         history -> {
           add(history, 500, LIVE_SENT, "l2", "", "second", 2);
-          add(history, 600, LIVE_ANSWERED, "l2", "complete", StandInOutput.whole("second", 1), 200);
+          add(
+              history,
+              600,
+              LIVE_ANSWERED,
+              "l2",
+              "complete",
+              EmulatedOutput.whole("second", 1),
+              200);
         });
   }
 
@@ -309,7 +323,7 @@
                 LIVE_ANSWERED,
                 "y" + number,
                 "complete",
-                StandInOutput.whole("q" + number, 2),
+                EmulatedOutput.whole("q" + number, 2),
                 200);
           }
         });
--- a/test-fleet/src/test/java/applespindle/testfleet/OrdersAtInstantsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationCrashPointsTest.java
@@ -16,7 +16,7 @@
  * A process dies between two steps of an order: before it is appended, between append, commit and
  * answer, in the midst of a claim. -Dapplespindle.instantNumbers=1,2,3,5,8 for the long run.
  */
-class OrdersAtInstantsTest {
+class ConfigurationCrashPointsTest {
   private static final Path SCENARIO =
       Path.of("src/test/resources/scenarios/orders-at-instants.txt");
   private static final List<Integer> NUMBERS =
@@ -35,13 +35,13 @@
           "KeyPromise",
           "KeyPromised");
 
-  private static List<Instants.Case> cases() {
-    List<Instants.Case> cases = new ArrayList<>();
+  private static List<CrashPoints.Case> cases() {
+    List<CrashPoints.Case> cases = new ArrayList<>();
     for (String kind : STEPS) {
       for (int number : NUMBERS) {
         for (Position position : Position.values()) {
           for (boolean powerLoss : new boolean[] {false, true}) {
-            cases.add(new Instants.Case(kind, number, position, powerLoss));
+            cases.add(new CrashPoints.Case(kind, number, position, powerLoss));
           }
         }
       }
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -57,8 +57,8 @@
       return simulation.processes.get("core-" + index);
     }
 
-    private SimulatedAnswer command(int core, String operation, Object body) {
-      SimulatedAnswer answer = new SimulatedAnswer();
+    private SimulatedResponse command(int core, String operation, Object body) {
+      SimulatedResponse answer = new SimulatedResponse();
       simulation.call(
           core(core),
           (Consumer<Response> then) ->
@@ -67,12 +67,12 @@
       return answer;
     }
 
-    private SimulatedAnswer sendWhole(long number) {
+    private SimulatedResponse sendWhole(long number) {
       byte[] bytes = Deployment.AUTHORITY.bundle(number).strip().getBytes(UTF_8);
       return command(0, "bundle", new SignedConfiguration(0, bytes, "", new byte[0], number - 1));
     }
 
-    SimulatedAnswer patch(int core, long buildsOn, String patch) {
+    SimulatedResponse patch(int core, long buildsOn, String patch) {
       return command(
           core,
           "patch-bundle",
@@ -80,7 +80,7 @@
               patch.replace('\'', '"').getBytes(UTF_8), buildsOn, "", new byte[0]));
     }
 
-    Response await(SimulatedAnswer answer) {
+    Response await(SimulatedResponse answer) {
       for (int step = 0; step < 100 && answer.response == null && !answer.broken; step++) {
         run(100);
       }
@@ -176,8 +176,8 @@
   void ofTwoOnOneVersionOneIsConfirmed() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       CoreFleet fleet = new CoreFleet(seed);
-      SimulatedAnswer one = fleet.patch(0, 1, adds(4, "a"));
-      SimulatedAnswer other = fleet.patch(1, 1, adds(4, "b"));
+      SimulatedResponse one = fleet.patch(0, 1, adds(4, "a"));
+      SimulatedResponse other = fleet.patch(1, 1, adds(4, "b"));
       List<Integer> statuses =
           List.of(fleet.await(one).status(), fleet.await(other).status()).stream()
               .sorted()
--- a/test-fleet/src/test/java/applespindle/testfleet/OrderReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a read of the configuration answers stays answered. */
-class OrderReadsTest {
+class ConfigurationReadsTest {
   private static final long PATIENCE_MS = 3_000;
   private static final byte[] NOTHING = {'{', '}'};
   private final SimulatedFleet fleet =
--- a/test-fleet/src/test/java/applespindle/testfleet/CoreCostTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ControlPlaneIdleCostTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What an idle fleet says to itself: every message costs wake-ups at both ends. */
-class CoreCostTest {
+class ControlPlaneIdleCostTest {
   private static final List<String> SEEDS = List.of("core-0", "core-1", "core-2");
 
   @Test
--- a/test-fleet/src/test/java/applespindle/testfleet/InstantsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CrashPointsTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.testfleet.Instants.Case;
+import applespindle.testfleet.CrashPoints.Case;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,7 +19,7 @@
  * sweep is a program.
  */
 @Execution(ExecutionMode.CONCURRENT)
-class InstantsTest {
+class CrashPointsTest {
   private static final long SEED = 1;
 
   private static Scenario scenario() {
@@ -31,7 +31,7 @@
   }
 
   static Stream<Case> cases() {
-    return Instants.cases(List.of(2)).stream().filter(Case::powerLoss);
+    return CrashPoints.cases(List.of(2)).stream().filter(Case::powerLoss);
   }
 
   @ParameterizedTest
--- a/test-fleet/src/test/java/applespindle/testfleet/MembershipStepsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/MembershipStepsTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.testfleet.Instants.Case;
+import applespindle.testfleet.CrashPoints.Case;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -40,7 +40,7 @@
 
   static Stream<Case> steps() {
     List<Integer> numbers = ALL ? List.of(1, 2, 5, 13, 34, 89) : List.of(1);
-    return Instants.cases(numbers).stream()
+    return CrashPoints.cases(numbers).stream()
         .filter(each -> KINDS.contains(each.kind()))
         .filter(each -> ALL || each.powerLoss() && each.kind().startsWith("Ask"));
   }
--- a/test-fleet/src/test/java/applespindle/testfleet/WeakeningTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/MutationTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each weakening names a rule and a scenario that exist, still fits the code, and together they
+ * Each mutation names a rule and a scenario that exist, still fits the code, and together they
  * cover every rule.
  */
-class WeakeningTest {
-  private static final Path FOLDER = Path.of("weakenings");
+class MutationTest {
+  private static final Path FOLDER = Path.of("mutations");
   private static final Path SCENARIOS = Path.of("src/test/resources/scenarios");
 
   /** Checks of the replicated register, found by the model check and not by a scenario. */
--- a/test-fleet/src/test/java/applespindle/testfleet/OpaqueCheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
@@ -34,20 +34,20 @@
 import static applespindle.testfleet.History.Kind.RUN_ENDED;
 import static applespindle.testfleet.History.Kind.TROUBLE;
 import static applespindle.testfleet.History.Kind.WORKER_LISTED;
-import static applespindle.testfleet.OpaqueHistories.FREE;
-import static applespindle.testfleet.OpaqueHistories.ITEM;
-import static applespindle.testfleet.OpaqueHistories.ONCE;
-import static applespindle.testfleet.OpaqueHistories.RESUMED;
-import static applespindle.testfleet.OpaqueHistories.STREAM;
-import static applespindle.testfleet.OpaqueHistories.add;
-import static applespindle.testfleet.OpaqueHistories.answered;
-import static applespindle.testfleet.OpaqueHistories.arrives;
-import static applespindle.testfleet.OpaqueHistories.batch;
-import static applespindle.testfleet.OpaqueHistories.change;
-import static applespindle.testfleet.OpaqueHistories.listed;
-import static applespindle.testfleet.OpaqueHistories.part;
-import static applespindle.testfleet.OpaqueHistories.runs;
-import static applespindle.testfleet.OpaqueHistories.sound;
+import static applespindle.testfleet.ProxyHistories.FREE;
+import static applespindle.testfleet.ProxyHistories.ITEM;
+import static applespindle.testfleet.ProxyHistories.ONCE;
+import static applespindle.testfleet.ProxyHistories.RESUMED;
+import static applespindle.testfleet.ProxyHistories.STREAM;
+import static applespindle.testfleet.ProxyHistories.add;
+import static applespindle.testfleet.ProxyHistories.answered;
+import static applespindle.testfleet.ProxyHistories.arrives;
+import static applespindle.testfleet.ProxyHistories.batch;
+import static applespindle.testfleet.ProxyHistories.change;
+import static applespindle.testfleet.ProxyHistories.listed;
+import static applespindle.testfleet.ProxyHistories.part;
+import static applespindle.testfleet.ProxyHistories.runs;
+import static applespindle.testfleet.ProxyHistories.sound;
 import static com.google.common.truth.Truth.assertThat;
 
 import applespindle.testfleet.Checker.Rule;
@@ -59,7 +59,7 @@
  * The checker takes a sound history of opaque requests and batches, and rejects a doctored one for
  * each rule.
  */
-class OpaqueCheckerTest {
+class ProxyCheckerTest {
   private static void rejects(Rule rule, Consumer<History> doctoring) {
     History history = sound();
     doctoring.accept(history);
--- a/test-fleet/src/test/java/applespindle/testfleet/OpaqueHistories.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ProxyHistories.java
@@ -21,7 +21,7 @@
 import java.util.List;
 
 /** A sound history of opaque requests and batches, and the events to doctor it with. */
-final class OpaqueHistories {
+final class ProxyHistories {
   static final String ONCE = "POST h /once/1 body-1";
   static final String FREE = "POST h /free/2 body-2";
   static final String STREAM = "POST h /stream/3 body-3";
@@ -40,7 +40,7 @@
   }
 
   static String part(String asked, int first, int last, String run) {
-    return OpaqueOutput.text(asked, first, last, run);
+    return ProxiedOutput.text(asked, first, last, run);
   }
 
   static void arrives(
@@ -77,7 +77,7 @@
         REQUEST_ANSWERED,
         id,
         detail,
-        OpaqueOutput.stamp(asked, run) + "\n" + body,
+        ProxiedOutput.stamp(asked, run) + "\n" + body,
         status);
   }
 
@@ -152,5 +152,5 @@
     add(history, at, OPAQUE_READ, batch, "edge-1", "0 1 1 " + (at - 5), 200);
   }
 
-  private OpaqueHistories() {}
+  private ProxyHistories() {}
 }
--- a/test-fleet/src/test/java/applespindle/testfleet/FoundingTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/QuorumBootstrapTest.java
@@ -17,7 +17,7 @@
  * One roster 1 and no other, whatever the first seed and the voters forget, and in whatever order
  * they start.
  */
-class FoundingTest {
+class QuorumBootstrapTest {
   private static final Set<String> FIRST_THREE = Set.of("core-0", "core-1", "core-2");
   private static final List<String> SEEDS_WITHOUT_DISKS = List.of("door-0", "door-1", "door-2");
   private static final int VOTERS = 6;
--- a/test-fleet/src/test/java/applespindle/testfleet/OrderMemoryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a resend is told once more changes were accepted than are remembered. */
-class OrderMemoryTest {
+class RevisionMemoryTest {
   private static final int FORGOTTEN = 5;
   private static final long PATIENCE_MS = 3_000;
   private final SimulatedFleet fleet =
--- a/test-fleet/src/test/java/applespindle/testfleet/CoreOnSeedsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A fleet whose processes are told three seeds and their bounds, and nothing of the others. */
-class CoreOnSeedsTest {
+class SeedDiscoveryTest {
   private static final int CALLS_PER_S = 40;
   private final Simulation simulation = new Simulation(1, Map.of(), Deployment.AUTHORITY.pace);
   private final List<ListedWorker> listed = new ArrayList<>();
@@ -36,7 +36,7 @@
   private boolean listDown;
   private final List<Integer> missingPages = new ArrayList<>();
 
-  CoreOnSeedsTest() {
+  SeedDiscoveryTest() {
     simulation.outsideList =
         (reader, token, whenRead, whenFaulty) -> {
           calls++;
--- a/test-fleet/src/test/java/applespindle/testfleet/SimulatedAnswer.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SimulatedResponse.java
@@ -4,7 +4,7 @@
 import applespindle.testfleet.Simulation.Caller;
 
 /** What a caller got from a simulated process, if anything. */
-final class SimulatedAnswer implements Caller<Response> {
+final class SimulatedResponse implements Caller<Response> {
   Response response;
   boolean broken;
 
--- a/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
@@ -68,7 +68,7 @@
         """;
     String rules = Deployment.AUTHORITY.bundle(number).strip();
     String content = rules.substring(0, rules.length() - 1) + routes;
-    SimulatedAnswer answer = new SimulatedAnswer();
+    SimulatedResponse answer = new SimulatedResponse();
     simulation.call(
         process("core-0"),
         (Consumer<Response> then) ->
@@ -83,7 +83,7 @@
     assertWithMessage("" + answer.response).that(answer.response.status()).isEqualTo(200);
   }
 
-  private SimulatedAnswer submit(String edge, String id, int bodyBytes) {
+  private SimulatedResponse submit(String edge, String id, int bodyBytes) {
     byte[] body = new byte[bodyBytes];
     new Random(7).nextBytes(body);
     ProxiedBatch batch =
@@ -92,7 +92,7 @@
             "h.example",
             "/b/" + id,
             List.of(new ProxiedBatch.Item(id + "-1", "/b/1", List.of(), body, 10)));
-    SimulatedAnswer answer = new SimulatedAnswer();
+    SimulatedResponse answer = new SimulatedResponse();
     simulation.call(
         process(edge),
         (Consumer<Response> then) ->
@@ -103,7 +103,7 @@
 
   @Test
   void aBatchHandedInAtASmallEdgeIsTaken() {
-    SimulatedAnswer answer = submit("small", "c1", 1_000);
+    SimulatedResponse answer = submit("small", "c1", 1_000);
     simulation.runUntil(simulation.simulatedNowMs() + 1_000);
 
     assertThat(answer.response.status()).isEqualTo(201);
@@ -118,7 +118,7 @@
     }
     process("small").stopPolitely(GRACE_MS, () -> {});
     simulation.runUntil(simulation.simulatedNowMs() + 2_290);
-    SimulatedAnswer answer = submit("small", "c1", LARGE_BODY_BYTES);
+    SimulatedResponse answer = submit("small", "c1", LARGE_BODY_BYTES);
     simulation.runUntil(simulation.simulatedNowMs() + GRACE_MS);
 
     assertWithMessage("the connection ended without an answer").that(answer.broken).isFalse();
@@ -131,7 +131,7 @@
     for (int index = 0; index < LARGE_EDGES; index++) {
       simulation.cutLink("small", "large-" + index);
     }
-    SimulatedAnswer answer = submit("small", "c1", 1_000);
+    SimulatedResponse answer = submit("small", "c1", 1_000);
     simulation.runUntil(simulation.simulatedNowMs() + 8_000);
 
     assertWithMessage("" + answer.response).that(answer.response.status()).isEqualTo(201);
@@ -142,7 +142,7 @@
   void aBatchWhoseLeaderDiesAtWorkIsTakenByAnother() {
     List<Process> core = List.of(process("core-0"), process("core-1"));
     core.forEach(Process::freeze);
-    SimulatedAnswer answer = submit("small", "c1", 100_000);
+    SimulatedResponse answer = submit("small", "c1", 100_000);
     simulation.runUntil(simulation.simulatedNowMs() + 1_000);
     for (int index = 0; index < LARGE_EDGES; index++) {
       if (bodiesReceived("large-" + index) > 0) {
@@ -168,7 +168,7 @@
   void aBodyCrossesToOneLeaderWhileThatOneLives() {
     List<Process> core = List.of(process("core-0"), process("core-1"));
     core.forEach(Process::freeze);
-    SimulatedAnswer answer = submit("small", "c1", 100_000);
+    SimulatedResponse answer = submit("small", "c1", 100_000);
     simulation.afterMs(3_000, () -> core.forEach(Process::wake));
     simulation.runUntil(simulation.simulatedNowMs() + 9_000);
     long bodiesReceived = 0;
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
@@ -7,7 +7,7 @@
 import applespindle.adapters.PeerCodec;
 import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
-import applespindle.testfleet.soak.Trouble.Kind;
+import applespindle.testfleet.soak.SoakFault.Kind;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -23,7 +23,7 @@
 class RelaysTest {
   private static final int GENEROUS_MS = 60_000;
   private static final int NOTHING_MS = 300;
-  private final Links links = new Links();
+  private final NetworkFaults links = new NetworkFaults();
   private final Relays relays = new Relays(links);
   private ServerSocket edge;
   private Socket client;
@@ -55,8 +55,8 @@
     return new String(at.getInputStream().readNBytes(length), UTF_8);
   }
 
-  private static Trouble trouble(Kind kind, String target, String other) {
-    return new Trouble(kind, target, other, 0, 1);
+  private static SoakFault trouble(Kind kind, String target, String other) {
+    return new SoakFault(kind, target, other, 0, 1);
   }
 
   @Test
@@ -72,7 +72,7 @@
 
   @Test
   void losesAnAnswerOnceItIsGiven() throws IOException {
-    Trouble lost = trouble(Kind.LOSE_ANSWERS, "edge-1", Trouble.ALL);
+    SoakFault lost = trouble(Kind.LOSE_ANSWERS, "edge-1", SoakFault.ALL);
     links.begin(lost);
     send(client, "ask");
     assertThat(read(served, 3)).isEqualTo("ask");
@@ -86,7 +86,7 @@
 
   @Test
   void heldBytesArriveLaterAndTheOtherDirectionFlows() throws IOException {
-    Trouble held = trouble(Kind.HOLD_TO, "edge-1", Links.CLIENTS);
+    SoakFault held = trouble(Kind.HOLD_TO, "edge-1", NetworkFaults.CLIENTS);
     links.begin(held);
     send(client, "ask");
     served.setSoTimeout(NOTHING_MS);
@@ -100,7 +100,7 @@
 
   @Test
   void nothingIsPassedOnBehindDroppedBytes() throws IOException {
-    Trouble dropped = trouble(Kind.DROP_TO, "edge-1", Links.CLIENTS);
+    SoakFault dropped = trouble(Kind.DROP_TO, "edge-1", NetworkFaults.CLIENTS);
     links.begin(dropped);
     send(client, "lost");
     served.setSoTimeout(NOTHING_MS);
@@ -113,14 +113,14 @@
 
   @Test
   void aResetEndsConnectionsOnWhichNothingIsSent() throws IOException {
-    links.begin(trouble(Kind.RESET, "edge-1", Links.CLIENTS));
+    links.begin(trouble(Kind.RESET, "edge-1", NetworkFaults.CLIENTS));
     assertThrows(SocketException.class, () -> read(client, 1));
     assertThrows(SocketException.class, () -> read(served, 1));
   }
 
   @Test
   void cutsOfAllOthersLeaveClientsAlone() throws IOException {
-    links.begin(trouble(Kind.DROP_BOTH, "edge-1", Trouble.ALL));
+    links.begin(trouble(Kind.DROP_BOTH, "edge-1", SoakFault.ALL));
     send(client, "ask");
     assertThat(read(served, 3)).isEqualTo("ask");
   }
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/SoakPlanTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/SoakPlanTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import applespindle.testfleet.soak.Trouble.Kind;
+import applespindle.testfleet.soak.SoakFault.Kind;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
@@ -28,7 +28,7 @@
   void everyKindOfTroubleIsDrawnAndAllIsHealedInTheEnd() {
     Set<Kind> drawn = EnumSet.noneOf(Kind.class);
     for (SoakPlan plan : plans()) {
-      for (Trouble trouble : plan.troubles()) {
+      for (SoakFault trouble : plan.troubles()) {
         drawn.add(trouble.kind());
         assertThat(trouble.fromMs()).isLessThan(trouble.untilMs());
         assertThat(trouble.untilMs()).isAtMost(plan.endsMs());
@@ -41,8 +41,8 @@
   void troublesOverlapAndTwoNeverHoldOneProcess() {
     for (SoakPlan plan : plans()) {
       int overlaps = 0;
-      for (Trouble one : plan.troubles()) {
-        for (Trouble another : plan.troubles()) {
+      for (SoakFault one : plan.troubles()) {
+        for (SoakFault another : plan.troubles()) {
           if (one == another || !one.overlaps(another)) {
             continue;
           }
