--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
@@ -58,6 +58,7 @@
 
   record Assigned(int range, long rangeEpoch, String feeder, String worker) {}
 
+  /** Results and failed attempts of one range that were recorded together. */
   public record Recorded(
       int range, long rangeEpoch, List<Result> results, List<Attempt> attempts) {}
 
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -1,26 +1,18 @@
 package applespindle.corelogic.dataplane;
 
-import static applespindle.corelogic.metadata.WorkerRegistration.GONE;
-
 import applespindle.corelogic.api.Response;
-import applespindle.corelogic.changefeed.SharedMetadataDigest;
-import applespindle.corelogic.common.Json;
-import applespindle.corelogic.common.RendezvousHashing;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.constants.ChangeFeedConstants;
 import applespindle.corelogic.constants.LifecycleConstants;
 import applespindle.corelogic.constants.MembershipConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.NodeSettings;
-import applespindle.corelogic.metadata.EdgeList;
 import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.metadata.QuorumMember;
 import applespindle.corelogic.metadata.QuorumMembership;
 import applespindle.corelogic.metadata.ShardAssignment;
-import applespindle.corelogic.metadata.SignedConfiguration;
-import applespindle.corelogic.metadata.WorkerListSource;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.node.Node;
 import applespindle.corelogic.node.NodeIdentity;
@@ -35,84 +27,49 @@
 import applespindle.corelogic.replication.ReplicaConfiguration;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
 /**
- * A data-plane process: finds the core by its seeds, holds a grant there, and follows the feed from
- * a place on.
+ * A process of the data plane: it finds the control plane by its seeds, holds a lease there,
+ * follows the change feed, and reports what it has applied.
+ *
+ * <p>Invariant: before the first update that comes from the control plane itself, and not only from
+ * a peer edge, the node neither works without the control plane nor confirms anything. An earlier
+ * process at its address may have acknowledged updates that this one has not seen.
  */
 public abstract class DataPlaneNode extends Node {
-  private static final String PART = "feed";
-
-  /**
-   * Newest value known for each key. Sequences never fall, so repeats, switches and reordering are
-   * harmless.
-   */
-  private final Map<String, MetadataRecord> table = new TreeMap<>();
-
-  private final SharedMetadataDigest sharedDigest = new SharedMetadataDigest();
-
-  /** Views folded from the table. */
-  protected final Map<String, NodeRegistration> members = new TreeMap<>();
-
-  protected final Map<String, WorkerRegistration> workers = new TreeMap<>();
+  private static final String LOG_PART = "feed";
+  private static final String EDGE_ROLE = "edge";
+  private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Those of them that are on the outside list. */
-  private List<String> listedWorkerIds = List.of();
+  private final FollowedMetadata metadata;
+  private final FeedSource feedSource;
+  private final PeerEdges peerEdges;
+  private final MembershipLease lease;
 
-  private final Map<String, ShardAssignment> shards = new HashMap<>();
-  protected RoutingConfiguration configuration;
-  private String feedId = "";
-  private long feedIncarnation;
-  private long feedPosition;
-  private int feedSourceIndex;
-
-  /** The core's members in the order in which this node turns to them, and of which roster. */
-  private List<QuorumMember> feedSourceOrder = List.of();
-
-  private QuorumMembership feedSourceOrderOf;
-
-  /** Whose turn it is among the fellows to be told what this node works by. */
-  private int nextNotifiedPeerEdge;
-
-  /** Whose turn it is among the members to be asked where the core is. */
-  private int nextAskedMember;
+  /** As given at the start, with what may be reloaded as it was given last. */
+  protected NodeSettings settings;
 
-  private long lastHeardAt;
+  private boolean started;
+  private long startedAt;
 
-  /** On our clock: at this moment everything the core had acknowledged was known here. */
-  private long upToDateAt = Long.MIN_VALUE / 2;
+  /** When the present feed source was last heard, or chosen. */
+  private long sourceHeardAt;
 
-  private long leaseUntil = Long.MIN_VALUE / 2;
+  /** At this time, on this node's clock, all that was acknowledged was known here. */
+  private long upToDateAt = NEVER;
 
-  /**
-   * This process has had the core's own news, not only a fellow's. Before that it neither goes on
-   * without the core nor counts for a fellow: an earlier process at its address may have confirmed
-   * news that this one has not seen.
-   */
+  /** Whether an update came from the control plane itself since the start. */
   private boolean receivedFromControlPlane;
 
-  private long controlPlaneHeardAt = Long.MIN_VALUE / 2;
-  private List<String> listedEdges = List.of();
-
-  /** By peer address of a fellow edge: when the question was sent that it last answered. */
-  private final Map<String, Long> peerEdgesHeardAt = new HashMap<>();
-
-  private boolean started;
-  private long startedAt;
+  private long controlPlaneHeardAt = NEVER;
 
-  /** A stopping node has given its grant up and must not ask for it again. */
-  private boolean leaving;
-
-  /** As told at the start, with what a running process may take over of newer ones. */
-  protected NodeSettings settings;
+  /** Which of the members is asked next where the control plane is. */
+  private int nextAskedMember;
 
   /** Null after the members have changed, until it is asked for. */
   private BatchLeaderPlacement leaderPlacement;
@@ -120,6 +77,10 @@
   protected DataPlaneNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
     super(environment, identity);
     this.settings = settings;
+    this.metadata = new FollowedMetadata(environment, traceLog);
+    this.feedSource = new FeedSource(identity, () -> membership);
+    this.peerEdges = new PeerEdges(identity.peerAddress());
+    this.lease = new MembershipLease(environment, identity, this::requestControlPlane);
   }
 
   @Override
@@ -131,59 +92,30 @@
   public void start() {
     started = true;
     startedAt = environment.nowMs();
-    lastHeardAt = startedAt;
+    sourceHeardAt = startedAt;
     discoverControlPlane();
     pollUntilFirstUpdate();
     repeatEvery(ChangeFeedConstants.POLL_INTERVAL_MS, this::pollFeed);
     repeatEvery(MembershipConstants.LEASE_RENEWAL_INTERVAL_MS, this::renewLease);
-    repeatEvery(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::probeNearestFeedSource);
-    repeatEvery(
-        MembershipConstants.LEASE_DURATION_MS,
-        () -> {
-          if (environment.nowMs() - controlPlaneHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
-            discoverControlPlane();
-          }
-        });
+    repeatEvery(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::probePreferredSource);
+    repeatEvery(MembershipConstants.LEASE_DURATION_MS, this::discoverControlPlaneIfSilent);
   }
 
-  /**
-   * A node that has not heard the core can do nothing for anybody: it asks often, and a silent core
-   * node not for long.
-   */
-  private void pollUntilFirstUpdate() {
-    environment.schedule(
-        ChangeFeedConstants.INITIAL_POLL_INTERVAL_MS,
-        () -> {
-          if (!receivedFromControlPlane && !isTerminated()) {
-            if (environment.nowMs() - lastHeardAt > ChangeFeedConstants.INITIAL_SOURCE_TIMEOUT_MS
-                && !membership.members().isEmpty()) {
-              feedSourceIndex++;
-              lastHeardAt = environment.nowMs();
-            }
-            pollFeed();
-            pollUntilFirstUpdate();
-          }
-        });
-  }
+  // ---- finding the control plane
 
-  /** The first roster: the feed and the grant are asked for at once. */
-  @Override
-  protected void learnMembership(QuorumMembership learned) {
-    boolean first = membership.members().isEmpty();
-    super.learnMembership(learned);
-    if (started && first && !membership.members().isEmpty()) {
-      lastHeardAt = environment.nowMs();
-      pollFeed();
-      renewLease();
+  private void discoverControlPlaneIfSilent() {
+    if (environment.nowMs() - controlPlaneHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
+      discoverControlPlane();
     }
   }
 
   /**
-   * Seeds and members may be stale or down: all seeds and core nodes known are asked, and a few of
-   * the members in turn, so that what a large fleet says meanwhile grows with its nodes only.
+   * Seeds and members may be stale or down: all seeds and all known control plane members are
+   * asked, and a few of the other members in turn, so that the messages of a large fleet grow only
+   * with its nodes.
    */
   private void discoverControlPlane() {
-    List<NodeRegistration> known = List.copyOf(members.values());
+    List<NodeRegistration> known = List.copyOf(members().values());
     int asked = Math.min(ChangeFeedConstants.DISCOVERY_FANOUT, known.size());
     for (int count = 0; count < asked; count++) {
       NodeRegistration member = known.get(Math.floorMod(nextAskedMember++, known.size()));
@@ -195,298 +127,232 @@
         .forEach(member -> send(member.peerAddress(), member.id(), new QuorumDiscoveryRequest()));
   }
 
-  private void pollFeed() {
-    if (membership.members().isEmpty()) {
-      discoverControlPlane();
-      return;
-    }
-    if (environment.nowMs() - lastHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
-      feedSourceIndex++;
-      lastHeardAt = environment.nowMs();
-    }
-    QuorumMember core = feedSource();
-    send(core.peerAddress(), core.id(), feedPoll(feedId, feedIncarnation, feedPosition));
-    long unheardMs = Math.max(feedAge(), environment.nowMs() - controlPlaneHeardAt);
-    if (receivedFromControlPlane && unheardMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
-      pollPeerEdges();
+  /** The first membership: the feed is polled and the lease asked for at once. */
+  @Override
+  protected void learnMembership(QuorumMembership learned) {
+    boolean first = membership.members().isEmpty();
+    super.learnMembership(learned);
+    if (started && first && !membership.members().isEmpty()) {
+      sourceHeardAt = environment.nowMs();
+      pollFeed();
+      renewLease();
     }
   }
 
-  /**
-   * While the core is silent: every fellow for what it knows, as a majority of them decides whether
-   * this node goes on; and a few in turn are told what this node works by, as one that reaches the
-   * core is enough to hand it on.
-   */
-  private void pollPeerEdges() {
-    List<String> addresses = peerEdgeAddresses();
-    addresses.forEach(address -> send(address, "", feedPoll("", 0, 0)));
-    int told = Math.min(ChangeFeedConstants.PEER_EDGES_NOTIFIED, addresses.size());
-    for (int count = 0; count < told; count++) {
-      reportApplied(
-          List.of(addresses.get(Math.floorMod(nextNotifiedPeerEdge++, addresses.size()))));
-    }
+  /** Asks the followed member first, then the others in turn. */
+  public void requestControlPlane(
+      String operation, String key, Object body, long expiryMs, Consumer<Response> callback) {
+    sendRequest(this::controlPlaneMember, operation, key, body, expiryMs, callback);
   }
 
-  private ChangeFeedPoll feedPoll(String coreId, long incarnation, long number) {
-    MetadataRecord bundleItem = table.get(MetadataKeys.CONFIGURATION);
-    return new ChangeFeedPoll(
-        coreId,
-        incarnation,
-        number,
-        environment.nowMs(),
-        sharedDigest.value(),
-        bundleItem == null ? 0 : bundleItem.sequence());
+  /** Null while no member is known. */
+  private NodeAddress controlPlaneMember(int attempt) {
+    List<QuorumMember> controlPlane = membership.members();
+    if (controlPlane.isEmpty()) {
+      return null;
+    }
+    int first = Math.max(0, controlPlane.indexOf(feedSource.member()));
+    QuorumMember member = controlPlane.get((first + attempt) % controlPlane.size());
+    return new NodeAddress(member.id(), member.peerAddress());
   }
 
-  private List<String> peerEdgeAddresses() {
-    Set<String> addresses = new TreeSet<>(listedEdges);
-    liveEdges().forEach(member -> addresses.add(member.peerAddress()));
-    addresses.remove(identity.peerAddress());
-    return List.copyOf(addresses);
-  }
+  // ---- the lease
 
-  private QuorumMember feedSource() {
-    List<QuorumMember> ordered = feedSourcesInOrder();
-    return ordered.get(Math.floorMod(feedSourceIndex, ordered.size()));
+  private void renewLease() {
+    if (!stopping && !lease.isReleased() && !membership.members().isEmpty()) {
+      lease.renew(settings);
+    }
   }
 
-  /**
-   * One that had to turn to another zone's core member asks the nearest now and then, and follows
-   * it from its answer on: meanwhile it goes on where it is.
-   */
-  private void probeNearestFeedSource() {
-    if (receivedFromControlPlane
-        && !membership.members().isEmpty()
-        && feedSource() != feedSourcesInOrder().get(0)) {
-      QuorumMember nearest = feedSourcesInOrder().get(0);
-      send(nearest.peerAddress(), nearest.id(), feedPoll("", 0, 0));
-    }
+  protected boolean hasLease() {
+    return lease.isValid();
   }
 
-  /** Members of this node's zone first, so that what is asked all the time stays within it. */
-  private List<QuorumMember> feedSourcesInOrder() {
-    if (feedSourceOrderOf != membership) {
-      feedSourceOrderOf = membership;
-      Map<String, QuorumMember> byId = new HashMap<>();
-      membership.members().forEach(member -> byId.put(member.id(), member));
-      feedSourceOrder =
-          RendezvousHashing.order(identity.id(), byId.keySet()).stream()
-              .map(byId::get)
-              .sorted(Comparator.comparing(member -> !member.zone().equals(identity.zone())))
-              .toList();
+  /** Ends this node's lease, so that others take over its work at once. */
+  protected void releaseLease(Runnable whenDone) {
+    lease.stopRenewing();
+    if (membership.members().isEmpty()) {
+      whenDone.run();
+      return;
     }
-    return feedSourceOrder;
+    lease.release(whenDone);
   }
 
-  /** Tries the followed core node first, then the others in turn. */
-  protected void requestControlPlane(
-      String operation, String key, Object body, long expiryMs, Consumer<Response> then) {
-    sendRequest(
-        attempt -> {
-          if (membership.members().isEmpty()) {
-            return null;
-          }
-          int chosen = Math.max(0, membership.members().indexOf(feedSource()));
-          QuorumMember member =
-              membership.members().get((chosen + attempt) % membership.members().size());
-          return new NodeAddress(member.id(), member.peerAddress());
-        },
-        operation,
-        key,
-        body,
-        expiryMs,
-        then);
-  }
+  // ---- polling the feed
 
-  private void renewLease() {
-    if (stopping || leaving || membership.members().isEmpty()) {
-      return;
-    }
-    long sentAt = environment.nowMs();
-    var self =
-        new NodeRegistration(
-            identity.id(),
-            identity.incarnation(),
-            identity.name(),
-            identity.zone(),
-            identity.role(),
-            identity.peerAddress(),
-            identity.httpAddress(),
-            true,
-            settings.processorCores(),
-            settings.linkMegabits());
-    requestControlPlane(
-        "grant",
-        MetadataKeys.MEMBER_PREFIX + identity.id(),
-        self,
-        MembershipConstants.LEASE_DURATION_MS,
-        response -> {
-          if (response.isSuccess()) {
-            leaseUntil = Math.max(leaseUntil, sentAt + MembershipConstants.LEASE_DURATION_MS);
+  /**
+   * A node without metadata can serve nobody: it polls often, and waits only shortly for a control
+   * plane member that does not answer.
+   */
+  private void pollUntilFirstUpdate() {
+    environment.schedule(
+        ChangeFeedConstants.INITIAL_POLL_INTERVAL_MS,
+        () -> {
+          if (!receivedFromControlPlane && !isTerminated()) {
+            if (!membership.members().isEmpty()) {
+              switchSourceAfter(ChangeFeedConstants.INITIAL_SOURCE_TIMEOUT_MS);
+            }
+            pollFeed();
+            pollUntilFirstUpdate();
           }
         });
   }
 
-  protected boolean hasLease() {
-    return environment.nowMs() < leaseUntil;
+  private void switchSourceAfter(long timeoutMs) {
+    if (environment.nowMs() - sourceHeardAt > timeoutMs) {
+      feedSource.chooseNext();
+      sourceHeardAt = environment.nowMs();
+    }
   }
 
-  /** Gives this node's place up at the core, so that others take its duties at once. */
-  protected void releaseLease(Runnable whenDone) {
-    leaving = true;
+  private void pollFeed() {
     if (membership.members().isEmpty()) {
-      whenDone.run();
+      discoverControlPlane();
       return;
     }
-    requestControlPlane(
-        "leave",
-        MetadataKeys.MEMBER_PREFIX + identity.id(),
-        new byte[] {'{', '}'},
-        MembershipConstants.LEASE_DURATION_MS,
-        response -> whenDone.run());
+    switchSourceAfter(ChangeFeedConstants.SOURCE_TIMEOUT_MS);
+    QuorumMember source = feedSource.member();
+    send(
+        source.peerAddress(),
+        source.id(),
+        poll(feedSource.sourceId(), feedSource.incarnation(), feedSource.position()));
+    long silentMs = Math.max(feedAge(), environment.nowMs() - controlPlaneHeardAt);
+    if (receivedFromControlPlane && silentMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
+      pollPeerEdges();
+    }
   }
 
-  /** How long ago, at most, all that the core acknowledged was known here. */
-  protected long feedAge() {
-    return environment.nowMs() - upToDateAt;
+  private ChangeFeedPoll poll(String sourceId, long incarnation, long position) {
+    return new ChangeFeedPoll(
+        sourceId,
+        incarnation,
+        position,
+        environment.nowMs(),
+        metadata.sharedDigest(),
+        metadata.sequenceOf(MetadataKeys.CONFIGURATION));
   }
 
-  protected boolean isFeedStale() {
-    return feedAge() > ChangeFeedConstants.STALE_AFTER_MS;
+  private ChangeFeedPoll pollForSnapshot() {
+    return poll("", 0, 0);
   }
 
   /**
-   * Stale, and most of the listed edges silent too: this node is alone and must not begin anything.
-   * If most of them, itself included, answer and are as stale, it is the core that is cut off, and
-   * live traffic goes on. What a majority of the edges has confirmed is then known to one of them,
-   * and with its answer here.
+   * While the control plane is silent every peer edge is polled, as a majority of them decides
+   * whether this node goes on. A few in turn get this node's positions: one that reaches the
+   * control plane forwards them.
    */
-  protected boolean isIsolated() {
-    if (!isFeedStale()) {
-      return false;
+  private void pollPeerEdges() {
+    List<String> addresses = peerEdgeAddresses();
+    addresses.forEach(address -> send(address, "", pollForSnapshot()));
+    peerEdges.nextToNotify(addresses).forEach(address -> reportApplied(List.of(address)));
+  }
+
+  private List<String> peerEdgeAddresses() {
+    Set<String> addresses = new TreeSet<>(metadata.listedEdges());
+    liveEdges().forEach(member -> addresses.add(member.peerAddress()));
+    addresses.remove(identity.peerAddress());
+    return List.copyOf(addresses);
+  }
+
+  /**
+   * A node that had to turn to a member of another zone polls the preferred one now and then, and
+   * follows it from its answer on.
+   */
+  private void probePreferredSource() {
+    if (receivedFromControlPlane
+        && !membership.members().isEmpty()
+        && feedSource.member() != feedSource.preferredMember()) {
+      QuorumMember preferred = feedSource.preferredMember();
+      send(preferred.peerAddress(), preferred.id(), pollForSnapshot());
     }
-    long now = environment.nowMs();
-    long reached =
-        listedEdges.stream()
-            .filter(
-                address ->
-                    address.equals(identity.peerAddress())
-                        || now - peerEdgesHeardAt.getOrDefault(address, Long.MIN_VALUE / 2)
-                            < ChangeFeedConstants.PEER_EDGE_TIMEOUT_MS)
-            .count();
-    return !receivedFromControlPlane || reached * 2 <= listedEdges.size();
   }
 
+  // ---- updates
+
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
     if (message instanceof ChangeFeedUpdate update) {
       handleUpdate(update, fromAddress);
     } else if (message instanceof ChangeFeedPoll poll) {
-      if (receivedFromControlPlane) {
-        send(
-            fromAddress,
-            fromId,
-            new ChangeFeedUpdate(
-                identity.id(),
-                identity.incarnation(),
-                0,
-                0,
-                true,
-                true,
-                Math.max(0, feedAge()),
-                poll.sentAt(),
-                sharedItems(poll)));
-      }
+      handlePoll(poll, fromId, fromAddress);
     } else if (message instanceof AppliedPositionsRequest) {
       reportApplied(List.of(fromAddress));
-    } else if (message instanceof AppliedPositions known) {
-      membership.members().forEach(member -> send(member.peerAddress(), member.id(), known));
+    } else if (message instanceof AppliedPositions positions) {
+      membership.members().forEach(member -> send(member.peerAddress(), member.id(), positions));
     }
   }
 
-  /** Of what fellows share, what this one may lack. */
-  private List<MetadataRecord> sharedItems(ChangeFeedPoll poll) {
-    return poll.sharedDigest() == sharedDigest.value()
-        ? List.of()
-        : table.values().stream()
-            .filter(
-                metadataRecord ->
-                    SharedMetadataDigest.covers(metadataRecord.key())
-                        && !poll.holds(metadataRecord))
-            .toList();
-  }
-
-  /**
-   * Says how far this edge knows what has to be in force. One that has not heard the core itself
-   * says nothing.
-   */
-  private void reportApplied(List<String> addresses) {
-    reportApplied(
-        addresses,
-        table.values().stream()
-            .filter(metadataRecord -> MetadataKeys.mustBeInForce(metadataRecord.key()))
-            .map(metadataRecord -> new KeyPosition(metadataRecord.key(), metadataRecord.sequence()))
-            .toList());
-  }
-
-  private void reportApplied(List<String> addresses, List<KeyPosition> places) {
-    if (!receivedFromControlPlane || !identity.role().equals("edge")) {
+  /** Answers a peer edge that does not hear the control plane. */
+  private void handlePoll(ChangeFeedPoll poll, String fromId, String fromAddress) {
+    if (!receivedFromControlPlane) {
       return;
     }
-    addresses.forEach(
-        address -> send(address, "", new AppliedPositions(identity.peerAddress(), places)));
+    send(
+        fromAddress,
+        fromId,
+        new ChangeFeedUpdate(
+            identity.id(),
+            identity.incarnation(),
+            0,
+            0,
+            true,
+            true,
+            Math.max(0, feedAge()),
+            poll.sentAt(),
+            metadata.sharedRecordsFor(poll)));
   }
 
   private void handleUpdate(ChangeFeedUpdate update, String fromAddress) {
-    long now = environment.nowMs();
     if (update.relayed()) {
-      peerEdgesHeardAt.put(fromAddress, update.echoedAt());
-    } else {
-      boolean follows = update.sourceId().equals(feedId) && update.incarnation() == feedIncarnation;
-      if (!update.snapshot() && !(follows && update.fromPosition() <= feedPosition)) {
-        return;
-      }
-      if (update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
-        lastHeardAt = now;
-        switchFeedSource(update.sourceId());
-      }
-      feedPosition = follows ? Math.max(feedPosition, update.position()) : update.position();
-      feedId = update.sourceId();
-      feedIncarnation = update.incarnation();
+      peerEdges.recordAnswer(fromAddress, update.echoedAt());
+    } else if (!advanceFeed(update)) {
+      return;
     }
-    boolean unheard = !receivedFromControlPlane;
-    List<KeyPosition> learned = new ArrayList<>();
-    for (MetadataRecord metadataRecord : update.records()) {
-      MetadataRecord known = table.get(metadataRecord.key());
-      if (known == null || known.sequence() < metadataRecord.sequence()) {
-        table.put(metadataRecord.key(), metadataRecord);
-        sharedDigest.update(known, metadataRecord);
-        apply(metadataRecord);
-        if (MetadataKeys.mustBeInForce(metadataRecord.key())) {
-          learned.add(new KeyPosition(metadataRecord.key(), metadataRecord.sequence()));
-        }
-      }
+    boolean first = !receivedFromControlPlane;
+    List<KeyPosition> applied = applyRecords(update.records());
+    updateFreshness(update);
+    if (first && receivedFromControlPlane) {
+      firstUpdateApplied();
     }
-    if (update.echoedAt() > 0) {
-      upToDateAt = Math.max(upToDateAt, update.echoedAt() - update.ageMs());
-      if (!update.relayed() && update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS) {
-        if (!receivedFromControlPlane) {
-          receivedFromControlPlane = true;
-          environment.log(
-              PART, "The core's news is here, " + (now - startedAt) + " ms after the start.");
-        }
-        controlPlaneHeardAt = Math.max(controlPlaneHeardAt, update.echoedAt());
-      }
+    List<String> controlPlane =
+        membership.members().stream().map(QuorumMember::peerAddress).toList();
+    if (first) {
+      reportApplied(controlPlane);
+    } else if (!applied.isEmpty()) {
+      reportApplied(controlPlane, applied);
     }
-    if (unheard && receivedFromControlPlane) {
-      firstUpdateApplied();
+  }
+
+  /** False if the update does not continue what is known of its feed. */
+  private boolean advanceFeed(ChangeFeedUpdate update) {
+    if (!feedSource.accepts(update)) {
+      return false;
+    }
+    boolean fresh = isFresh(update);
+    if (fresh) {
+      sourceHeardAt = environment.nowMs();
     }
-    List<String> core = membership.members().stream().map(QuorumMember::peerAddress).toList();
-    if (unheard) {
-      reportApplied(core);
-    } else if (!learned.isEmpty()) {
-      reportApplied(core, learned);
+    feedSource.advance(update, fresh);
+    return true;
+  }
+
+  private static boolean isFresh(ChangeFeedUpdate update) {
+    return update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
+  }
+
+  /** Applies what is newer; the positions of those keys whose updates are acknowledged. */
+  private List<KeyPosition> applyRecords(List<MetadataRecord> records) {
+    List<KeyPosition> applied = new ArrayList<>();
+    for (MetadataRecord metadataRecord : records) {
+      if (!metadata.put(metadataRecord)) {
+        continue;
+      }
+      apply(metadataRecord);
+      if (MetadataKeys.mustBeInForce(metadataRecord.key())) {
+        applied.add(new KeyPosition(metadataRecord.key(), metadataRecord.sequence()));
+      }
     }
+    return applied;
   }
 
   private void apply(MetadataRecord metadataRecord) {
@@ -494,90 +360,120 @@
     traceLog.add("known", key, "sequence " + metadataRecord.sequence());
     if (key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
       leaderPlacement = null;
-      NodeRegistration member = Json.read(metadataRecord.value(), NodeRegistration.class);
-      if (member.live()) {
-        members.put(member.id(), member);
-      } else {
-        members.remove(member.id());
-      }
-    } else if (key.startsWith(MetadataKeys.WORKER_PREFIX)) {
-      WorkerRegistration worker = Json.read(metadataRecord.value(), WorkerRegistration.class);
-      if (worker.state().equals(GONE)) {
-        workers.remove(worker.id());
-      } else {
-        workers.put(worker.id(), worker);
-      }
-    } else if (key.equals(MetadataKeys.WORKER_LIST)) {
-      listedWorkerIds.forEach(workers::remove);
-      List<WorkerRegistration> listed =
-          Json.read(metadataRecord.value(), WorkerListSource.class).workers();
-      listed.forEach(worker -> workers.put(worker.id(), worker));
-      listedWorkerIds = listed.stream().map(WorkerRegistration::id).toList();
-    } else if (key.equals(MetadataKeys.EDGE_LIST)) {
-      listedEdges = Json.read(metadataRecord.value(), EdgeList.class).addresses();
-    } else if (key.equals(MetadataKeys.MEMBERSHIP)) {
-      learnMembership(Json.read(metadataRecord.value(), QuorumMembership.class));
-    } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
-      shards.put(key, Json.read(metadataRecord.value(), ShardAssignment.class));
-    } else if (key.equals(MetadataKeys.CONFIGURATION)) {
-      SignedConfiguration signed = Json.read(metadataRecord.value(), SignedConfiguration.class);
-      RoutingConfiguration.ValidationResult checked =
-          RoutingConfiguration.readCommitted(signed.bytes());
-      if (checked.error() == null) {
-        configuration = checked.configuration();
-        environment.log(PART, "Bundle " + configuration.number() + " is in force.");
-        traceLog.add("in-force", "bundle", "number " + configuration.number());
-      } else {
-        environment.log(
-            PART,
-            "Bundle " + signed.number() + " was passed over: " + checked.error().type() + ".");
-      }
+    }
+    if (key.equals(MetadataKeys.MEMBERSHIP)) {
+      learnMembership(metadata.membershipIn(metadataRecord));
+    } else {
+      metadata.updateView(metadataRecord);
     }
     metadataChanged(key);
   }
 
-  /** Questions go from here on to the core member whose feed this node's place is in. */
-  private void switchFeedSource(String coreId) {
-    for (int index = 0; index < feedSourcesInOrder().size(); index++) {
-      if (feedSourcesInOrder().get(index).id().equals(coreId)) {
-        feedSourceIndex = index;
-      }
+  private void updateFreshness(ChangeFeedUpdate update) {
+    if (update.echoedAt() <= 0) {
+      return;
+    }
+    upToDateAt = Math.max(upToDateAt, update.echoedAt() - update.ageMs());
+    if (update.relayed() || !isFresh(update)) {
+      return;
+    }
+    if (!receivedFromControlPlane) {
+      receivedFromControlPlane = true;
+      long tookMs = environment.nowMs() - startedAt;
+      environment.log(LOG_PART, "First update applied " + tookMs + " ms after the start.");
     }
+    controlPlaneHeardAt = Math.max(controlPlaneHeardAt, update.echoedAt());
   }
 
-  /** Called once the first news of the core itself are folded. */
-  protected void firstUpdateApplied() {}
+  private void reportApplied(List<String> addresses) {
+    reportApplied(addresses, metadata.acknowledgedPositions());
+  }
+
+  /** Reports what this edge has applied, unless it knows only what peer edges sent. */
+  private void reportApplied(List<String> addresses, List<KeyPosition> positions) {
+    if (!receivedFromControlPlane || !identity.role().equals(EDGE_ROLE)) {
+      return;
+    }
+    addresses.forEach(
+        address -> send(address, "", new AppliedPositions(identity.peerAddress(), positions)));
+  }
+
+  // ---- freshness
 
-  /** This process is new and may have the core's news in a moment. */
+  /** The longest time, in milliseconds, for which an acknowledged update may be unknown here. */
+  public long feedAge() {
+    return environment.nowMs() - upToDateAt;
+  }
+
+  protected boolean isFeedStale() {
+    return feedAge() > ChangeFeedConstants.STALE_AFTER_MS;
+  }
+
+  /**
+   * Whether this node must not begin new work: its metadata is stale, and it does not reach a
+   * majority of the listed edges. If it does, it is the control plane that is cut off and live
+   * traffic goes on: whatever was acknowledged is known to one of that majority, and by its answer
+   * here.
+   */
+  public boolean isIsolated() {
+    return isFeedStale()
+        && (!receivedFromControlPlane
+            || !peerEdges.reachesMajority(metadata.listedEdges(), environment.nowMs()));
+  }
+
+  /** Whether this process is new and may receive its first update in a moment. */
   protected boolean isStarting() {
     return !receivedFromControlPlane
         && environment.nowMs() - startedAt < LifecycleConstants.MAX_STARTUP_MS;
   }
 
+  // ---- what subclasses work by
+
+  /** Called once, when the first update of the control plane itself was applied. */
+  protected void firstUpdateApplied() {}
+
   /** Called after the view of a key has changed. */
   protected void metadataChanged(String key) {}
 
-  protected List<NodeRegistration> liveEdges() {
-    return members.values().stream().filter(member -> member.role().equals("edge")).toList();
+  /** The configuration in force here; null until one is known. */
+  protected RoutingConfiguration currentConfiguration() {
+    return metadata.configuration();
+  }
+
+  /** The live nodes of the data plane by id. */
+  public Map<String, NodeRegistration> members() {
+    return metadata.members();
+  }
+
+  /** The workers by id. */
+  public Map<String, WorkerRegistration> workers() {
+    return metadata.workers();
+  }
+
+  public List<NodeRegistration> liveEdges() {
+    return metadata.liveEdges();
   }
 
-  /** Where batches are led, by the edges that are live now. */
-  protected BatchLeaderPlacement leaderPlacement() {
+  /** The shards by key. */
+  protected Map<String, ShardAssignment> shards() {
+    return metadata.shards();
+  }
+
+  /** Which of the live edges lead batches. */
+  public BatchLeaderPlacement leaderPlacement() {
     if (leaderPlacement == null) {
       leaderPlacement = new BatchLeaderPlacement(settings.replicas(), liveEdges());
     }
     return leaderPlacement;
   }
 
-  /** The replica sets of the shard a key belongs to; none while the shard has none. */
-  protected ReplicaConfiguration replicaConfigurationOf(String key) {
-    ShardAssignment shard = shards.get(MetadataKeys.shardOf(key));
+  /** The replicas of the shard that a key belongs to; none while the shard has none. */
+  public ReplicaConfiguration replicaConfigurationOf(String key) {
+    ShardAssignment shard = shards().get(MetadataKeys.shardOf(key));
     return shard == null ? ReplicaConfiguration.NONE : ReplicaConfiguration.of(shard);
   }
 
-  protected Map<String, ShardAssignment> shards() {
-    return shards;
-  }
+  // ---- readiness and status
 
   @Override
   public String notReadyBecause() {
@@ -587,26 +483,26 @@
     return hasLease() ? notServingBecause() : "no grant from the core";
   }
 
-  /** Empty when all news that serving takes are here, else which are not. */
+  /** Empty if all metadata that serving takes is here, else what is missing. */
   protected String notServingBecause() {
     if (isFeedStale()) {
       return "the feed is stale";
     }
-    return configuration == null
-        ? "no bundle in force"
-        : shards.isEmpty() ? "no shards placed" : "";
+    if (currentConfiguration() == null) {
+      return "no bundle in force";
+    }
+    return shards().isEmpty() ? "no shards placed" : "";
   }
 
   @Override
   public ObjectNode status() {
-    ObjectNode status = commonStatus();
-    status
-        .put("feedCore", feedId)
-        .put("feedNumber", feedPosition)
+    RoutingConfiguration current = currentConfiguration();
+    return commonStatus()
+        .put("feedCore", feedSource.sourceId())
+        .put("feedNumber", feedSource.position())
         .put("feedAgeMs", Math.min(feedAge(), Integer.MAX_VALUE))
-        .put("bundle", configuration == null ? 0 : configuration.number())
+        .put("bundle", current == null ? 0 : current.number())
         .put("joined", hasLease())
         .put("isolated", isIsolated());
-    return status;
   }
 }
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
@@ -0,0 +1,234 @@
+package applespindle.corelogic.edge;
+
+import applespindle.corelogic.batch.BatchDispatcher;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.batch.BatchLeader;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message.AppendResponse;
+import applespindle.corelogic.protocol.Message.LeadershipTransfer;
+import applespindle.corelogic.protocol.Message.LogFetchResponse;
+import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.replication.ElectionOutcome;
+import applespindle.corelogic.replication.ElectionResult;
+import applespindle.corelogic.replication.Elections;
+import applespindle.corelogic.replication.ReplicatedLogLeader;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/**
+ * The batches that this edge leads, and its elections to lead others. Invariant: a batch is listed
+ * from a won election until its leadership is lost, transferred or given up.
+ */
+final class BatchLeaders {
+  private static final String LOG_PART = "edge";
+
+  private final Environment environment;
+  private final EdgeServices edge;
+  private final BatchLeader.Context context;
+  private final Elections elections;
+
+  /** By key. */
+  private final Map<String, BatchLeader> leaders = new TreeMap<>();
+
+  BatchLeaders(Environment environment, EdgeServices edge, BatchLeader.Context context) {
+    this.environment = environment;
+    this.edge = edge;
+    this.context = context;
+    this.elections =
+        new Elections(
+            environment,
+            edge.identity().id(),
+            edge::send,
+            edge::replicaConfigurationOf,
+            this::leadershipWon);
+  }
+
+  boolean isEmpty() {
+    return leaders.isEmpty();
+  }
+
+  boolean leads(String key) {
+    return leaders.containsKey(key);
+  }
+
+  /** Null if this edge does not lead the key. */
+  BatchLeader get(String key) {
+    return leaders.get(key);
+  }
+
+  /** Null if this edge does not lead the batch. */
+  BatchLeader ofBatch(String batch) {
+    return leaders.get(BatchKeys.keyOf(batch));
+  }
+
+  // ---- elections
+
+  /**
+   * Stands for election as the leader of a key, unless this edge leads it.
+   *
+   * @param transferred whether the former leader gave the key to this edge
+   */
+  void elect(String key, boolean transferred, Consumer<ElectionOutcome> callback) {
+    BatchLeader present = leaders.get(key);
+    if (present != null && present.leader.isLeading()) {
+      callback.accept(
+          new ElectionOutcome(
+              ElectionResult.ELECTED, edge.identity().id(), edge.identity().peerAddress()));
+      return;
+    }
+    elections.elect(key, transferred, callback);
+  }
+
+  private void leadershipWon(ReplicatedLogLeader logLeader) {
+    String key = logLeader.key;
+    leaders.put(key, new BatchLeader(environment, context, BatchKeys.batchOf(key), logLeader));
+    edge.traceLog().add("leads", key, "epoch " + logLeader.epoch().counter());
+    logLeader.onLeadershipLost(() -> leadershipLost(key));
+  }
+
+  private void leadershipLost(String key) {
+    BatchLeader lost = leaders.remove(key);
+    if (lost != null) {
+      lost.leadershipLost();
+    }
+    edge.traceLog().add("lost", key, "");
+    environment.log(LOG_PART, "Leadership lost: " + key + ".");
+  }
+
+  void handleVoteResponse(VoteResponse response, String fromId) {
+    elections.handleVoteResponse(response, fromId);
+  }
+
+  void handleLogFetchResponse(LogFetchResponse response) {
+    elections.handleLogFetchResponse(response);
+  }
+
+  void handleAppendResponse(AppendResponse response, String fromId) {
+    BatchLeader leader = leaders.get(response.key());
+    ReplicatedLogLeader logLeader =
+        leader != null ? leader.leader : elections.inProgress(response.key());
+    if (logLeader != null) {
+      logLeader.handleAppendResponse(response, fromId);
+    }
+  }
+
+  /** The former leader gives a batch to this edge. */
+  void acceptTransfer(LeadershipTransfer transfer) {
+    if (!edge.isStopping() && !leaders.containsKey(transfer.key())) {
+      elect(transfer.key(), true, outcome -> {});
+    }
+  }
+
+  /** The replicas of a shard have changed. */
+  void reconfigure(String shardKey) {
+    leaders.values().stream()
+        .map(leader -> leader.leader)
+        .filter(logLeader -> MetadataKeys.shardOf(logLeader.key).equals(shardKey))
+        .toList()
+        .forEach(logLeader -> logLeader.reconfigure(edge.replicaConfigurationOf(logLeader.key)));
+    elections.reconfigure();
+  }
+
+  // ---- leading
+
+  /** Resigns from the batches that need no leader any more. */
+  void tick() {
+    for (BatchLeader leader : List.copyOf(leaders.values())) {
+      if (leader.tick()) {
+        resign(leader);
+      }
+    }
+  }
+
+  private void resign(BatchLeader leader) {
+    leader.leader.resign();
+    leaders.remove(leader.leader.key);
+    leader.leadershipLost();
+  }
+
+  /**
+   * Leads on a batch whose leader is gone. Of one that was reserved but never accepted it makes the
+   * rejection lasting; of one that has ended it releases the capacity.
+   */
+  void recoverLeaderless(String key) {
+    if (edge.isStopping() || edge.isIsolated()) {
+      return;
+    }
+    elect(
+        key,
+        false,
+        outcome -> {
+          BatchLeader leader = leaders.get(key);
+          if (outcome.result() == ElectionResult.ELECTED && leader != null) {
+            settleIfNotOpen(leader);
+          }
+        });
+  }
+
+  private void settleIfNotOpen(BatchLeader leader) {
+    if (leader.batchState.accepted == null) {
+      leader.refuse(
+          error -> {
+            if (error == null) {
+              releaseCapacity(leader.batch);
+            }
+          });
+    } else if (!leader.batchState.isOpen()) {
+      releaseCapacity(leader.batch);
+    }
+  }
+
+  private void releaseCapacity(String batch) {
+    context.reportCapacity(batch, 0, queued -> {});
+  }
+
+  // ---- shutdown and status
+
+  /** Gives every batch up; the open ones to the edge that is to lead them next. */
+  void transferAll(BatchDispatcher batchDispatcher) {
+    for (BatchLeader leader : List.copyOf(leaders.values())) {
+      NodeAddress successor = successorFor(leader.leader.key);
+      resign(leader);
+      if (successor != null && leader.batchState.isOpen()) {
+        edge.send(
+            successor.address(),
+            successor.id(),
+            new LeadershipTransfer(
+                leader.leader.key, leader.leader.epoch(), leader.leader.lastSequence()));
+        batchDispatcher.leaderMoved(leader.batch, successor.id(), successor.address());
+        environment.log("batch", "Leadership transferred: batch=" + leader.batch + ".");
+      }
+    }
+  }
+
+  /** The first other edge in the order for a key; null if there is none. */
+  private NodeAddress successorFor(String key) {
+    for (int attempt = 0; attempt < edge.liveEdges().size(); attempt++) {
+      NodeAddress candidate = edge.leaderPlacement().edge(key, attempt);
+      if (!candidate.id().equals(edge.identity().id())) {
+        return candidate;
+      }
+    }
+    return null;
+  }
+
+  /** Adds the state of each batch that is led here. */
+  void describe(ObjectNode status) {
+    leaders.forEach(
+        (key, leader) ->
+            status.put(
+                leader.batch,
+                leader.batchState.state()
+                    + ", epoch "
+                    + leader.leader.epoch().counter()
+                    + ", recorded "
+                    + leader.batchState.results.size()
+                    + " of "
+                    + leader.batchState.items()));
+  }
+}
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequests.java
@@ -0,0 +1,248 @@
+package applespindle.corelogic.edge;
+
+import static applespindle.corelogic.common.Json.JSON;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.batch.BatchEvent.Accepted;
+import applespindle.corelogic.batch.BatchInput;
+import applespindle.corelogic.batch.BatchKeys;
+import applespindle.corelogic.batch.BatchSubmission;
+import applespindle.corelogic.batch.PendingSubmissions;
+import applespindle.corelogic.common.Json;
+import applespindle.corelogic.constants.BatchConstants;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.constants.ReplicationConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.environment.StageTimer;
+import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Message.PeerRequest;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
+/**
+ * Clients' requests about batches, at the edge where they arrive: each is sent to the edge that
+ * leads the batch. Invariant: every submission is answered by its deadline.
+ */
+final class BatchRequests {
+  private final Environment environment;
+  private final EdgeServices edge;
+  private final Supplier<NodeSettings> settings;
+  private final BatchLeaders leaders;
+  private final BatchHints hints;
+  private final PendingSubmissions pendingSubmissions = new PendingSubmissions();
+
+  BatchRequests(
+      Environment environment,
+      EdgeServices edge,
+      Supplier<NodeSettings> settings,
+      BatchLeaders leaders,
+      BatchHints hints) {
+    this.environment = environment;
+    this.edge = edge;
+    this.settings = settings;
+    this.leaders = leaders;
+    this.hints = hints;
+  }
+
+  int pendingSubmissions() {
+    return pendingSubmissions.size();
+  }
+
+  /** Batches that should have been answered by now. */
+  List<String> overdueSubmissions() {
+    return pendingSubmissions.overdue(environment.nowMs());
+  }
+
+  // ---- submissions
+
+  /** Null if a batch may be submitted here, else why not. */
+  private ApiError rejection() {
+    ApiError rejection = edge.rejectionOfNewWork();
+    if (rejection == null && edge.configuration() == null) {
+      return new ApiError.NoConfiguration();
+    }
+    return rejection;
+  }
+
+  private ApiError rejectionOf(BatchSubmission submission) {
+    ApiError rejection = rejection();
+    if (rejection == null
+        && edge.routes().findBatch(submission.host(), submission.path()) == null) {
+      return new ApiError.NoMatchingRule();
+    }
+    return rejection;
+  }
+
+  /**
+   * Forwards a batch of proxied requests to the edge that is to lead it. The body is neither read
+   * nor checked here: on a small machine that alone takes longer than the client waits.
+   */
+  void submitProxied(BatchSubmission submission, Consumer<Response> callback) {
+    ApiError rejection = rejectionOf(submission);
+    if (rejection != null) {
+      callback.accept(Response.of(rejection));
+      return;
+    }
+    StageTimer timer = new StageTimer(environment);
+    byte[] body = new BatchSubmission.Forwarded(submission, edge.configuration().number()).encode();
+    String batch = BatchKeys.proxiedBatchId(submission.id());
+    long replicationMs = replicationTimeMs(body.length);
+    long timeoutMs = PeerRequestConstants.REQUEST_TIMEOUT_MS + replicationMs;
+    long deadline = environment.nowMs() + timeoutMs + PeerRequestConstants.RESPONSE_SLACK_MS;
+    long pending = pendingSubmissions.begin(batch, deadline);
+    sendToLeader(
+        PeerRequest.SUBMIT,
+        batch,
+        body,
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS + replicationMs,
+        timeoutMs,
+        response -> {
+          pendingSubmissions.end(pending);
+          timer.mark("leader");
+          logAnswered(submission, batch, body.length, response, timer);
+          callback.accept(response);
+        });
+  }
+
+  private void logAnswered(
+      BatchSubmission submission, String batch, int bytes, Response response, StageTimer timer) {
+    environment.log(
+        "batch",
+        "Submission answered: batch="
+            + batch
+            + " client_id="
+            + submission.id()
+            + " status="
+            + response.status()
+            + " fault="
+            + response.errorType()
+            + " bytes="
+            + bytes
+            + timer
+            + ".");
+  }
+
+  /** How long a leader on a slow link takes to send so many bytes to its replicas. */
+  private long replicationTimeMs(long bytes) {
+    return bytes * settings.get().replicas() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
+  }
+
+  void submitPrompts(
+      String sender, String idempotencyKey, BatchInput input, Consumer<Response> callback) {
+    ApiError rejection = rejection();
+    if (rejection != null) {
+      callback.accept(Response.of(rejection));
+      return;
+    }
+    List<JsonNode> items =
+        input.items().stream().map(item -> JSON.<JsonNode>valueToTree(item)).toList();
+    var accepted =
+        new Accepted(
+            sender,
+            BatchKeys.digest(Json.bytes(input)),
+            input.dueInMs(),
+            input.expiresInMs(),
+            items,
+            null);
+    sendToLeader(PeerRequest.SUBMIT, BatchKeys.batchId(sender, idempotencyKey), accepted, callback);
+  }
+
+  // ---- reads and ends
+
+  void read(String batch, Consumer<Response> callback) {
+    sendToLeader("get", batch, JSON.createObjectNode(), callback);
+  }
+
+  void readPromptResults(String batch, long after, int limit, Consumer<Response> callback) {
+    ObjectNode body = JSON.createObjectNode().put("after", after).put("limit", limit);
+    sendToLeader("results", batch, body, callback);
+  }
+
+  void readProxiedResults(String batch, long from, long holdMs, Consumer<Response> callback) {
+    long boundedHoldMs = Math.min(holdMs, BatchConstants.MAX_LONG_POLL_MS);
+    ObjectNode body = JSON.createObjectNode().put("from", from).put("holdMs", boundedHoldMs);
+    readProxied("opaque-results", batch, body, boundedHoldMs, callback);
+  }
+
+  void readProxiedItem(String batch, String item, Consumer<Response> callback) {
+    readProxied("opaque-item", batch, JSON.createObjectNode().put("item", item), 0, callback);
+  }
+
+  /** A read has no effect: after any failure the reader is told to ask again. */
+  private void readProxied(
+      String operation, String batch, ObjectNode body, long holdMs, Consumer<Response> callback) {
+    sendToLeader(
+        operation,
+        BatchKeys.proxiedBatchId(batch),
+        body,
+        holdMs + BatchConstants.READ_ATTEMPT_TIMEOUT_MS,
+        holdMs + BatchConstants.READ_TIMEOUT_MS,
+        response ->
+            callback.accept(
+                response.status() >= 500 ? Response.of(new ApiError.NoQuorum(batch)) : response));
+  }
+
+  void end(String batch, Consumer<Response> callback) {
+    sendToLeader("end", batch, JSON.createObjectNode(), callback);
+  }
+
+  // ---- finding the leader
+
+  private void sendToLeader(
+      String operation, String batch, Object body, Consumer<Response> callback) {
+    sendToLeader(
+        operation,
+        batch,
+        body,
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
+        PeerRequestConstants.REQUEST_TIMEOUT_MS,
+        callback);
+  }
+
+  private void sendToLeader(
+      String operation,
+      String batch,
+      Object body,
+      long attemptTimeoutMs,
+      long timeoutMs,
+      Consumer<Response> callback) {
+    String key = BatchKeys.keyOf(batch);
+    edge.sendRequest(
+        attempt -> target(key, operation, attempt),
+        operation,
+        key,
+        body,
+        attemptTimeoutMs,
+        timeoutMs,
+        callback);
+  }
+
+  /**
+   * The edge to ask: the leader as far as it is known; else, for a submission, the first edge in
+   * the order as seen from here; else the first in the order agreed by all. Whoever is asked finds
+   * the true leader.
+   */
+  private NodeAddress target(String key, String operation, int attempt) {
+    if (leaders.leads(key)) {
+      return new NodeAddress(edge.identity().id(), edge.identity().peerAddress());
+    }
+    NodeAddress hinted = hints.leader(BatchKeys.batchOf(key));
+    if (hinted != null && attempt == 0 && isOtherLiveEdge(hinted)) {
+      return hinted;
+    }
+    int rank = hinted == null ? attempt : Math.max(0, attempt - 1);
+    boolean submission = operation.equals(PeerRequest.SUBMIT) && BatchKeys.isProxied(key);
+    return submission
+        ? edge.leaderPlacement().edgeFrom(edge.identity(), key, rank)
+        : edge.leaderPlacement().edge(key, rank);
+  }
+
+  private boolean isOtherLiveEdge(NodeAddress address) {
+    return edge.members().containsKey(address.id()) && !address.id().equals(edge.identity().id());
+  }
+}
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -22,161 +22,34 @@
 import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 
 /**
- * What every process has: a place, a journal, peers to ask and to answer, and the newest roster it
- * knows.
+ * What every process has: its identity, requests to and from other nodes, the newest membership of
+ * the control plane that it knows, counters, and a trace of what happened. All calls and callbacks
+ * are on the process's logic thread.
  */
 public abstract class Node {
-
-  /** Faults that say for certain that nothing was done, so that another try is safe. */
-  private static final Set<String> NOTHING_DONE =
-      Set.of("NotOwner", "NoMajority", "NotReady", "NodeStopping", "Overloaded", "NodeIsolated");
-
-  private final class OutgoingRequest {
-    final IntFunction<NodeAddress> targets;
-    final String operation;
-    final String key;
-    final byte[] body;
-    final long tryMs;
-    final long expiresAt;
-    final Consumer<Response> then;
-    int tries;
-
-    /** Of every try so far: an answer that comes after the next try has begun still counts. */
-    final List<Long> correlations = new ArrayList<>();
-
-    boolean over;
-
-    /** Ends the latest try unless its node is heard of. */
-    private Environment.ScheduledTask silence;
-
-    /** Once a try went unanswered, no later refusal may be passed on as "nothing was done". */
-    boolean unknown;
-
-    Response lastResponse = Response.of(new ApiError.NotReady("nobody to ask yet"));
-
-    OutgoingRequest(
-        IntFunction<NodeAddress> targets,
-        String operation,
-        String key,
-        byte[] body,
-        long tryMs,
-        long expiresAt,
-        Consumer<Response> then) {
-      this.targets = targets;
-      this.operation = operation;
-      this.key = key;
-      this.body = body;
-      this.tryMs = tryMs;
-      this.expiresAt = expiresAt;
-      this.then = then;
-    }
-
-    void tryOnce() {
-      if (over) {
-        return;
-      }
-      long left = expiresAt - environment.nowMs();
-      if (left <= 0) {
-        finish(lastResponse);
-        return;
-      }
-      NodeAddress target = targets.apply(tries++);
-      if (target == null) {
-        environment.schedule(Math.min(left, PeerRequestConstants.RETRY_DELAY_MS), this::tryOnce);
-        return;
-      }
-      long correlation = ++lastCorrelation;
-      correlations.add(correlation);
-      open.put(correlation, this);
-      send(
-          target.address(),
-          target.id(),
-          new PeerRequest(
-              correlation,
-              operation,
-              key,
-              identity.id(),
-              identity.peerAddress(),
-              PeerRequestConstants.MAX_FORWARDS,
-              body));
-      awaitAnswer(correlation);
-    }
-
-    private void awaitAnswer(long correlation) {
-      if (silence != null) {
-        silence.cancel();
-      }
-      long left = expiresAt - environment.nowMs();
-      silence =
-          environment.schedule(
-              Math.max(0, Math.min(left, tryMs)),
-              () -> {
-                if (!over && isLatest(correlation) && open.containsKey(correlation)) {
-                  unknown = true;
-                  tryOnce();
-                }
-              });
-    }
-
-    /** The node that was asked last is still at work: no other one is asked meanwhile. */
-    void progressed(long correlation) {
-      if (!over && isLatest(correlation)) {
-        awaitAnswer(correlation);
-      }
-    }
-
-    private boolean isLatest(long correlation) {
-      return correlations.get(correlations.size() - 1) == correlation;
-    }
-
-    void responded(long correlation, Response response) {
-      if (NOTHING_DONE.contains(response.errorType())) {
-        if (isLatest(correlation)) {
-          lastResponse = response;
-          environment.schedule(PeerRequestConstants.RETRY_DELAY_MS, this::tryOnce);
-        }
-      } else {
-        finish(response);
-      }
-    }
-
-    void finish(Response response) {
-      if (over) {
-        return;
-      }
-      over = true;
-      correlations.forEach(open::remove);
-      boolean refusal =
-          response.status() == 429 || response.status() == 503 || response.status() == 413;
-      then.accept(unknown && refusal ? Response.of(new ApiError.OutcomeUnknown(key)) : response);
-    }
-  }
-
   protected final Environment environment;
   protected final NodeIdentity identity;
   protected final TraceLog traceLog;
 
-  /** Newest roster known; its number never falls. */
+  /** The newest membership of the control plane that is known; its number never falls. */
   protected QuorumMembership membership = new QuorumMembership(0, List.of(), List.of());
 
+  /** Whether a graceful shutdown has begun. */
   public boolean stopping;
 
-  /** Where to look for the core; at first the place's. */
+  /** Peer addresses at which to look for the control plane. */
   protected List<String> seeds;
 
-  private final Map<Long, OutgoingRequest> open = new HashMap<>();
-  private long lastCorrelation;
+  private final PendingRequests pendingRequests = new PendingRequests();
   private final Map<String, Long> counters = new LinkedHashMap<>();
+  private boolean terminated;
 
   protected Node(Environment environment, NodeIdentity identity) {
     this.environment = environment;
@@ -185,36 +58,58 @@
     this.traceLog = new TraceLog(environment);
   }
 
+  // ---- lifecycle
+
+  /** Starts the node's timers; called once, after the log was recovered. */
   public abstract void start();
 
-  /**
-   * What the process was told at its start has changed; of the bounds, only what may change while
-   * it runs.
-   */
-  public void reload(List<String> newSeeds, NodeSettings newBounds) {
+  /** Takes over changed settings; of these only what may change while the process runs. */
+  public void reload(List<String> newSeeds, NodeSettings newSettings) {
     seeds = List.copyOf(newSeeds);
-    settingsChanged(newBounds);
+    settingsChanged(newSettings);
   }
 
+  /** Called when settings were reloaded. */
   protected void settingsChanged(NodeSettings newer) {}
 
-  /** Replays one record of the log; called before start, in order. */
+  /** Replays one record of the log; called before {@link #start}, in order. */
   public void recover(LogRecord record) {}
 
+  /** The records that stand for all of the log so far. */
   public List<LogRecord> checkpoint() {
     return List.of();
   }
 
-  /** Hands duties over and ends; the callback runs when the process may exit. */
+  /** Shuts down gracefully; the callback runs when the process may exit. */
   public abstract void stop(Runnable whenDone);
 
-  /** Empty when ready, else why not. */
+  /** Empty if the node is ready to serve, else the reason why not. */
   public abstract String notReadyBecause();
 
-  protected abstract void handle(Message message, String fromId, String fromAddress);
+  /** Whether the node has shut down; no timer of it has an effect any more. */
+  public boolean isTerminated() {
+    return terminated;
+  }
 
-  protected abstract void handleRequest(PeerRequest request);
+  protected void terminate() {
+    terminated = true;
+  }
 
+  /** Runs a task again and again, first after the interval, until the node has terminated. */
+  protected void repeatEvery(long intervalMs, Runnable task) {
+    environment.schedule(
+        intervalMs,
+        () -> {
+          if (!isTerminated()) {
+            task.run();
+            repeatEvery(intervalMs, task);
+          }
+        });
+  }
+
+  // ---- what others see of it
+
+  /** The node's state for operators. */
   public abstract ObjectNode status();
 
   public NodeIdentity identity() {
@@ -233,31 +128,31 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  /** Counts a violated invariant and tells of it. */
+  /** Counts and logs a violated invariant; tests end there. */
   protected void reportViolation(Invariant invariant, String detail) {
     incrementCounter(invariant.counter());
     environment.log("invariant", "Violated: " + invariant + " " + detail + ".");
     environment.invariantViolated(invariant, detail);
   }
 
+  // ---- messages
+
+  /** Handles a message that no request or discovery is about. */
+  protected abstract void handle(Message message, String fromId, String fromAddress);
+
+  /** Handles a request of another node, or of this one; it gets one response. */
+  protected abstract void handleRequest(PeerRequest request);
+
+  /** Takes in a message; one that is meant for an earlier process at this address is dropped. */
   public void receive(Envelope envelope) {
     if (!envelope.toId().isEmpty() && !envelope.toId().equals(identity.id())) {
       return;
     }
     Message message = envelope.message();
     if (message instanceof PeerResponse response) {
-      OutgoingRequest asking = open.remove(response.correlation());
-      if (asking != null) {
-        asking.responded(
-            response.correlation(),
-            Response.encoded(
-                response.status(), response.body(), response.retryAfterSeconds() * 1_000L));
-      }
+      pendingRequests.handleResponse(response);
     } else if (message instanceof PeerRequestProgress progress) {
-      OutgoingRequest asking = open.get(progress.correlation());
-      if (asking != null) {
-        asking.progressed(progress.correlation());
-      }
+      pendingRequests.handleProgress(progress);
     } else if (message instanceof PeerRequest request) {
       handleRequest(request);
     } else if (message instanceof QuorumDiscoveryRequest) {
@@ -267,13 +162,14 @@
             envelope.fromId(),
             new QuorumDiscoveryResponse(membership.number(), Json.bytes(membership)));
       }
-    } else if (message instanceof QuorumDiscoveryResponse told) {
-      learnMembership(Json.read(told.body(), QuorumMembership.class));
+    } else if (message instanceof QuorumDiscoveryResponse response) {
+      learnMembership(Json.read(response.body(), QuorumMembership.class));
     } else {
       handle(message, envelope.fromId(), envelope.fromAddress());
     }
   }
 
+  /** Adopts a membership of the control plane if it is newer than the one known. */
   protected void learnMembership(QuorumMembership learned) {
     if (learned.number() > membership.number()) {
       membership = learned;
@@ -281,35 +177,78 @@
     }
   }
 
+  /** Sends a message; an empty id means whoever is at the address. */
   public void send(String toAddress, String toId, Message message) {
     environment.send(toAddress, new Envelope(identity.id(), identity.peerAddress(), toId, message));
   }
 
+  /** Sends a request with the usual time for an attempt. */
   public void sendRequest(
       IntFunction<NodeAddress> targets,
       String operation,
       String key,
       Object body,
-      long expiryMs,
-      Consumer<Response> then) {
+      long timeoutMs,
+      Consumer<Response> callback) {
     sendRequest(
-        targets, operation, key, body, PeerRequestConstants.ATTEMPT_TIMEOUT_MS, expiryMs, then);
+        targets,
+        operation,
+        key,
+        body,
+        PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
+        timeoutMs,
+        callback);
   }
 
-  /** tryMs: how long one node may take to respond before the next is tried. */
+  /**
+   * Sends a request to one node after the other until one answers for good.
+   *
+   * @param targets the node for each attempt, counted from 0; null if none is known at present
+   * @param body written as JSON, unless it is bytes already
+   * @param attemptTimeoutMs how long one node may take before the next one is asked
+   * @param callback runs exactly once
+   */
   public void sendRequest(
       IntFunction<NodeAddress> targets,
       String operation,
       String key,
       Object body,
-      long tryMs,
-      long expiryMs,
-      Consumer<Response> then) {
-    byte[] bytes = body instanceof byte[] raw ? raw : Json.bytes(body);
-    new OutgoingRequest(targets, operation, key, bytes, tryMs, environment.nowMs() + expiryMs, then)
-        .tryOnce();
+      long attemptTimeoutMs,
+      long timeoutMs,
+      Consumer<Response> callback) {
+    byte[] bytes = body instanceof byte[] encoded ? encoded : Json.bytes(body);
+    long expiresAt = environment.nowMs() + timeoutMs;
+    new OutgoingRequest(
+            environment,
+            this::sendAttempt,
+            pendingRequests,
+            targets,
+            operation,
+            key,
+            bytes,
+            attemptTimeoutMs,
+            expiresAt,
+            callback)
+        .sendAttempt();
   }
 
+  private long sendAttempt(OutgoingRequest request, NodeAddress target) {
+    long correlation = pendingRequests.register(request);
+    send(
+        target.address(),
+        target.id(),
+        new PeerRequest(
+            correlation,
+            request.operation,
+            request.key,
+            identity.id(),
+            identity.peerAddress(),
+            PeerRequestConstants.MAX_FORWARDS,
+            request.body));
+    return correlation;
+  }
+
+  /** Sends the response to the node that the request came from at first. */
   public void respond(PeerRequest request, Response response) {
     send(
         request.originAddress(),
@@ -321,8 +260,8 @@
             response.encodedBody()));
   }
 
-  /** Hands an ask on to whom it belongs; the other responds to the origin directly. */
-  protected void forward(PeerRequest request, String toId, String toAddress) {
+  /** Forwards a request to the node that leads its key, which responds to the origin directly. */
+  public void forward(PeerRequest request, String toId, String toAddress) {
     if (request.hops() <= 0 || toAddress.isEmpty() || toId.equals(identity.id())) {
       respond(request, Response.of(new ApiError.NotLeader(request.key())));
       return;
@@ -340,27 +279,7 @@
             request.body()));
   }
 
-  protected void repeatEvery(long millis, Runnable duty) {
-    environment.schedule(
-        millis,
-        () -> {
-          if (!isTerminated()) {
-            duty.run();
-            repeatEvery(millis, duty);
-          }
-        });
-  }
-
-  private boolean ended;
-
-  public boolean isTerminated() {
-    return ended;
-  }
-
-  protected void terminate() {
-    ended = true;
-  }
-
+  /** The part of the status that all nodes have. */
   protected ObjectNode commonStatus() {
     ObjectNode status = JSON.createObjectNode();
     status
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/node/OutgoingRequest.java
@@ -0,0 +1,157 @@
+package applespindle.corelogic.node;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.api.Response;
+import applespindle.corelogic.constants.PeerRequestConstants;
+import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.NodeAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.IntFunction;
+
+/**
+ * One request to other nodes, attempt by attempt, until one of them answers for good or the time is
+ * up. Invariants: the callback runs exactly once; after an attempt that went unanswered a rejection
+ * is never passed on as if nothing had been done.
+ */
+final class OutgoingRequest {
+  /** Wire names of the errors that say for certain that nothing was done: a retry is safe. */
+  private static final Set<String> NOTHING_DONE =
+      Set.of("NotOwner", "NoMajority", "NotReady", "NodeStopping", "Overloaded", "NodeIsolated");
+
+  /** Sends one attempt and returns its correlation id. */
+  interface AttemptSender {
+    long send(OutgoingRequest request, NodeAddress target);
+  }
+
+  private final Environment environment;
+  private final AttemptSender sender;
+  private final PendingRequests pending;
+  private final IntFunction<NodeAddress> targets;
+  final String operation;
+  final String key;
+  final byte[] body;
+  private final long attemptTimeoutMs;
+  private final long expiresAt;
+  private final Consumer<Response> callback;
+
+  /** Of all attempts: an answer that comes after the next attempt was sent still counts. */
+  private final List<Long> correlations = new ArrayList<>();
+
+  private int attempts;
+  private boolean finished;
+
+  /** Ends the latest attempt unless its node makes progress. */
+  private Environment.ScheduledTask attemptTimeout;
+
+  /** Whether some attempt went unanswered, so that it may have taken effect. */
+  private boolean outcomeUnknown;
+
+  private Response lastResponse = Response.of(new ApiError.NotReady("nobody to ask yet"));
+
+  /**
+   * @param targets the node for each attempt, counted from 0; null if none is known at present
+   * @param attemptTimeoutMs how long one node may take before the next one is asked
+   * @param expiresAt when the request ends, on this node's clock
+   */
+  OutgoingRequest(
+      Environment environment,
+      AttemptSender sender,
+      PendingRequests pending,
+      IntFunction<NodeAddress> targets,
+      String operation,
+      String key,
+      byte[] body,
+      long attemptTimeoutMs,
+      long expiresAt,
+      Consumer<Response> callback) {
+    this.environment = environment;
+    this.sender = sender;
+    this.pending = pending;
+    this.targets = targets;
+    this.operation = operation;
+    this.key = key;
+    this.body = body;
+    this.attemptTimeoutMs = attemptTimeoutMs;
+    this.expiresAt = expiresAt;
+    this.callback = callback;
+  }
+
+  /** Sends the next attempt, or ends the request if its time is up. */
+  void sendAttempt() {
+    if (finished) {
+      return;
+    }
+    long remainingMs = expiresAt - environment.nowMs();
+    if (remainingMs <= 0) {
+      finish(lastResponse);
+      return;
+    }
+    NodeAddress target = targets.apply(attempts++);
+    if (target == null) {
+      environment.schedule(
+          Math.min(remainingMs, PeerRequestConstants.RETRY_DELAY_MS), this::sendAttempt);
+      return;
+    }
+    long correlation = sender.send(this, target);
+    awaitAnswer(correlation);
+  }
+
+  /** Called before an attempt is sent. */
+  void addCorrelation(long correlation) {
+    correlations.add(correlation);
+  }
+
+  private void awaitAnswer(long correlation) {
+    if (attemptTimeout != null) {
+      attemptTimeout.cancel();
+    }
+    long remainingMs = expiresAt - environment.nowMs();
+    attemptTimeout =
+        environment.schedule(
+            Math.max(0, Math.min(remainingMs, attemptTimeoutMs)), () -> timedOut(correlation));
+  }
+
+  private void timedOut(long correlation) {
+    if (!finished && isLatest(correlation) && pending.contains(correlation)) {
+      outcomeUnknown = true;
+      sendAttempt();
+    }
+  }
+
+  /** The node that was asked last still works on the request: it gets more time. */
+  void handleProgress(long correlation) {
+    if (!finished && isLatest(correlation)) {
+      awaitAnswer(correlation);
+    }
+  }
+
+  private boolean isLatest(long correlation) {
+    return correlations.get(correlations.size() - 1) == correlation;
+  }
+
+  void handleResponse(long correlation, Response response) {
+    if (!NOTHING_DONE.contains(response.errorType())) {
+      finish(response);
+    } else if (isLatest(correlation)) {
+      lastResponse = response;
+      environment.schedule(PeerRequestConstants.RETRY_DELAY_MS, this::sendAttempt);
+    }
+  }
+
+  private void finish(Response response) {
+    if (finished) {
+      return;
+    }
+    finished = true;
+    correlations.forEach(pending::remove);
+    boolean saysNothingDone =
+        response.status() == 429 || response.status() == 503 || response.status() == 413;
+    callback.accept(
+        outcomeUnknown && saysNothingDone
+            ? Response.of(new ApiError.OutcomeUnknown(key))
+            : response);
+  }
+}
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -9,8 +9,6 @@
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.common.RendezvousHashing;
 import applespindle.corelogic.constants.BatchConstants;
-import applespindle.corelogic.constants.PeerRequestConstants;
-import applespindle.corelogic.constants.ReplicationConstants;
 import applespindle.corelogic.dataplane.DataPlaneNode;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.NodeSettings;
@@ -19,8 +17,6 @@
 import applespindle.corelogic.log.LogRecord.Kind;
 import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.NodeAddress;
-import applespindle.corelogic.metadata.ShardAssignment;
-import applespindle.corelogic.metadata.ShardReplica;
 import applespindle.corelogic.node.NodeIdentity;
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.AppendRequest;
@@ -31,36 +27,23 @@
 import applespindle.corelogic.replication.LogReplica;
 import applespindle.corelogic.replication.LogReplicas;
 import applespindle.corelogic.replication.ReplicaCatchUp;
-import applespindle.corelogic.replication.ReplicaConfiguration;
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
 
-/** The data plane's storage role: replicas of batch records, and once-claims. */
+/**
+ * A storage node: it holds replicas of batches and the claims of once-ids, both in its log on disk.
+ * It reports unfinished batches without a leader to an edge, and has ended batches removed when
+ * their retention is over.
+ */
 public final class StorageNode extends DataPlaneNode {
   private final LogReplicas replicas;
   private final ReplicaCatchUp catchUp;
-
-  /** Batches accepted by a committed entry and not yet committed as finished, ended or refused. */
-  private final Set<String> unfinished = new TreeSet<>();
-
-  /** Batches that are over, with since when this process has known so. */
-  private final Map<String, Long> endedSince = new TreeMap<>();
-
-  private long removed;
-
-  /**
-   * Once-id to the one token that claimed it here. Written once; taken back only by the token
-   * itself.
-   */
-  private final Map<String, String> onceClaims = new LinkedHashMap<>();
+  private final ShardReconfiguration reconfiguration;
+  private final StoredBatches batches = new StoredBatches();
+  private final OnceClaimStore onceClaims = new OnceClaimStore();
 
   public StorageNode(Environment environment, NodeIdentity identity) {
     this(environment, identity, NodeSettings.DEFAULT);
@@ -69,34 +52,39 @@
   public StorageNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
     super(environment, identity, settings);
     replicas = new LogReplicas(environment, this::send, this::committed, MetadataKeys::shardOf);
-    catchUp = new ReplicaCatchUp(environment, this, replicas, onceClaims, MetadataKeys::shardOf);
+    catchUp =
+        new ReplicaCatchUp(environment, this, replicas, onceClaims.tokens(), MetadataKeys::shardOf);
+    reconfiguration =
+        new ShardReconfiguration(
+            environment,
+            identity.id(),
+            traceLog,
+            replicas,
+            catchUp,
+            this::shards,
+            this::isTerminated,
+            this::reportCaughtUp);
   }
 
   public LogReplicas replicas() {
     return replicas;
   }
 
+  // ---- log and start
+
   @Override
   public void recover(LogRecord record) {
     if (record.kind() == Kind.ONCE) {
-      remember(record);
+      onceClaims.recover(record);
     } else {
       replicas.recover(record);
     }
   }
 
-  private void remember(LogRecord record) {
-    if (record.epoch().node().isEmpty()) {
-      onceClaims.remove(record.key());
-    } else {
-      onceClaims.put(record.key(), record.epoch().node());
-    }
-  }
-
   @Override
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>(replicas.checkpoint());
-    onceClaims.forEach((id, token) -> records.add(ReplicaCatchUp.onceClaimRecord(id, token)));
+    records.addAll(onceClaims.checkpoint());
     return records;
   }
 
@@ -108,93 +96,90 @@
     repeatEvery(BatchConstants.RETENTION_SCAN_INTERVAL_MS, this::removeExpiredBatches);
   }
 
+  // ---- batches
+
+  private void committed(String key, LogEntry entry) {
+    if (entry.isTakeover()) {
+      return;
+    }
+    String eventKind = BatchEvent.kindOf(entry.event());
+    batches.apply(key, eventKind, environment.nowMs());
+    traceLog.add("committed", key, "sequence " + entry.sequence() + " " + eventKind);
+  }
+
   /**
-   * The first replica of a batch has it removed by the batch's leader once it was kept long enough.
+   * The first replica of an ended batch asks the batch's leader to remove it after its retention.
    */
   private void removeExpiredBatches() {
-    if (configuration == null) {
+    if (currentConfiguration() == null) {
       return;
     }
     long now = environment.nowMs();
-    endedSince.entrySet().stream()
-        .filter(
-            entry ->
-                now - entry.getValue()
-                    > (BatchKeys.isProxied(entry.getKey())
-                        ? settings.batchRetentionMs()
-                        : configuration.limits().batch().effectiveRetentionMs()))
+    batches.endedSince().entrySet().stream()
+        .filter(ended -> now - ended.getValue() > retentionMs(ended.getKey()))
         .map(Map.Entry::getKey)
-        .filter(
-            key ->
-                identity
-                    .id()
-                    .equals(
-                        RendezvousHashing.first(
-                            key,
-                            replicaConfigurationOf(key).current().stream()
-                                .map(NodeAddress::id)
-                                .toList())))
+        .filter(this::isFirstReplicaOf)
         .limit(BatchConstants.MAX_REMOVALS_PER_SCAN)
         .toList()
-        .forEach(
-            key ->
-                sendRequest(
-                    attempt -> leaderPlacement().edge(key, attempt),
-                    "remove",
-                    key,
-                    JSON.createObjectNode(),
-                    BatchConstants.RETENTION_SCAN_INTERVAL_MS,
-                    response -> {}));
+        .forEach(this::requestRemoval);
   }
 
-  private void committed(String key, LogEntry entry) {
-    if (entry.isTakeover()) {
-      return;
-    }
-    String kind = BatchEvent.kindOf(entry.event());
-    if (kind.equals(BatchEvent.ACCEPTED)) {
-      unfinished.add(key);
-      endedSince.remove(key);
-    } else if (kind.equals(BatchEvent.FINISHED)
-        || kind.equals(BatchEvent.ENDED)
-        || kind.equals(BatchEvent.REFUSED)) {
-      unfinished.remove(key);
-      endedSince.put(key, environment.nowMs());
-    } else if (kind.equals(BatchEvent.REMOVED)) {
-      endedSince.remove(key);
-      removed++;
-    }
-    traceLog.add("committed", key, "sequence " + entry.sequence() + " " + kind);
+  private long retentionMs(String key) {
+    return BatchKeys.isProxied(key)
+        ? settings.batchRetentionMs()
+        : currentConfiguration().limits().batch().effectiveRetentionMs();
   }
 
-  /**
-   * Unfinished batches whose owner has gone silent are told to the edge that comes first for them
-   * now.
-   */
+  private boolean isFirstReplicaOf(String key) {
+    List<String> replicaIds =
+        replicaConfigurationOf(key).current().stream().map(NodeAddress::id).toList();
+    return identity.id().equals(RendezvousHashing.first(key, replicaIds));
+  }
+
+  private void requestRemoval(String key) {
+    sendRequest(
+        attempt -> leaderPlacement().edge(key, attempt),
+        "remove",
+        key,
+        JSON.createObjectNode(),
+        BatchConstants.RETENTION_SCAN_INTERVAL_MS,
+        response -> {});
+  }
+
+  /** Unfinished batches whose leader is silent are reported to the edge that is to lead them. */
   private void reportLeaderlessBatches() {
-    Map<NodeAddress, List<String>> orphans = new HashMap<>();
-    for (String key : unfinished) {
-      if (replicas.isLeaderSilent(replicas.replica(key))) {
-        NodeAddress chosenEdge = leaderPlacement().edge(key, 0);
-        if (chosenEdge != null && chosenEdge.id().equals(replicas.replica(key).leaderId)) {
-          chosenEdge = leaderPlacement().edge(key, 1);
-        }
-        if (chosenEdge != null) {
-          orphans.computeIfAbsent(chosenEdge, unseen -> new ArrayList<>()).add(key);
-        }
+    Map<NodeAddress, List<String>> leaderlessByEdge = new HashMap<>();
+    for (String key : batches.unfinished()) {
+      LogReplica replica = replicas.replica(key);
+      if (!replicas.isLeaderSilent(replica)) {
+        continue;
+      }
+      NodeAddress successor = successorFor(key, replica.leaderId);
+      if (successor != null) {
+        leaderlessByEdge.computeIfAbsent(successor, unseen -> new ArrayList<>()).add(key);
       }
     }
-    orphans.forEach((edge, keys) -> send(edge.address(), edge.id(), new LeaderlessBatches(keys)));
+    leaderlessByEdge.forEach(
+        (edge, keys) -> send(edge.address(), edge.id(), new LeaderlessBatches(keys)));
+  }
+
+  /** The first edge in the order for a key, or the second if the first is the silent leader. */
+  private NodeAddress successorFor(String key, String silentLeaderId) {
+    NodeAddress first = leaderPlacement().edge(key, 0);
+    boolean firstIsSilent = first != null && first.id().equals(silentLeaderId);
+    return firstIsSilent ? leaderPlacement().edge(key, 1) : first;
   }
 
+  // ---- messages and requests
+
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof AppendRequest append) {
-      replicas.handleAppendRequest(append, fromId, fromAddress);
-    } else if (message instanceof VoteRequest promise) {
-      replicas.handleVoteRequest(promise, fromId, fromAddress);
-    } else if (message instanceof LogFetchRequest logAsk) {
-      replicas.handleLogFetchRequest(logAsk, fromId, fromAddress);
+    if (message instanceof AppendRequest request) {
+      replicas.handleAppendRequest(request, fromId, fromAddress);
+    } else if (message instanceof VoteRequest request) {
+      replicas.handleVoteRequest(request, fromId, fromAddress);
+    } else if (message instanceof LogFetchRequest request) {
+      replicas.handleLogFetchRequest(request, fromId, fromAddress);
     } else {
       super.handle(message, fromId, fromAddress);
     }
@@ -205,20 +190,20 @@
     switch (request.operation()) {
       case "copy" -> catchUp.servePage(request);
       case "peek" -> lookUpRecord(request);
-      case "claim" -> claim(request);
-      case "unclaim" -> unclaim(request);
+      case "claim" -> claimOnceId(request);
+      case "unclaim" -> releaseOnceId(request);
       default -> respond(request, Response.of(new ApiError.UnknownRequest(request.operation())));
     }
   }
 
-  /** True, and told so, if the asker speaks of an older replica set than the one known here. */
+  /** Rejects a request that knows an older configuration of the shard than this node. */
   private boolean rejectsStaleConfiguration(PeerRequest request) {
     long known = replicas.configurationVersion(MetadataKeys.shardOf(request.key()));
-    boolean old = Json.tree(request.body()).path("setNumber").asLong() < known;
-    if (old) {
+    boolean stale = Json.tree(request.body()).path("setNumber").asLong() < known;
+    if (stale) {
       respond(request, Response.of(new ApiError.StaleReplicaConfiguration(known)));
     }
-    return old;
+    return stale;
   }
 
   private void lookUpRecord(PeerRequest request) {
@@ -228,46 +213,38 @@
     LogReplica replica = replicas.replicas().get(request.key());
     boolean present =
         replica != null && replica.entries.stream().anyMatch(entry -> !entry.isTakeover());
-    NodeAddress holder = present ? replicas.knownLeader(replica) : NodeAddress.NONE;
+    NodeAddress leader = present ? replicas.knownLeader(replica) : NodeAddress.NONE;
     respond(
         request,
         Response.of(
             200,
             JSON.createObjectNode()
                 .put("present", present)
-                .put("holder", holder.id())
-                .put("holderAddress", holder.address())));
+                .put("holder", leader.id())
+                .put("holderAddress", leader.address())));
   }
 
-  private void claim(PeerRequest request) {
+  private void claimOnceId(PeerRequest request) {
     if (!environment.acceptsWrites() || rejectsStaleConfiguration(request)) {
       return;
     }
+    String id = request.key();
     String token = Json.tree(request.body()).path("token").asText();
-    String holder = onceClaims.putIfAbsent(request.key(), token);
-    if (holder != null && !holder.equals(token)) {
-      respond(request, Response.of(new ApiError.AlreadyClaimed(request.key())));
+    if (onceClaims.isHeldByOther(id, token)) {
+      respond(request, Response.of(new ApiError.AlreadyClaimed(id)));
       return;
     }
-    List<LogRecord> records =
-        holder == null ? List.of(ReplicaCatchUp.onceClaimRecord(request.key(), token)) : List.of();
-    environment.write(
-        records,
-        () -> respond(request, Response.of(200, JSON.createObjectNode().put("claimed", true))));
+    environment.write(onceClaims.claim(id, token), () -> respondClaimed(request, true));
   }
 
-  /**
-   * Only the token that claimed may take the claim back, and only before anything of it was handed
-   * over.
-   */
-  private void unclaim(PeerRequest request) {
-    JsonNode body = Json.tree(request.body());
-    boolean holds = onceClaims.remove(request.key(), body.path("token").asText());
-    List<LogRecord> records =
-        holds ? List.of(ReplicaCatchUp.onceClaimRecord(request.key(), "")) : List.of();
+  private void releaseOnceId(PeerRequest request) {
+    String token = Json.tree(request.body()).path("token").asText();
     environment.write(
-        records,
-        () -> respond(request, Response.of(200, JSON.createObjectNode().put("claimed", false))));
+        onceClaims.release(request.key(), token), () -> respondClaimed(request, false));
+  }
+
+  private void respondClaimed(PeerRequest request, boolean claimed) {
+    respond(request, Response.of(200, JSON.createObjectNode().put("claimed", claimed)));
   }
 
   // ---- changes of a shard's replicas
@@ -275,81 +252,31 @@
   @Override
   protected void metadataChanged(String key) {
     if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
-      follow(key);
+      reconfiguration.follow(key);
     }
   }
 
-  /**
-   * Fences older sets first; then a newcomer copies, and whoever stays only says that it is fenced.
-   */
-  private void follow(String name) {
-    ShardAssignment shard = shards().get(name);
-    replicas.adoptConfiguration(
-        name,
-        shard.number(),
-        () -> {
-          if (shard.number() != shards().get(name).number()
-              || shard.next().isEmpty()
-              || !holds(shard.next())) {
-            return;
-          }
-          if (holds(shard.replicas())) {
-            reportCaughtUp(name, shard.number());
-          } else {
-            catchUp(name, shard);
-          }
-        });
-  }
-
-  private boolean holds(List<ShardReplica> set) {
-    return set.stream().anyMatch(replica -> replica.id().equals(identity.id()));
-  }
-
-  private boolean stillPending(String name, long number) {
-    ShardAssignment shard = shards().get(name);
-    return shard.number() == number && !shard.next().isEmpty() && !isTerminated();
-  }
-
-  /** Said again until the shard's number moves on: the core may be changing hands just now. */
-  private void reportCaughtUp(String name, long number) {
-    if (!stillPending(name, number)) {
-      return;
-    }
-    requestControlPlane(
-        "copied",
-        name,
-        JSON.createObjectNode().put("id", identity.id()).put("number", number),
-        PeerRequestConstants.ATTEMPT_TIMEOUT_MS,
-        response -> {});
-    environment.schedule(
-        ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> reportCaughtUp(name, number));
+  private void reportCaughtUp(String shard, Object body, long timeoutMs) {
+    requestControlPlane("copied", shard, body, timeoutMs, response -> {});
   }
 
-  private void catchUp(String name, ShardAssignment shard) {
-    traceLog.add("copying", name, "set " + shard.number());
-    catchUp.catchUp(
-        name,
-        shard.number(),
-        ReplicaConfiguration.replicas(shard.replicas()),
-        () -> stillPending(name, shard.number()),
-        () -> {
-          traceLog.add("copied", name, "set " + shard.number());
-          reportCaughtUp(name, shard.number());
-        });
-  }
+  // ---- readiness, status and shutdown
 
   @Override
   public String notReadyBecause() {
-    return stopping ? "stopping" : !hasLease() ? "no grant from the core" : "";
+    if (stopping) {
+      return "stopping";
+    }
+    return hasLease() ? "" : "no grant from the core";
   }
 
   @Override
   public ObjectNode status() {
     return super.status()
         .put("keys", replicas.replicas().size())
-        .put("unfinished", unfinished.size())
+        .put("unfinished", batches.unfinished().size())
         .put("onceClaims", onceClaims.size())
-        .put("removed", removed);
+        .put("removed", batches.removed());
   }
 
   @Override
