--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
@@ -62,9 +62,9 @@
         member.peerAddress(),
         member.id(),
         new ChangeFeedPoll(
-            peer.feedId,
-            peer.feedIncarnation,
-            peer.feedPosition,
+            peer.feedId(),
+            peer.feedIncarnation(),
+            peer.feedPosition(),
             environment.nowMs(),
             table.sharedDigest(),
             bundleSequence));
@@ -76,20 +76,15 @@
     if (peer == null || !continues(update, peer)) {
       return false;
     }
-    if (update.echoedAt() != 0) {
-      peer.updatedAt = Math.max(peer.updatedAt, update.echoedAt());
-    }
-    peer.feedId = update.sourceId();
-    peer.feedIncarnation = update.incarnation();
-    peer.feedPosition = update.position();
+    peer.recordFeedUpdate(update);
     update.records().forEach(learn);
     return true;
   }
 
   private static boolean continues(ChangeFeedUpdate update, QuorumPeer peer) {
     return update.snapshot()
-        || update.sourceId().equals(peer.feedId)
-            && update.incarnation() == peer.feedIncarnation
-            && update.fromPosition() <= peer.feedPosition;
+        || update.sourceId().equals(peer.feedId())
+            && update.incarnation() == peer.feedIncarnation()
+            && update.fromPosition() <= peer.feedPosition();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
@@ -61,7 +61,7 @@
     QuorumPeer peer = quorum.peers().get(member.peerAddress());
     return peer == null
         ? UNKNOWN_AGE_MS
-        : Math.min(environment.nowMs() - peer.updatedAt, UNKNOWN_AGE_MS);
+        : Math.min(environment.nowMs() - peer.lastConfirmedAt(), UNKNOWN_AGE_MS);
   }
 
   /**
--- a/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
@@ -1,29 +1,34 @@
 package applespindle.corelogic.membership;
 
-import static applespindle.corelogic.common.Json.JSON;
-
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.NodeSettings;
-import applespindle.corelogic.metadata.QuorumMember;
 import applespindle.corelogic.metadata.QuorumMembership;
 import applespindle.corelogic.node.NodeIdentity;
 import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
 import applespindle.corelogic.protocol.MessageSender;
 import applespindle.corelogic.replication.LogReplicas;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
- * The pings by which core processes show each other that they live, whom they hear, what they lead
- * and which membership they know. Invariant: a ping names a key as led only while its leader here
- * is in contact with a majority, since others may claim it after that.
+ * Sends this node's heartbeats to the other control plane nodes and processes theirs. A heartbeat
+ * tells which peers its sender can hear, which keys it leads and which membership it knows; see
+ * {@link HeartbeatBody}.
+ *
+ * <p>The exchange owns no state: what heartbeats report is kept in the {@link QuorumPeer}s of the
+ * {@link QuorumView}.
+ *
+ * <p>Invariant: a heartbeat lists a key as led only while its leader on this node is in contact
+ * with a majority of the members, because another member may be elected for it after that.
  */
 public final class HeartbeatExchange {
-  /** What a ping changed about the contact with its sender. */
+  /**
+   * How a received heartbeat changed the contact with its sender.
+   *
+   * @param heardAgain the sender had timed out, or was unknown, until this heartbeat
+   * @param hearEachOtherAgain messages pass in both directions again since this heartbeat
+   */
   public record ContactChange(boolean heardAgain, boolean hearEachOtherAgain) {}
 
   private final Environment environment;
@@ -31,112 +36,116 @@
   private final NodeSettings settings;
   private final QuorumView quorum;
   private final QuorumBootstrap bootstrap;
-  private final boolean listedFounders;
+  private final boolean usesStaticBootstrap;
   private final KeyLeadership keys;
   private final LogReplicas replicas;
   private final MessageSender sender;
-  private final Consumer<QuorumMembership> learnRoster;
+  private final Consumer<QuorumMembership> membershipListener;
 
+  /**
+   * Creates the exchange of one node.
+   *
+   * @param usesStaticBootstrap whether the initial members are configured rather than found
+   * @param membershipListener receives each membership that a heartbeat carries, newer or not
+   */
   public HeartbeatExchange(
       Environment environment,
       NodeIdentity identity,
       NodeSettings settings,
       QuorumView quorum,
       QuorumBootstrap bootstrap,
-      boolean listedFounders,
+      boolean usesStaticBootstrap,
       KeyLeadership keys,
       LogReplicas replicas,
       MessageSender sender,
-      Consumer<QuorumMembership> learnRoster) {
+      Consumer<QuorumMembership> membershipListener) {
     this.environment = environment;
     this.identity = identity;
     this.settings = settings;
     this.quorum = quorum;
     this.bootstrap = bootstrap;
-    this.listedFounders = listedFounders;
+    this.usesStaticBootstrap = usesStaticBootstrap;
     this.keys = keys;
     this.replicas = replicas;
     this.sender = sender;
-    this.learnRoster = learnRoster;
+    this.membershipListener = membershipListener;
   }
 
-  /** Pings every peer. */
+  /** Sends a heartbeat to every peer. */
   public void send() {
     send(List.copyOf(quorum.peers().keySet()));
   }
 
-  /** Pings these addresses; the membership is sent only to those not known to have it. */
+  /**
+   * Sends a heartbeat to these peer addresses. The membership is included only for receivers that
+   * are not known to have it.
+   */
   public void send(List<String> addresses) {
     QuorumMembership membership = quorum.current();
-    List<String> led = keys.keysInContactWithQuorum();
-    ObjectNode ping = describeSelf(membership, led);
-    byte[] body = Json.bytes(ping);
-    byte[] withRoster =
-        membership.number() == 0
-            ? body
-            : Json.bytes(ping.set("roster", JSON.valueToTree(membership)));
+    HeartbeatBody body = describeSelf(membership, keys.keysInContactWithQuorum());
+    byte[] withoutMembership = Json.bytes(body);
+    byte[] withMembership =
+        membership.number() == 0 ? withoutMembership : Json.bytes(body.withMembership(membership));
     for (String address : addresses) {
-      QuorumPeer peer = quorum.peers().get(address);
-      boolean knowsRoster =
-          peer != null && quorum.isAlive(peer) && peer.membershipVersion >= membership.number();
-      sender.send(address, "", new QuorumHeartbeat(knowsRoster ? body : withRoster));
+      boolean upToDate = isKnownToHave(address, membership);
+      byte[] bytes = upToDate ? withoutMembership : withMembership;
+      sender.send(address, "", new QuorumHeartbeat(bytes));
     }
-    // To the copies in this process its leaders say so without a message.
-    led.forEach(key -> replicas.noteLeaderContact(key, identity.id(), identity.peerAddress()));
+    notifyLocalReplicas(body.ledKeys());
+  }
+
+  private boolean isKnownToHave(String address, QuorumMembership membership) {
+    QuorumPeer peer = quorum.peers().get(address);
+    return peer != null && quorum.isAlive(peer) && peer.membershipVersion() >= membership.number();
+  }
+
+  /** Replicas on this node learn of their leader's contact without a message. */
+  private void notifyLocalReplicas(List<String> ledKeys) {
+    ledKeys.forEach(key -> replicas.noteLeaderContact(key, identity.id(), identity.peerAddress()));
   }
 
-  private ObjectNode describeSelf(QuorumMembership membership, List<String> led) {
-    ObjectNode ping = JSON.createObjectNode();
+  private HeartbeatBody describeSelf(QuorumMembership membership, List<String> ledKeys) {
     boolean formed = membership.number() > 0;
-    ping.set("member", JSON.valueToTree(quorum.self()));
-    ping.put("blank", !formed && (listedFounders || bootstrap.mayBootstrap()))
-        .put("candidate", formed && !quorum.isReplica() && settings.voter())
-        .put("voter", settings.voter());
-    if (!formed && bootstrap.proposal() != null) {
-      ping.set("proposal", JSON.valueToTree(bootstrap.proposal()));
-      ping.put("accepted", bootstrap.hasAccepted());
-    }
-    ArrayNode heard = ping.putArray("heard");
-    quorum.peers().values().stream()
+    QuorumMembership proposal = formed ? null : bootstrap.proposal();
+    return new HeartbeatBody(
+        quorum.self(),
+        !formed && (usesStaticBootstrap || bootstrap.mayBootstrap()),
+        formed && !quorum.isReplica() && settings.voter(),
+        settings.voter(),
+        proposal,
+        proposal == null ? null : bootstrap.hasAccepted(),
+        reachablePeers(),
+        membership.number(),
+        ledKeys,
+        null);
+  }
+
+  private List<String> reachablePeers() {
+    return quorum.peers().values().stream()
         .filter(quorum::isAlive)
-        .forEach(peer -> heard.add(peer.member.id()));
-    ping.put("number", membership.number());
-    ArrayNode owns = ping.putArray("owns");
-    led.forEach(owns::add);
-    return ping;
+        .map(peer -> peer.member().id())
+        .toList();
   }
 
-  /** Notes what a peer says of itself. */
-  public ContactChange receive(QuorumHeartbeat ping, String fromAddress) {
-    JsonNode body = Json.tree(ping.body());
+  /**
+   * Processes a peer's heartbeat.
+   *
+   * @return how the contact with the sender changed
+   * @throws java.io.UncheckedIOException if the body is not the JSON of a {@link HeartbeatBody}
+   */
+  public ContactChange receive(QuorumHeartbeat heartbeat, String fromAddress) {
+    HeartbeatBody body = Json.read(heartbeat.body(), HeartbeatBody.class);
     QuorumPeer peer = quorum.peer(fromAddress);
     boolean wasAlive = quorum.isAlive(peer);
     boolean wasInContact = quorum.isInContact(peer);
-    read(body, peer);
-    if (peer.hearsThisNode) {
-      keys.noteContact(peer.member.id());
+    peer.recordHeartbeat(body, environment.nowMs(), identity.id());
+    if (peer.hearsThisNode()) {
+      keys.noteContact(peer.member().id());
     }
-    body.path("owns")
-        .forEach(key -> replicas.noteLeaderContact(key.asText(), peer.member.id(), fromAddress));
-    if (body.has("roster")) {
-      learnRoster.accept(JSON.convertValue(body.get("roster"), QuorumMembership.class));
+    body.ledKeys().forEach(key -> replicas.noteLeaderContact(key, peer.member().id(), fromAddress));
+    if (body.membership() != null) {
+      membershipListener.accept(body.membership());
     }
     return new ContactChange(!wasAlive, !wasInContact && quorum.isInContact(peer));
   }
-
-  private void read(JsonNode body, QuorumPeer peer) {
-    peer.member = JSON.convertValue(body.get("member"), QuorumMember.class);
-    peer.lastHeardAt = environment.nowMs();
-    peer.uninitialized = body.path("blank").asBoolean();
-    peer.joinCandidate = body.path("candidate").asBoolean();
-    peer.voter = body.path("voter").asBoolean();
-    peer.proposal =
-        body.has("proposal")
-            ? JSON.convertValue(body.get("proposal"), QuorumMembership.class)
-            : null;
-    peer.accepted = body.path("accepted").asBoolean();
-    peer.membershipVersion = body.path("number").asLong();
-    peer.hearsThisNode = false;
-    body.path("heard").forEach(id -> peer.hearsThisNode |= id.asText().equals(identity.id()));
-  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
@@ -1,64 +1,57 @@
 package applespindle.corelogic.membership;
 
-import applespindle.corelogic.common.Json;
-import applespindle.corelogic.constants.MembershipConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.NodeSettings;
-import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogRecord;
-import applespindle.corelogic.log.LogRecord.Kind;
 import applespindle.corelogic.metadata.QuorumMember;
 import applespindle.corelogic.metadata.QuorumMembership;
 import applespindle.corelogic.node.NodeIdentity;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import java.util.stream.Collectors;
 
 /**
- * Forms roster 1 where nobody is told who the first members are. The first seed proposes members
- * among the blank voters it hears, itself always if it votes; each of them accepts one proposal
- * ever, on its synced disk; roster 1 is formed by whoever hears that all of its members accepted
- * it. So two rosters with a member in common can't both be formed. Only voters of the fleet's first
- * start accept: a disk that was emptied later never founds anything.
+ * Forms the initial membership where the first members are not configured.
+ *
+ * <p>Transitions: the first seed proposes members among the uninitialized voters that it is in
+ * contact with. The proposal reaches the other nodes by heartbeat. Each proposed member accepts it
+ * on its disk. Any node that sees that all proposed members have accepted the proposal forms the
+ * membership.
+ *
+ * <p>This class owns the proposal that this node makes or relays; {@link BootstrapAcceptance} owns
+ * the durable state, {@link BootstrapProposer} the choice of members.
+ *
+ * <p>Invariants: a node accepts one proposal ever, and a membership needs the acceptance of all of
+ * its members. So two initial memberships with a member in common can't both be formed. A node
+ * accepts only if its disk was in use at the fleet's first start, so a disk that was emptied later
+ * takes no part.
  */
 public final class QuorumBootstrap {
-  /** The key of the record of an accepted proposal; the roster in use has its own. */
-  private static final String ACCEPTED = "founding";
-
-  /** The key of the record which says that this disk was there at the fleet's first start. */
-  private static final String FIRST_START = "first-start";
-
-  private static final String PART = "core";
+  private static final String LOG_PART = "core";
 
   private final Environment environment;
   private final NodeIdentity identity;
   private final NodeSettings settings;
+  private final QuorumMember self;
   private final Map<String, QuorumPeer> peers;
   private final Predicate<QuorumPeer> alive;
-  private final QuorumMember self;
   private final Consumer<QuorumMembership> whenFormed;
+  private final BootstrapAcceptance acceptance;
+  private final BootstrapProposer proposer;
 
-  /** What this process proposes or passes on; only a member of it accepts it. */
+  /** What this node proposes or relays; null until there is one, and never replaced then. */
   private QuorumMembership proposal;
 
-  /** On its way to this disk, or synced there; never replaced by another. */
-  private QuorumMembership accepting;
-
-  /** Synced on this disk. */
-  private QuorumMembership accepted;
-
-  private boolean firstStart;
-  private Set<String> heard = Set.of();
-  private long heardChangedAt;
-  private long startedAt;
-
+  /**
+   * Creates the bootstrap of one node.
+   *
+   * @param self this node as it would be listed in a membership
+   * @param peers the peers by peer address; proposed members are added to it
+   * @param alive whether a peer's heartbeats are received
+   * @param whenFormed receives the initial membership; called at each tick until it stops them
+   */
   public QuorumBootstrap(
       Environment environment,
       NodeIdentity identity,
@@ -74,183 +67,114 @@
     this.peers = peers;
     this.alive = alive;
     this.whenFormed = whenFormed;
-    this.startedAt = environment.nowMs();
-    this.firstStart = settings.bootstrap();
+    this.acceptance = new BootstrapAcceptance(environment, settings.bootstrap());
+    this.proposer = new BootstrapProposer(environment, settings, self, peers, alive);
   }
 
-  /** Whether the record is one of founding; the roster in use has its own. */
+  /** Whether the log record belongs to the bootstrap; the membership in use has its own. */
   public static boolean owns(LogRecord record) {
-    return record.kind() == Kind.ROSTER
-        && (record.key().equals(ACCEPTED) || record.key().equals(FIRST_START));
+    return BootstrapAcceptance.isBootstrapRecord(record);
   }
 
+  /** Restores the state of a record that this class {@link #owns}. */
   public void recover(LogRecord record) {
-    firstStart = true;
-    if (record.key().equals(ACCEPTED)) {
-      accepted = Json.read(record.payload(), QuorumMembership.class);
-      accepting = accepted;
-      proposal = accepted;
-    }
+    acceptance.recover(record);
+    proposal = acceptance.accepted();
   }
 
-  /** Notes on the disk that it was there at the first start. */
+  /** Writes to a voter's disk that it was in use at the fleet's first start, if it was. */
   public void start() {
-    if (firstStart && settings.voter()) {
-      environment.write(List.of(firstStartRecord()), () -> {});
+    if (mayBootstrap() && settings.voter()) {
+      acceptance.writeFirstStart();
     }
   }
 
-  /** What a checkpoint keeps while no roster is known. */
+  /** The records that a checkpoint keeps while no membership is known. */
   public List<LogRecord> records() {
-    List<LogRecord> records = new ArrayList<>();
-    if (firstStart) {
-      records.add(firstStartRecord());
-    }
-    if (accepting != null) {
-      records.add(acceptedRecord(accepting));
-    }
-    return records;
-  }
-
-  private static LogRecord firstStartRecord() {
-    return new LogRecord(Kind.ROSTER, FIRST_START, Epoch.NONE, 0, true, new byte[0]);
+    return acceptance.records();
   }
 
-  private static LogRecord acceptedRecord(QuorumMembership membership) {
-    return new LogRecord(
-        Kind.ROSTER, ACCEPTED, Epoch.NONE, membership.number(), true, Json.bytes(membership));
-  }
-
-  /** Told to be part of the fleet's first start, now or when its disk was first used. */
+  /** Whether this node is part of the fleet's first start, now or when its disk was first used. */
   boolean mayBootstrap() {
-    return firstStart;
+    return acceptance.isFirstStart();
   }
 
-  /** Only this process ever proposes; it needs no disk for that. */
+  /** Whether this node is the only one that may make a proposal: the first seed. */
   public boolean isCoordinator() {
     return mayBootstrap()
         && !identity.seeds().isEmpty()
         && identity.seeds().get(0).equals(identity.peerAddress());
   }
 
+  /** The proposal that this node makes or relays; null if there is none. */
   QuorumMembership proposal() {
     return proposal;
   }
 
+  /** Whether this node has durably accepted a proposal. */
   boolean hasAccepted() {
-    return accepted != null;
+    return acceptance.accepted() != null;
   }
 
+  /** Makes, relays, accepts or completes a proposal; to be called while no membership is known. */
   public void tick() {
-    if (proposal == null && isCoordinator()) {
-      propose();
-    }
     if (proposal == null) {
-      for (QuorumPeer peer : peers.values()) {
-        if (alive.test(peer) && peer.proposal != null && names(peer.proposal)) {
-          proposal = peer.proposal;
-          break;
-        }
-      }
+      proposal = findProposal().orElse(null);
     }
     if (proposal == null) {
       return;
     }
-    proposal.members().stream()
-        .filter(member -> !member.id().equals(identity.id()))
-        .forEach(member -> peers.computeIfAbsent(member.peerAddress(), unseen -> new QuorumPeer()));
-    accept();
+    addProposedMembersAsPeers();
+    acceptProposal();
     if (proposal.members().stream().allMatch(this::hasAccepted)) {
-      environment.log(PART, "Roster 1 formed of " + proposal.members().size() + ".");
+      environment.log(
+          LOG_PART, "Membership 1 formed of " + proposal.members().size() + " members.");
       whenFormed.accept(proposal);
     }
   }
 
-  private boolean names(QuorumMembership membership) {
+  /** The coordinator takes over any proposal, since it may have made it; others only their own. */
+  private Optional<QuorumMembership> findProposal() {
+    if (!isCoordinator()) {
+      return firstProposalOfPeers(this::includesThisNode);
+    }
+    Optional<QuorumMembership> known = firstProposalOfPeers(any -> true);
+    return known.isPresent() ? known : proposer.propose();
+  }
+
+  private Optional<QuorumMembership> firstProposalOfPeers(Predicate<QuorumMembership> condition) {
+    return peers.values().stream()
+        .filter(peer -> alive.test(peer) && peer.proposal() != null)
+        .map(QuorumPeer::proposal)
+        .filter(condition)
+        .findFirst();
+  }
+
+  private boolean includesThisNode(QuorumMembership membership) {
     return membership.members().contains(self);
   }
 
-  private void accept() {
-    if (accepting != null || !mayBootstrap() || !names(proposal) || !settings.voter()) {
-      return;
+  private void addProposedMembersAsPeers() {
+    proposal.members().stream()
+        .filter(member -> !member.id().equals(identity.id()))
+        .forEach(member -> peers.computeIfAbsent(member.peerAddress(), unseen -> new QuorumPeer()));
+  }
+
+  private void acceptProposal() {
+    if (mayBootstrap() && settings.voter() && includesThisNode(proposal)) {
+      acceptance.accept(proposal);
     }
-    accepting = proposal;
-    environment.write(List.of(acceptedRecord(accepting)), () -> accepted = accepting);
   }
 
   private boolean hasAccepted(QuorumMember member) {
     if (member.id().equals(identity.id())) {
-      return proposal.equals(accepted);
+      return proposal.equals(acceptance.accepted());
     }
     QuorumPeer peer = peers.get(member.peerAddress());
     return peer != null
         && alive.test(peer)
-        && member.equals(peer.member)
-        && peer.accepted
-        && proposal.equals(peer.proposal);
-  }
-
-  private void propose() {
-    for (QuorumPeer peer : peers.values()) {
-      if (alive.test(peer) && peer.proposal != null) {
-        proposal = peer.proposal;
-        return;
-      }
-    }
-    List<QuorumMember> blanks = new ArrayList<>();
-    if (settings.voter()) {
-      blanks.add(self);
-    }
-    peers.values().stream()
-        .filter(peer -> alive.test(peer) && peer.uninitialized && peer.voter && peer.hearsThisNode)
-        .forEach(peer -> blanks.add(peer.member));
-    Set<String> ids =
-        blanks.stream().map(QuorumMember::id).collect(Collectors.toCollection(TreeSet::new));
-    long now = environment.nowMs();
-    if (!ids.equals(heard)) {
-      heard = ids;
-      heardChangedAt = now;
-    }
-    boolean enough = blanks.size() >= settings.replicas();
-    boolean fewForLong = now - startedAt >= MembershipConstants.BOOTSTRAP_REDUCED_QUORUM_DELAY_MS;
-    if (blanks.isEmpty()
-        || now - heardChangedAt < MembershipConstants.BOOTSTRAP_SETTLE_MS
-        || !enough && !fewForLong) {
-      return;
-    }
-    int most = Math.min(blanks.size(), settings.replicas());
-    proposal = new QuorumMembership(1, spread(blanks, most % 2 == 0 ? most - 1 : most), List.of());
-    environment.log(
-        PART,
-        "Roster 1 proposed: " + proposal.members().stream().map(QuorumMember::name).toList() + ".");
-  }
-
-  /**
-   * As many zones as can be: one of each zone in turn, by name. This process comes first if it
-   * votes: what it proposed is then on its own disk before it can be formed, and it proposes
-   * nothing else after a start.
-   */
-  private List<QuorumMember> spread(List<QuorumMember> blanks, int count) {
-    Map<String, List<QuorumMember>> byZone =
-        new TreeMap<>(
-            Comparator.comparing((String zone) -> !zone.equals(self.zone()))
-                .thenComparing(Comparator.naturalOrder()));
-    blanks.stream()
-        .sorted(
-            Comparator.comparing((QuorumMember member) -> !member.equals(self))
-                .thenComparing(QuorumMember::name)
-                .thenComparing(QuorumMember::id))
-        .forEach(
-            member ->
-                byZone.computeIfAbsent(member.zone(), unseen -> new ArrayList<>()).add(member));
-    List<QuorumMember> chosen = new ArrayList<>();
-    while (chosen.size() < count) {
-      for (List<QuorumMember> ofZone : byZone.values()) {
-        if (!ofZone.isEmpty() && chosen.size() < count) {
-          chosen.add(ofZone.remove(0));
-        }
-      }
-    }
-    return chosen;
+        && member.equals(peer.member())
+        && peer.hasAccepted()
+        && proposal.equals(peer.proposal());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
@@ -2,40 +2,129 @@
 
 import applespindle.corelogic.metadata.QuorumMember;
 import applespindle.corelogic.metadata.QuorumMembership;
+import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
 
-/** Another process of the core as its pings and its change feed last showed it. */
+/**
+ * What this node knows of another control plane node: the content of its last heartbeat, and the
+ * position that was reached in its change feed.
+ *
+ * <p>A peer is created when its address becomes known, and has no {@link #member()} until its first
+ * heartbeat. All times are monotonic milliseconds on this node's clock.
+ *
+ * <p>Invariant: {@link #lastConfirmedAt()} never falls.
+ */
 public final class QuorumPeer {
-  /** When its last ping came, on this node's clock. */
-  long lastHeardAt = Long.MIN_VALUE / 2;
+  /** Longer ago than any timeout, and far enough from the minimum that ages do not overflow. */
+  private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Null until its first ping, as only its address is known by then. */
+  private long lastHeartbeatAt = NEVER;
   public QuorumMember member;
+  private boolean uninitialized;
+  public boolean joinCandidate;
+  private boolean voter;
+  private QuorumMembership proposal;
+  private boolean accepted;
+  private long membershipVersion;
+  private boolean hearsThisNode;
 
-  /** Knows of no membership at all. */
-  boolean uninitialized;
+  private String feedId = "";
+  private long feedIncarnation;
+  private long feedPosition;
+  private long lastConfirmedAt = NEVER;
 
-  /** Knows the membership, is not in it, and could be. */
-  public boolean joinCandidate;
+  /**
+   * Replaces what is known of the peer by the content of a heartbeat.
+   *
+   * @param nowMs when the heartbeat was received
+   * @param thisNodeId id of the receiving node
+   */
+  void recordHeartbeat(HeartbeatBody body, long nowMs, String thisNodeId) {
+    member = body.sender();
+    lastHeartbeatAt = nowMs;
+    uninitialized = body.uninitialized();
+    joinCandidate = body.joinCandidate();
+    voter = body.voter();
+    proposal = body.proposal();
+    accepted = Boolean.TRUE.equals(body.accepted());
+    membershipVersion = body.membershipVersion();
+    hearsThisNode = body.reachablePeers().contains(thisNodeId);
+  }
+
+  /** Moves on to the position that an update of the peer's change feed reaches. */
+  public void recordFeedUpdate(ChangeFeedUpdate update) {
+    if (update.echoedAt() != 0) {
+      lastConfirmedAt = Math.max(lastConfirmedAt, update.echoedAt());
+    }
+    feedId = update.sourceId();
+    feedIncarnation = update.incarnation();
+    feedPosition = update.position();
+  }
+
+  /** When the last heartbeat was received; far in the past before the first. */
+  long lastHeartbeatAt() {
+    return lastHeartbeatAt;
+  }
+
+  /** The peer as it describes itself; null before its first heartbeat. */
+  public QuorumMember member() {
+    return member;
+  }
+
+  /** Whether the peer knows of no membership and may take part in forming one. */
+  boolean isUninitialized() {
+    return uninitialized;
+  }
+
+  /** Whether the peer knows the membership, is not in it, and could join it. */
+  public boolean isJoinCandidate() {
+    return joinCandidate;
+  }
+
+  /** Whether the peer's settings allow it to be a member. */
+  boolean isVoter() {
+    return voter;
+  }
 
-  boolean voter;
+  /** The initial membership that the peer proposes or relays; null if there is none. */
+  QuorumMembership proposal() {
+    return proposal;
+  }
 
-  /** The membership it proposes or passes on while none is formed; null if there is none. */
-  QuorumMembership proposal;
+  /** Whether the peer has durably accepted {@link #proposal()}. */
+  boolean hasAccepted() {
+    return accepted;
+  }
 
-  /** Whether it has accepted that proposal. */
-  boolean accepted;
+  /** Version of the membership that the peer knows; 0 if none. */
+  long membershipVersion() {
+    return membershipVersion;
+  }
 
-  long membershipVersion;
+  /** Whether the peer reported that it receives this node's heartbeats. */
+  boolean hearsThisNode() {
+    return hearsThisNode;
+  }
 
-  /** Whether it said that it hears this process. */
-  boolean hearsThisNode;
+  /** Id of the process whose change feed was followed last at this address; empty if none. */
+  public String feedId() {
+    return feedId;
+  }
 
-  /** The feed that was followed last, and the position reached in it. */
-  public String feedId = "";
+  /** Incarnation of the process {@link #feedId()}. */
+  public long feedIncarnation() {
+    return feedIncarnation;
+  }
 
-  public long feedIncarnation;
-  public long feedPosition;
+  /** The position reached in the feed of that process; 0 before its first update. */
+  public long feedPosition() {
+    return feedPosition;
+  }
 
-  /** When the poll was sent, on this node's clock, that its newest updates responded to. */
-  public long updatedAt = Long.MIN_VALUE / 2;
+  /**
+   * When this node sent the newest poll that the peer responded to with a complete view; far in the
+   * past before the first.
+   */
+  public long lastConfirmedAt() {
+    return lastConfirmedAt;
+  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
@@ -128,13 +128,14 @@
 
   /** Whether the peer was heard lately; it may be deaf to this process. */
   public boolean isAlive(QuorumPeer peer) {
-    return peer.member != null
-        && environment.nowMs() - peer.lastHeardAt < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
+    return peer.member() != null
+        && environment.nowMs() - peer.lastHeartbeatAt()
+            < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
   /** Whether each side hears the other. */
   boolean isInContact(QuorumPeer peer) {
-    return isAlive(peer) && peer.hearsThisNode;
+    return isAlive(peer) && peer.hearsThisNode();
   }
 
   /** Ids of the members in contact, this node included if it is one. */
@@ -143,7 +144,7 @@
     for (QuorumMember member : current().members()) {
       QuorumPeer peer = peers.get(member.peerAddress());
       if (member.id().equals(identity.id())
-          || peer != null && isInContact(peer) && peer.member.id().equals(member.id())) {
+          || peer != null && isInContact(peer) && peer.member().id().equals(member.id())) {
         live.add(member.id());
       }
     }
