--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
@@ -8,7 +8,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -19,15 +18,34 @@
 import java.util.function.Supplier;
 
 /**
- * Acknowledged means in force. Holds a yes back until every edge works by the news; after a wait,
- * until a majority of the listed edges does: an edge that has not heard the core for longer than
- * that wait goes on only beside a majority of the same list, and learns from one of them. What is
- * not in force by then is told as an outcome not known. Where a yes binds only edges that hear the
- * core, the wait is short and nothing more is asked of the others: the feed brings such an edge the
- * news well within the time that it may still use older ones.
+ * Delays the acknowledgement of a committed update until the edges apply it. Owns the updates that
+ * wait, in the order of their requests; {@link AppliedPositionTracker} owns what edges reported.
+ *
+ * <p>Transitions of a waiting update:
+ *
+ * <ul>
+ *   <li>to acknowledged, once every known edge applies it;
+ *   <li>to acknowledged, after {@link ChangeFeedConstants#ALL_EDGES_WAIT_MS}, if a majority of the
+ *       listed edges applies it. An edge that is cut off from the control plane for longer works on
+ *       only while it reaches a majority of the same list, and learns the update from one of them.
+ *   <li>to acknowledged, after {@link ChangeFeedConstants#CONNECTED_EDGES_WAIT_MS}, where edges
+ *       that are cut off are not bound by acknowledgements. The feed brings a connected edge the
+ *       update within the time in which it may still apply older values.
+ *   <li>to unknown outcome, after {@link ChangeFeedConstants#ALL_EDGES_WAIT_MS} otherwise.
+ * </ul>
+ *
+ * <p>Invariant: an update is acknowledged only while this node is in contact with a majority of the
+ * control plane, because its list of edges may be outdated otherwise.
  */
 public final class UpdateAcknowledgements {
-  /** The listed edges by address, and the addresses of all that hold a grant, with their names. */
+  private static final int HTTP_OK = 200;
+
+  /**
+   * The edges that acknowledgements depend on.
+   *
+   * @param listed peer addresses on the replicated list of edges
+   * @param live names of the edges that hold a lease, by peer address
+   */
   public record KnownEdges(List<String> listed, Map<String, String> live) {
     /** The edges as committed and known here. */
     public static KnownEdges of(MetadataTable table) {
@@ -36,151 +54,174 @@
       List<String> listed = table.edges() == null ? List.of() : table.edges().addresses();
       return new KnownEdges(listed, live);
     }
-  }
 
-  private record PendingAcknowledgement(
-      String key, long sequence, long begunAt, ObjectNode body, Consumer<Response> then) {}
+    private boolean includes(String address) {
+      return listed.contains(address) || live.containsKey(address);
+    }
 
-  private final Environment environment;
-  private final Supplier<KnownEdges> edges;
+    /** All addresses, in order. */
+    private Set<String> addresses() {
+      Set<String> addresses = new TreeSet<>(listed);
+      addresses.addAll(live.keySet());
+      return addresses;
+    }
 
-  /**
-   * Whether this core node hears a majority of the core now; without that its list of edges may be
-   * an old one.
-   */
-  private final BooleanSupplier hearsCore;
+    /** The name of a live edge; the address itself of another. */
+    private String nameOf(String address) {
+      return live.getOrDefault(address, address);
+    }
+  }
 
-  private final Consumer<String> askEdge;
+  private record PendingAcknowledgement(
+      String key, long sequence, long startedAt, ObjectNode body, Consumer<Response> responder) {}
 
-  /**
-   * By edge address and key, the highest place the edge said it works by. Never falls, as the
-   * edge's own does not.
-   */
-  private final Map<String, Map<String, Long>> knownPlaces = new HashMap<>();
+  private enum Decision {
+    WAIT,
+    ACKNOWLEDGE,
+    REPORT_UNKNOWN_OUTCOME
+  }
 
-  private final List<PendingAcknowledgement> waiting = new ArrayList<>();
+  private final Environment environment;
+  private final boolean bindsDisconnectedEdges;
+  private final Supplier<KnownEdges> edges;
+  private final BooleanSupplier isInContactWithMajority;
+  private final Consumer<String> requestPositions;
+  private final AppliedPositionTracker appliedPositions = new AppliedPositionTracker();
+  private final List<PendingAcknowledgement> pending = new ArrayList<>();
 
   /**
-   * Whether edges that are cut off from the core count too; else only a core that hears a majority
-   * of itself does.
+   * Creates the acknowledgements of one control plane node.
+   *
+   * @param bindsDisconnectedEdges whether an acknowledgement also binds edges that are cut off from
+   *     the control plane, so that a majority of the listed edges must apply the update
+   * @param edges the edges as known at the time of the call
+   * @param isInContactWithMajority whether this node is in contact with a majority of the control
+   *     plane
+   * @param requestPositions asks the edge at a peer address to report what it applies
    */
-  private final boolean edgesConfirm;
-
   public UpdateAcknowledgements(
       Environment environment,
-      boolean edgesConfirm,
+      boolean bindsDisconnectedEdges,
       Supplier<KnownEdges> edges,
-      BooleanSupplier hearsCore,
-      Consumer<String> askEdge) {
-    this.edgesConfirm = edgesConfirm;
+      BooleanSupplier isInContactWithMajority,
+      Consumer<String> requestPositions) {
     this.environment = environment;
+    this.bindsDisconnectedEdges = bindsDisconnectedEdges;
     this.edges = edges;
-    this.hearsCore = hearsCore;
-    this.askEdge = askEdge;
-  }
-
-  public void handleAppliedPositions(AppliedPositions known) {
-    Map<String, Long> places =
-        knownPlaces.computeIfAbsent(known.edgeAddress(), unseen -> new HashMap<>());
-    known.positions().forEach(place -> places.merge(place.key(), place.sequence(), Math::max));
-    settle();
+    this.isInContactWithMajority = isInContactWithMajority;
+    this.requestPositions = requestPositions;
   }
 
-  private boolean knows(String address, String key, long sequence) {
-    return knownPlaces.getOrDefault(address, Map.of()).getOrDefault(key, 0L) >= sequence;
+  /** Processes an edge's report and responds to the updates that waited for it. */
+  public void handleAppliedPositions(AppliedPositions report) {
+    appliedPositions.record(report);
+    completePending();
   }
 
+  /** Whether a majority of the listed edges applies the key's value of this sequence or newer. */
   public boolean isAppliedByMajority(String key, long sequence) {
-    return mostKnow(edges.get(), key, sequence);
+    return appliedPositions.isAppliedByMajority(edges.get().listed(), key, sequence);
   }
 
-  private boolean mostKnow(KnownEdges present, String key, long sequence) {
-    return present.listed().stream().filter(address -> knows(address, key, sequence)).count() * 2
-        > present.listed().size();
-  }
-
-  public void await(String key, long sequence, ObjectNode body, Consumer<Response> then) {
-    waiting.add(new PendingAcknowledgement(key, sequence, environment.nowMs(), body, then));
+  /**
+   * Responds once the update is acknowledged, or its outcome is unknown; this may be at once.
+   *
+   * @param body of the response; the names of the edges that did and did not confirm are added
+   * @param responder is called once
+   */
+  public void await(String key, long sequence, ObjectNode body, Consumer<Response> responder) {
+    pending.add(new PendingAcknowledgement(key, sequence, environment.nowMs(), body, responder));
     tick();
   }
 
   /**
-   * Asks the edges that are waited for again: a message may be lost, and this process may be new to
-   * its duty.
+   * Responds to the updates whose wait is over, and asks again the edges that others wait for: a
+   * message may be lost, and this process may have become the leader only now.
    */
   public void tick() {
-    settle();
+    completePending();
     KnownEdges present = edges.get();
-    knownPlaces
-        .keySet()
-        .removeIf(
-            address -> !present.listed().contains(address) && !present.live().containsKey(address));
-    Set<String> asked = new TreeSet<>();
-    waiting.forEach(each -> asked.addAll(missing(present, each)));
-    if (asked.isEmpty() && !knowsAnything(present)) {
-      asked.addAll(present.listed());
-    }
-    asked.forEach(askEdge);
+    appliedPositions.retainIf(present::includes);
+    edgesToAsk(present).forEach(requestPositions);
   }
 
   /**
-   * A process that just took its duty up has heard no edge yet, and the next change of the list
-   * needs them.
+   * Without waiting updates a new leader asks all listed edges, until a majority has reported: the
+   * next change of the list depends on their reports.
    */
-  private boolean knowsAnything(KnownEdges present) {
-    return present.listed().stream().filter(knownPlaces::containsKey).count() * 2
-        > present.listed().size();
+  private Set<String> edgesToAsk(KnownEdges present) {
+    Set<String> asked = new TreeSet<>();
+    pending.forEach(update -> asked.addAll(unconfirmed(present, update)));
+    if (asked.isEmpty() && !appliedPositions.hasReportsOfMajority(present.listed())) {
+      asked.addAll(present.listed());
+    }
+    return asked;
   }
 
-  private Set<String> missing(KnownEdges present, PendingAcknowledgement each) {
-    Set<String> missing = new TreeSet<>(present.listed());
-    missing.addAll(present.live().keySet());
-    missing.removeIf(address -> knows(address, each.key(), each.sequence()));
-    return missing;
+  /** Addresses of the known edges that did not report to apply the update. */
+  private Set<String> unconfirmed(KnownEdges present, PendingAcknowledgement update) {
+    Set<String> unconfirmed = present.addresses();
+    unconfirmed.removeIf(
+        address -> appliedPositions.isAppliedBy(address, update.key(), update.sequence()));
+    return unconfirmed;
   }
 
-  private void settle() {
-    if (waiting.isEmpty()) {
+  /** Takes all completed updates off the list first, as a response may start another update. */
+  private void completePending() {
+    if (pending.isEmpty()) {
       return;
     }
     KnownEdges present = edges.get();
-    List<Runnable> told = new ArrayList<>();
-    waiting.removeIf(
-        each -> {
-          Set<String> missing = missing(present, each);
-          long waited = environment.nowMs() - each.begunAt();
-          boolean waitedLong = waited >= ChangeFeedConstants.ALL_EDGES_WAIT_MS;
-          boolean enough =
-              missing.isEmpty()
-                  || (edgesConfirm
-                      ? waitedLong
-                      : waited >= ChangeFeedConstants.CONNECTED_EDGES_WAIT_MS);
-          boolean inForce =
-              enough
-                  && hearsCore.getAsBoolean()
-                  && (missing.isEmpty()
-                      || !edgesConfirm
-                      || mostKnow(present, each.key(), each.sequence()));
-          if (!inForce && !waitedLong) {
+    List<Runnable> responses = new ArrayList<>();
+    pending.removeIf(
+        update -> {
+          Set<String> unconfirmed = unconfirmed(present, update);
+          Decision decision = decide(present, update, unconfirmed.isEmpty());
+          if (decision == Decision.WAIT) {
             return false;
           }
-          ArrayNode confirmed = each.body().putArray("confirmed");
-          ArrayNode unconfirmed = each.body().putArray("unconfirmed");
-          Set<String> all = new TreeSet<>(present.listed());
-          all.addAll(present.live().keySet());
-          all.forEach(
-              address ->
-                  (missing.contains(address) ? unconfirmed : confirmed)
-                      .add(present.live().getOrDefault(address, address)));
-          told.add(
-              () ->
-                  each.then()
-                      .accept(
-                          inForce
-                              ? Response.of(200, each.body())
-                              : Response.of(new ApiError.OutcomeUnknown(each.key()))));
+          addEdgeNames(update.body(), present, unconfirmed);
+          responses.add(() -> update.responder().accept(response(update, decision)));
           return true;
         });
-    told.forEach(Runnable::run);
+    responses.forEach(Runnable::run);
+  }
+
+  private Decision decide(
+      KnownEdges present, PendingAcknowledgement update, boolean confirmedByAll) {
+    long waitedMs = environment.nowMs() - update.startedAt();
+    boolean confirmed = confirmedByAll || isConfirmedByEnough(present, update, waitedMs);
+    if (confirmed && isInContactWithMajority.getAsBoolean()) {
+      return Decision.ACKNOWLEDGE;
+    }
+    return waitedMs >= ChangeFeedConstants.ALL_EDGES_WAIT_MS
+        ? Decision.REPORT_UNKNOWN_OUTCOME
+        : Decision.WAIT;
+  }
+
+  /** Whether the update may be acknowledged although not every edge has confirmed it. */
+  private boolean isConfirmedByEnough(
+      KnownEdges present, PendingAcknowledgement update, long waitedMs) {
+    if (!bindsDisconnectedEdges) {
+      return waitedMs >= ChangeFeedConstants.CONNECTED_EDGES_WAIT_MS;
+    }
+    return waitedMs >= ChangeFeedConstants.ALL_EDGES_WAIT_MS
+        && appliedPositions.isAppliedByMajority(present.listed(), update.key(), update.sequence());
+  }
+
+  private static void addEdgeNames(
+      ObjectNode body, KnownEdges present, Set<String> unconfirmedAddresses) {
+    ArrayNode confirmed = body.putArray("confirmed");
+    ArrayNode unconfirmed = body.putArray("unconfirmed");
+    for (String address : present.addresses()) {
+      boolean isUnconfirmed = unconfirmedAddresses.contains(address);
+      (isUnconfirmed ? unconfirmed : confirmed).add(present.nameOf(address));
+    }
+  }
+
+  private static Response response(PendingAcknowledgement update, Decision decision) {
+    return decision == Decision.ACKNOWLEDGE
+        ? Response.of(HTTP_OK, update.body())
+        : Response.of(new ApiError.OutcomeUnknown(update.key()));
   }
 }
