--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeed.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeed.java
@@ -7,32 +7,34 @@
 import java.util.TreeMap;
 
 /**
- * The changes of the core keys in the order in which this process learnt them, numbered from 1. Of
- * each key only the last change is kept: whoever follows from some number needs no older value. So
- * the feed holds no more than the table of keys, however many changes there were, and reaches back
- * to the start of this process.
+ * The metadata changes that this process learned since its start, at positions counted from 1 in
+ * the order in which they were learned.
+ *
+ * <p>The feed is compacted by key: it keeps the last change of each key only, because a follower
+ * needs no older value. So it holds at most one record per key, however many changes there were.
  */
 final class ChangeFeed {
-  private final TreeMap<Long, MetadataRecord> lastChanges = new TreeMap<>();
-  private final Map<String, Long> numberOfKey = new HashMap<>();
-  private long number;
+  private final TreeMap<Long, MetadataRecord> recordsByPosition = new TreeMap<>();
+  private final Map<String, Long> positionByKey = new HashMap<>();
+  private long position;
 
-  /** The number of the last change; 0 before the first. */
+  /** The position of the last change; 0 before the first. */
   long position() {
-    return number;
+    return position;
   }
 
+  /** Appends a change, which takes the place of the key's change before it. */
   void add(MetadataRecord metadataRecord) {
-    number++;
-    Long superseded = numberOfKey.put(metadataRecord.key(), number);
+    position++;
+    Long superseded = positionByKey.put(metadataRecord.key(), position);
     if (superseded != null) {
-      lastChanges.remove(superseded);
+      recordsByPosition.remove(superseded);
     }
-    lastChanges.put(number, metadataRecord);
+    recordsByPosition.put(position, metadataRecord);
   }
 
-  /** The newest value of each key that changed after the given number. */
-  List<MetadataRecord> after(long known) {
-    return List.copyOf(lastChanges.tailMap(known, false).values());
+  /** The newest value of each key that changed after the given position, in feed order. */
+  List<MetadataRecord> after(long knownPosition) {
+    return List.copyOf(recordsByPosition.tailMap(knownPosition, false).values());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedFollower.java
@@ -13,9 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * Polls the change feeds of the other core members: the repair of whatever this node missed.
- * Invariant: the position in a feed only moves on by updates that start at or before it, or by a
- * snapshot.
+ * Polls the change feeds of the other control plane members, so that this node learns whatever
+ * pushed updates it missed. The position reached in each feed is kept in the {@link QuorumPeer}.
+ *
+ * <p>Invariant: the position in a feed moves on only by an update that starts at or before it, so
+ * that no change is skipped, or by a snapshot.
  */
 final class ChangeFeedFollower {
   private final Environment environment;
@@ -23,7 +25,7 @@
   private final QuorumView quorum;
   private final MetadataTable table;
   private final MessageSender sender;
-  private final Consumer<MetadataRecord> learn;
+  private final Consumer<MetadataRecord> recordListener;
 
   ChangeFeedFollower(
       Environment environment,
@@ -31,20 +33,21 @@
       QuorumView quorum,
       MetadataTable table,
       MessageSender sender,
-      Consumer<MetadataRecord> learn) {
+      Consumer<MetadataRecord> recordListener) {
     this.environment = environment;
     this.identity = identity;
     this.quorum = quorum;
     this.table = table;
     this.sender = sender;
-    this.learn = learn;
+    this.recordListener = recordListener;
   }
 
+  /** Polls all members and joining members, this node excepted. */
   void pollAll() {
     quorum.membersAndJoining().forEach(member -> poll(member.peerAddress()));
   }
 
-  /** Polls the members and newcomers at this address, this node excepted. */
+  /** Polls the members and joining members at this peer address, this node excepted. */
   void poll(String address) {
     quorum.membersAndJoining().stream()
         .filter(
@@ -54,7 +57,7 @@
 
   private void poll(QuorumMember member) {
     QuorumPeer peer = quorum.peer(member.peerAddress());
-    long bundleSequence =
+    long configurationSequence =
         table.has(MetadataKeys.CONFIGURATION)
             ? table.get(MetadataKeys.CONFIGURATION).sequence()
             : 0;
@@ -67,17 +70,22 @@
             peer.feedPosition(),
             environment.nowMs(),
             table.sharedDigest(),
-            bundleSequence));
+            configurationSequence));
   }
 
-  /** Takes a peer's updates; false if they do not follow on what is known of its feed. */
+  /**
+   * Processes an update from a peer's feed.
+   *
+   * @return false if the update was dropped, because its sender is no peer or it leaves a gap after
+   *     the position reached in its feed
+   */
   boolean handleUpdate(ChangeFeedUpdate update, String fromAddress) {
     QuorumPeer peer = quorum.peers().get(fromAddress);
     if (peer == null || !continues(update, peer)) {
       return false;
     }
     peer.recordFeedUpdate(update);
-    update.records().forEach(learn);
+    update.records().forEach(recordListener);
     return true;
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/ChangeFeedPublisher.java
@@ -15,14 +15,24 @@
 import java.util.Map;
 
 /**
- * Publishes the change feed of this node to whoever polls it. Invariant: a follower that polls from
- * a position of this very feed gets every later change; any other gets a snapshot first.
+ * Publishes the change feed of this node. Owns the feed, the followers that changes are pushed to,
+ * and the polls that are to be responded to again.
+ *
+ * <p>A poll makes its sender a follower for three poll intervals. While this node's own view is not
+ * fresh, a poll is responded to at once and again when the view becomes fresh.
+ *
+ * <p>Invariants: a follower that polls from a position of this very feed gets every later change;
+ * any other gets a snapshot of what its table lacks. A response to another member confirms its
+ * poll, so that its view may count as fresh, only if this node's view lacks no decision.
  */
 final class ChangeFeedPublisher {
+  private static final int FOLLOWER_TIMEOUT_POLLS = 3;
+
+  /** A node that changes are pushed to until the given time. */
   private record Follower(String id, String address, long until) {}
 
-  /** A poll that came while this node's own view was too old to say that it is fresh. */
-  private record DeferredPoll(ChangeFeedPoll follow, String fromId) {}
+  /** A poll that arrived while this node's own view was not fresh. */
+  private record DeferredPoll(ChangeFeedPoll poll, String fromId) {}
 
   private final Environment environment;
   private final NodeIdentity identity;
@@ -33,13 +43,13 @@
   private final MessageSender sender;
   private final ChangeFeed feed = new ChangeFeed();
 
-  /** By address. */
+  /** By peer address. */
   private final Map<String, Follower> followers = new LinkedHashMap<>();
 
-  /** By address; responded to again once this node's view is fresh. */
-  private final Map<String, DeferredPoll> unsurePolls = new LinkedHashMap<>();
+  /** By peer address; responded to again once this node's view is fresh. */
+  private final Map<String, DeferredPoll> deferredPolls = new LinkedHashMap<>();
 
-  /** By follower id, when it was last sent a snapshot. */
+  /** By follower id, when a snapshot was last sent to it. */
   private final Map<String, Long> snapshotSentAt = new HashMap<>();
 
   ChangeFeedPublisher(
@@ -59,12 +69,12 @@
     this.sender = sender;
   }
 
-  /** The number of the last change. */
+  /** The position of the last change; 0 before the first. */
   long position() {
     return feed.position();
   }
 
-  /** Adds a committed change to the feed and pushes it to the present followers. */
+  /** Adds a committed change to the feed and pushes it to the current followers. */
   void publish(MetadataRecord metadataRecord) {
     feed.add(metadataRecord);
     traceLog.add("committed", metadataRecord.key(), "sequence " + metadataRecord.sequence());
@@ -89,71 +99,90 @@
             List.of(metadataRecord)));
   }
 
-  /** Responds to a poll with the changes since its position, or with what its table may lack. */
+  /** Responds to a poll with the changes since its position, or with a snapshot. */
   void handlePoll(ChangeFeedPoll poll, String fromId, String fromAddress) {
-    followers.put(
-        fromAddress,
-        new Follower(
-            fromId, fromAddress, environment.nowMs() + 3 * ChangeFeedConstants.POLL_INTERVAL_MS));
-    if (freshness.isFresh()) {
-      unsurePolls.remove(fromAddress);
-    } else {
-      unsurePolls.put(fromAddress, new DeferredPoll(poll, fromId));
-    }
-    boolean known =
-        poll.sourceId().equals(identity.id())
-            && poll.incarnation() == identity.incarnation()
-            && poll.position() <= feed.position();
-    List<MetadataRecord> updates = known ? feed.after(poll.position()) : table.missingFrom(poll);
-    if (!known && snapshotUnderWay(fromId, updates)) {
+    addFollower(fromId, fromAddress);
+    deferUnlessFresh(poll, fromId, fromAddress);
+    boolean positionKnown = isPositionKnown(poll);
+    List<MetadataRecord> records =
+        positionKnown ? feed.after(poll.position()) : table.missingFrom(poll);
+    if (!positionKnown && isSnapshotInTransfer(fromId, records)) {
       return;
     }
-    // A member that lacks a decision must not count towards the freshness of another one's view.
-    boolean confirms = !quorum.includes(fromAddress) || !freshness.hasUndecidedEntries();
     sender.send(
         fromAddress,
         fromId,
         new ChangeFeedUpdate(
             identity.id(),
             identity.incarnation(),
-            known ? poll.position() : 0,
+            positionKnown ? poll.position() : 0,
             feed.position(),
-            !known,
+            !positionKnown,
             false,
             freshness.ageMs(),
-            confirms ? poll.sentAt() : 0,
-            updates));
+            mayConfirm(fromAddress) ? poll.sentAt() : 0,
+            records));
+  }
+
+  private void addFollower(String id, String address) {
+    long until =
+        environment.nowMs() + FOLLOWER_TIMEOUT_POLLS * ChangeFeedConstants.POLL_INTERVAL_MS;
+    followers.put(address, new Follower(id, address, until));
+  }
+
+  private void deferUnlessFresh(ChangeFeedPoll poll, String fromId, String fromAddress) {
+    if (freshness.isFresh()) {
+      deferredPolls.remove(fromAddress);
+    } else {
+      deferredPolls.put(fromAddress, new DeferredPoll(poll, fromId));
+    }
+  }
+
+  /** Whether the poll's position is one of this feed, of this run of the process. */
+  private boolean isPositionKnown(ChangeFeedPoll poll) {
+    return poll.sourceId().equals(identity.id())
+        && poll.incarnation() == identity.incarnation()
+        && poll.position() <= feed.position();
+  }
+
+  /** A member that lacks a decision must not count towards the freshness of another's view. */
+  private boolean mayConfirm(String followerAddress) {
+    return !quorum.includes(followerAddress) || !freshness.hasUndecidedEntries();
   }
 
   /**
-   * Whether a snapshot is on its way to this follower already: one that asks again before a large
-   * one has arrived over a slow link would be sent it over and over. Small ones are always sent.
+   * Whether a snapshot is still being transferred to this follower. A follower that polls again
+   * before a large snapshot has arrived over a slow link would otherwise be sent it repeatedly.
+   * Remembers that a snapshot is sent now if none is in transfer.
    */
-  private boolean snapshotUnderWay(String followerId, List<MetadataRecord> updates) {
+  private boolean isSnapshotInTransfer(String followerId, List<MetadataRecord> records) {
     long now = environment.nowMs();
-    long bytes = updates.stream().mapToLong(metadataRecord -> metadataRecord.value().length).sum();
-    long transferMs =
-        Math.min(
-            ChangeFeedConstants.MAX_SNAPSHOT_TRANSFER_MS,
-            bytes / ChangeFeedConstants.SNAPSHOT_BYTES_PER_MS);
     snapshotSentAt
         .values()
         .removeIf(sentAt -> now - sentAt > ChangeFeedConstants.MAX_SNAPSHOT_TRANSFER_MS);
     Long sentAt = snapshotSentAt.get(followerId);
-    if (sentAt != null && now - sentAt < transferMs) {
+    if (sentAt != null && now - sentAt < transferMs(records)) {
       return true;
     }
     snapshotSentAt.put(followerId, now);
     return false;
   }
 
-  /** Responds again to the polls that came while this node's view was not fresh, if it is now. */
+  /** How long the transfer of these records takes at most on a slow link. */
+  private static long transferMs(List<MetadataRecord> records) {
+    long bytes = records.stream().mapToLong(metadataRecord -> metadataRecord.value().length).sum();
+    return Math.min(
+        ChangeFeedConstants.MAX_SNAPSHOT_TRANSFER_MS,
+        bytes / ChangeFeedConstants.SNAPSHOT_BYTES_PER_MS);
+  }
+
+  /** Responds again to the deferred polls if this node's view is fresh now. */
   void respondToDeferredPolls() {
-    if (unsurePolls.isEmpty() || !freshness.isFresh()) {
+    if (deferredPolls.isEmpty() || !freshness.isFresh()) {
       return;
     }
-    Map<String, DeferredPoll> polls = new LinkedHashMap<>(unsurePolls);
-    unsurePolls.clear();
-    polls.forEach((address, poll) -> handlePoll(poll.follow(), poll.fromId(), address));
+    Map<String, DeferredPoll> polls = new LinkedHashMap<>(deferredPolls);
+    deferredPolls.clear();
+    polls.forEach((address, deferred) -> handlePoll(deferred.poll(), deferred.fromId(), address));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
@@ -11,12 +11,18 @@
 import java.util.List;
 
 /**
- * How old this node's view of the core keys may be. Invariant: the age is never understated. It
- * counts from the oldest of the newest polls that a majority of the members responded to, this node
- * included; members that lack a decision do not count.
+ * How old this node's view of the replicated metadata may be. Owns no state: the age is computed
+ * from the times in the {@link QuorumPeer}s.
+ *
+ * <p>For each member, the age is the time since this node sent the newest poll that the member
+ * confirmed; for this node itself it is 0. The age of the view is the lowest that a majority of the
+ * members reaches. A member whose log has undecided entries confirms no polls.
+ *
+ * <p>Invariant: the age is never understated, as it counts from the sending of a poll, not from the
+ * arrival of its response.
  */
 public final class MetadataFreshness {
-  /** The age of a view that no update has confirmed. */
+  /** The age, in milliseconds, of a view that no update has confirmed. */
   private static final long UNKNOWN_AGE_MS = Long.MAX_VALUE / 4;
 
   private final Environment environment;
@@ -32,23 +38,26 @@
     this.replicas = replicas;
   }
 
+  /** Whether the view is recent enough to make decisions and to acknowledge updates. */
   public boolean isFresh() {
     return ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
   /**
-   * The time since the last updates from a majority of the core. While its members change, from a
-   * majority of the next ones too: the change may be done without this node having heard so.
+   * The age of the view in milliseconds; very large if this node is no member or nothing was
+   * confirmed. While the membership changes, a majority of the next members must have confirmed
+   * too, because the change may be complete without this node having learned of it.
    */
   public long ageMs() {
     if (!quorum.isMember()) {
       return UNKNOWN_AGE_MS;
     }
-    long ofMembers = ageMs(quorum.current().members());
-    List<QuorumMember> next = quorum.current().next();
-    return next.isEmpty() ? ofMembers : Math.max(ofMembers, ageMs(next));
+    long currentAgeMs = ageMs(quorum.current().members());
+    List<QuorumMember> nextMembers = quorum.current().next();
+    return nextMembers.isEmpty() ? currentAgeMs : Math.max(currentAgeMs, ageMs(nextMembers));
   }
 
+  /** The lowest age that a majority of these members reaches. */
   private long ageMs(List<QuorumMember> members) {
     long[] ages = members.stream().mapToLong(this::ageMs).sorted().toArray();
     return ages[ages.length / 2];
@@ -65,8 +74,8 @@
   }
 
   /**
-   * Whether a value that edges work by was on this disk at the start and is not yet known to be
-   * committed or not: it may have been acknowledged.
+   * Whether this node's log holds an entry, of a key that edges apply, that is not known to be
+   * committed: it may have been acknowledged before this process started.
    */
   boolean hasUndecidedEntries() {
     return replicas.anyUncommittedEntries(
--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/SharedMetadataDigest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/SharedMetadataDigest.java
@@ -5,30 +5,38 @@
 import applespindle.corelogic.protocol.Message.MetadataRecord;
 
 /**
- * Sum over a table's shared keys of a mix of key and sequence. Two tables with equal ones hold the
- * same values, so that neither side need send them: with hundreds of routes they are hundreds of
- * kilobytes. Members are not among the shared keys: they come and go all the time, and nobody's yes
- * rests on them.
+ * A digest of a metadata table: the sum of a hash of key and sequence over all covered keys. Two
+ * tables with equal digests hold the same values of these keys, so a snapshot can leave them out;
+ * with hundreds of routes they are hundreds of kilobytes.
+ *
+ * <p>Registrations of nodes are not covered: they change often, and no acknowledgement depends on
+ * them.
  */
 public final class SharedMetadataDigest {
   private long sum;
 
+  /** Whether the digest covers this key. */
   public static boolean covers(String key) {
     return !key.startsWith(MetadataKeys.MEMBER_PREFIX);
   }
 
-  /** A value took the place of an older one; known is null where the key is new. */
+  /**
+   * Takes a new value into the digest.
+   *
+   * @param known the value that it replaces; null if the key is new
+   */
   public void update(MetadataRecord known, MetadataRecord newer) {
     if (covers(newer.key())) {
-      sum += mixOf(newer) - (known == null ? 0 : mixOf(known));
+      sum += hashOf(newer) - (known == null ? 0 : hashOf(known));
     }
   }
 
+  /** The digest; 0 for a table without covered keys. */
   public long value() {
     return sum;
   }
 
-  private static long mixOf(MetadataRecord metadataRecord) {
+  private static long hashOf(MetadataRecord metadataRecord) {
     return RendezvousHashing.hash(metadataRecord.key() + " " + metadataRecord.sequence());
   }
 }
