--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -13,9 +13,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What a newcomer of a membership change does: copies all core keys from a majority of the members,
- * then reports so until the change is over. Invariant: it reports a membership number only after it
- * has copied under that very number.
+ * The joining member's part in a membership change: copies all keys of the control plane from a
+ * majority of the members, then reports this until the change is complete. Owns no state besides
+ * the copying and reporting in progress.
+ *
+ * <p>Invariant: a version of the membership is reported only after the keys were copied under that
+ * very version.
  */
 public final class JoiningMember {
   private final Environment environment;
@@ -23,6 +26,7 @@
   private final QuorumView quorum;
   private final ReplicaCatchUp catchUp;
 
+  /** Creates the joining member of one node. */
   public JoiningMember(
       Environment environment, Node node, QuorumView quorum, ReplicaCatchUp catchUp) {
     this.environment = environment;
@@ -31,7 +35,7 @@
     this.catchUp = catchUp;
   }
 
-  /** Begins to copy if this node is the newcomer of the present membership. */
+  /** Starts to copy the keys if this node is the joining member of the current membership. */
   public void catchUpIfJoining() {
     if (quorum.isMember() || !quorum.isReplica()) {
       return;
--- a/core-logic/src/main/java/applespindle/corelogic/membership/KeyLeadership.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/KeyLeadership.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** What heartbeats say and need to know of the keys that this node leads. */
+/** The leadership of keys on this node, as far as heartbeats report and refresh it. */
 public interface KeyLeadership {
-  /** The keys whose leader here is in contact with a majority; others may claim the rest. */
+  /** The keys whose leader on this node is in contact with a majority of the key's replicas. */
   List<String> keysInContactWithQuorum();
 
-  /** A replica's process showed that it hears this one. */
+  /** Notes that messages pass in both directions between this node and that of the replica. */
   void noteContact(String replicaId);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
@@ -15,22 +15,30 @@
 import java.util.function.Supplier;
 
 /**
- * Looks for the core, and tells seeds of it that may have forgotten it. Invariant: whoever has lost
- * the core asks every seed and every member it knows, as seeds may be stale, down, or as new as
- * this process.
+ * Searches for the control plane's members, and notifies seeds of them that may not know them. Owns
+ * only the number of searches so far; the result of a search arrives as a message to the node.
+ *
+ * <p>Invariant: a node without contact to the members asks every seed and every member it knows,
+ * because seeds may be outdated, down, or as uninitialized as this node.
  */
 public final class QuorumDiscovery {
   private final NodeIdentity identity;
   private final NodeSettings settings;
   private final QuorumView quorum;
 
-  /** Milliseconds since the last updates from a majority of the core. */
+  /** Milliseconds since the last updates from a majority of the members. */
   private final LongSupplier viewAgeMs;
 
   private final Supplier<List<String>> seeds;
   private final MessageSender sender;
   private long searches;
 
+  /**
+   * Creates the discovery of one node.
+   *
+   * @param viewAgeMs milliseconds since the last updates from a majority of the members
+   * @param seeds the configured peer addresses at the time of the call
+   */
   public QuorumDiscovery(
       NodeIdentity identity,
       NodeSettings settings,
@@ -46,19 +54,24 @@
     this.sender = sender;
   }
 
+  /**
+   * To be called at regular intervals. A node without contact to the members asks for them each
+   * time. At one in several calls a member notifies seeds, and any other node asks for the members.
+   */
   public void search() {
     searches++;
-    boolean oneInSome = searches % MembershipConstants.SEED_NOTIFICATION_ONE_IN == 0;
+    boolean isNotificationDue = searches % MembershipConstants.SEED_NOTIFICATION_ONE_IN == 0;
     boolean isMember = quorum.isMember();
-    if (isMember && oneInSome) {
-      tellSeeds();
+    if (isMember && isNotificationDue) {
+      notifySeeds();
     }
-    if (isLost() || !isMember && oneInSome) {
-      askAround();
+    if (hasLostContact() || !isMember && isNotificationDue) {
+      requestMembers();
     }
   }
 
-  private boolean isLost() {
+  /** Whether no membership is known, or a voter has no contact to enough of its members. */
+  private boolean hasLostContact() {
     if (quorum.current().number() == 0) {
       return true;
     }
@@ -67,8 +80,8 @@
         : settings.voter() && quorum.liveMembers().isEmpty();
   }
 
-  /** A seed that is no member may know nothing of the core while others know only this seed. */
-  private void tellSeeds() {
+  /** A seed that is no member may not know the members, while other nodes know only that seed. */
+  private void notifySeeds() {
     QuorumMembership membership = quorum.current();
     seeds.get().stream()
         .filter(seed -> !quorum.includes(seed) && !seed.equals(identity.peerAddress()))
@@ -80,10 +93,10 @@
                     new QuorumDiscoveryResponse(membership.number(), Json.bytes(membership))));
   }
 
-  private void askAround() {
-    Set<String> known = new LinkedHashSet<>(seeds.get());
-    quorum.current().members().forEach(member -> known.add(member.peerAddress()));
-    known.remove(identity.peerAddress());
-    known.forEach(address -> sender.send(address, "", new QuorumDiscoveryRequest()));
+  private void requestMembers() {
+    Set<String> addresses = new LinkedHashSet<>(seeds.get());
+    quorum.current().members().forEach(member -> addresses.add(member.peerAddress()));
+    addresses.remove(identity.peerAddress());
+    addresses.forEach(address -> sender.send(address, "", new QuorumDiscoveryRequest()));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
@@ -16,23 +16,30 @@
 import java.util.function.Supplier;
 
 /**
- * The newest membership of the core that this node knows, and which of its members it is in contact
- * with. Invariant: a member counts as live only while each side hears the other; where messages
- * pass one way only, neither counts on the other.
+ * The newest membership of the control plane that this node knows, and which of its members it is
+ * in contact with. Owns the peers; the membership is owned by the node and only read here.
+ *
+ * <p>Invariant: a member counts as live only while messages pass in both directions. Where they
+ * pass in one direction only, neither side counts on the other.
  */
 public final class QuorumView {
-  /** The name under which all core keys change their replicas together. */
+  /** The name of the replica set that holds all keys of the control plane. */
   public static final String SET_NAME = "core";
 
   private final Environment environment;
   private final NodeIdentity identity;
   private final Supplier<QuorumMembership> current;
 
-  /** By peer address, as a founder's id is not known before its first ping. */
+  /** By peer address, as a node's id is not known before its first heartbeat. */
   private final Map<String, QuorumPeer> peers = new TreeMap<>();
 
   private long startedAt;
 
+  /**
+   * Creates the view of one node.
+   *
+   * @param current the newest membership known at the time of the call; version 0 if none
+   */
   public QuorumView(
       Environment environment, NodeIdentity identity, Supplier<QuorumMembership> current) {
     this.environment = environment;
@@ -40,23 +47,27 @@
     this.current = current;
   }
 
+  /** To be called when the node starts; {@link #isIsolated} waits from then. */
   public void started() {
     startedAt = environment.nowMs();
   }
 
+  /** The newest membership that this node knows; version 0 if none. */
   public QuorumMembership current() {
     return current.get();
   }
 
+  /** The peers by peer address; a live map that callers may add to. */
   public Map<String, QuorumPeer> peers() {
     return peers;
   }
 
+  /** The peer at this address, which is added if there is none. */
   public QuorumPeer peer(String peerAddress) {
     return peers.computeIfAbsent(peerAddress, unseen -> new QuorumPeer());
   }
 
-  /** This process as it would stand in a membership. */
+  /** This node as it would be listed in a membership. */
   public QuorumMember self() {
     return new QuorumMember(
         identity.id(),
@@ -68,31 +79,37 @@
 
   // ---- the membership itself
 
+  /** Whether this node is a member; a joining member is not one yet. */
   public boolean isMember() {
-    return names(current().members(), identity.id());
+    return contains(current().members(), identity.id());
   }
 
-  /** A member, or the newcomer of a change under way, which takes entries but leads nothing yet. */
+  /**
+   * Whether this node is a member or the joining member of a change in progress, which stores log
+   * entries but leads nothing yet.
+   */
   public boolean isReplica() {
-    return isMember() || names(current().next(), identity.id());
+    return isMember() || contains(current().next(), identity.id());
   }
 
-  private static boolean names(List<QuorumMember> members, String id) {
+  private static boolean contains(List<QuorumMember> members, String id) {
     return members.stream().anyMatch(member -> member.id().equals(id));
   }
 
-  /** Whether a member or newcomer is at this address. */
+  /** Whether a member or joining member has this peer address. */
   public boolean includes(String peerAddress) {
     return membersAndJoining().stream()
         .anyMatch(member -> member.peerAddress().equals(peerAddress));
   }
 
+  /** The members, and after them the joining member of a change in progress. */
   public Set<QuorumMember> membersAndJoining() {
     Set<QuorumMember> all = new LinkedHashSet<>(current().members());
     all.addAll(current().next());
     return all;
   }
 
+  /** The membership as the replicas of the control plane's keys. */
   public ReplicaConfiguration replicaSets() {
     return new ReplicaConfiguration(
         current().number(), replicas(current().members()), replicas(current().next()));
@@ -104,7 +121,7 @@
         .toList();
   }
 
-  /** The peer address of a member; empty if there is none of this id. */
+  /** The peer address of the member with this id; empty if there is none. */
   public String addressOf(String id) {
     return current().members().stream()
         .filter(member -> member.id().equals(id))
@@ -115,54 +132,61 @@
 
   // ---- contact with its members
 
-  /** Makes every member and newcomer a peer. */
+  /** Adds every member and joining member to the peers, this node excepted. */
   public void addMembersAsPeers() {
     membersAndJoining().forEach(member -> peer(member.peerAddress()));
     peers.remove(identity.peerAddress());
   }
 
-  /** Drops silent peers that the membership does not name any more. */
+  /** Removes the peers that are neither in the membership nor alive. */
   public void removeFormerPeers() {
     peers.entrySet().removeIf(each -> !includes(each.getKey()) && !isAlive(each.getValue()));
   }
 
-  /** Whether the peer was heard lately; it may be deaf to this process. */
+  /** Whether a heartbeat was received lately; the peer may not receive this node's. */
   public boolean isAlive(QuorumPeer peer) {
     return peer.member() != null
         && environment.nowMs() - peer.lastHeartbeatAt()
             < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
-  /** Whether each side hears the other. */
+  /** Whether heartbeats pass in both directions. */
   boolean isInContact(QuorumPeer peer) {
     return isAlive(peer) && peer.hearsThisNode();
   }
 
-  /** Ids of the members in contact, this node included if it is one. */
+  /** Ids of the members in contact, this node included if it is one, in membership order. */
   public List<String> liveMembers() {
     Set<String> live = new LinkedHashSet<>();
     for (QuorumMember member : current().members()) {
-      QuorumPeer peer = peers.get(member.peerAddress());
-      if (member.id().equals(identity.id())
-          || peer != null && isInContact(peer) && peer.member().id().equals(member.id())) {
+      if (isLive(member)) {
         live.add(member.id());
       }
     }
     return List.copyOf(live);
   }
 
-  /** Whether this node comes first for a key among the live members. */
+  private boolean isLive(QuorumMember member) {
+    if (member.id().equals(identity.id())) {
+      return true;
+    }
+    QuorumPeer peer = peers.get(member.peerAddress());
+    return peer != null && isInContact(peer) && peer.member().id().equals(member.id());
+  }
+
+  /** Whether this node is first in the rendezvous order of a key among the live members. */
   public boolean isPreferredLeaderOf(String key) {
     return identity.id().equals(RendezvousHashing.first(key, liveMembers()));
   }
 
+  /** Whether this node is in contact with a majority of the members, itself included. */
   public boolean isInContactWithMajority() {
     return liveMembers().size() * 2 > current().members().size();
   }
 
   /**
-   * A member that hears no majority can neither lead nor read: it says so at once. A process that
-   * started just now waits for the first pings instead.
+   * Whether this node is a member without contact to a majority, which can neither lead nor read
+   * and refuses requests at once. False right after the start, when heartbeats are yet to arrive.
    */
   public boolean isIsolated() {
     return isMember()
