--- a/core-logic/src/main/java/applespindle/corelogic/metadata/BatchCapacityUsage.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/BatchCapacityUsage.java
@@ -4,9 +4,11 @@
 import java.util.Map;
 
 /**
- * The ledger of waiting batch work: by batch what it still takes, items or tokens, and by batch the
- * group it counts in. Each group has a ceiling of its own; a batch without one counts in the group
- * of all batches of prompts.
+ * The capacity that open batches occupy. Each group of batches has a limit of its own.
+ *
+ * @param items by batch id the capacity it occupies, in items or tokens as its group counts
+ * @param groups by batch id its group; a batch that is missing counts in the group of all prompt
+ *     batches
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record BatchCapacityUsage(Map<String, Long> items, Map<String, String> groups) {
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/EdgeList.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/EdgeList.java
@@ -4,10 +4,15 @@
 import java.util.List;
 
 /**
- * The edges that count, by peer address, when an acknowledgement asks for a majority of them and
- * when an edge goes on without the core. Two lists in a row differ in one edge, and the next is not
- * made before a majority of the edges knows the last: so any two majorities, also of different
- * lists that are in use at once, share an edge.
+ * The edges that form a quorum: an acknowledgement may need a majority of them, and an edge that is
+ * cut off from the control plane works on only while it reaches a majority.
+ *
+ * <p>Invariant: two consecutive versions differ in one edge, and the next version is not made
+ * before a majority of the edges applies the last. So any two majorities, also of different
+ * versions in use at once, have an edge in common.
+ *
+ * @param number version of the list; rises by one with each change
+ * @param addresses peer addresses of the edges
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record EdgeList(long number, List<String> addresses) {}
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/NodeAddress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/NodeAddress.java
@@ -1,9 +1,9 @@
 package applespindle.corelogic.metadata;
 
 /**
- * A node as it is addressed by others.
+ * A node as messages are addressed to it.
  *
- * @param id of the process's present life; empty while only its address is known
+ * @param id id of the node, which it gets with its disk; empty if only its address is known
  * @param address its peer address
  */
 public record NodeAddress(String id, String address) {
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/QuorumMembership.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/QuorumMembership.java
@@ -3,9 +3,17 @@
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import java.util.List;
 
-/** The core's members; next is empty unless one of them is being replaced. */
+/**
+ * The members of the control plane's quorum. While a change is in progress, decisions need a
+ * majority of both the members and the next members.
+ *
+ * @param number version of the membership; rises by one with each change, 0 if there is none yet
+ * @param members the current members
+ * @param next the members after the change in progress; empty if there is none
+ */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record QuorumMembership(long number, List<QuorumMember> members, List<QuorumMember> next) {
+  /** Reads a missing list of next members as an empty one. */
   public QuorumMembership {
     next = next == null ? List.of() : next;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerListSource.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerListSource.java
@@ -3,6 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import java.util.List;
 
-/** The whole outside list of workers as last read. Workers that are gone are left out. */
+/**
+ * The complete external list of workers as last read.
+ *
+ * @param workers without the workers that are gone
+ */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record WorkerListSource(List<WorkerRegistration> workers) {}
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerListVersion.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerListVersion.java
@@ -2,6 +2,10 @@
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 
-/** The version of the worker list; rises with each whole list that was taken. */
+/**
+ * The version of the worker list.
+ *
+ * @param version rises with each complete list that was taken over
+ */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record WorkerListVersion(long version) {}
