--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/MetadataFreshness.java
@@ -53,7 +53,7 @@
       return UNKNOWN_AGE_MS;
     }
     long currentAgeMs = ageMs(quorum.current().members());
-    List<QuorumMember> nextMembers = quorum.current().next();
+    List<QuorumMember> nextMembers = quorum.current().nextMembers();
     return nextMembers.isEmpty() ? currentAgeMs : Math.max(currentAgeMs, ageMs(nextMembers));
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -119,7 +119,7 @@
   private boolean mayBeTaken(
       PeerRequest request, LedKey ledKey, long number, byte[] content, Long buildsOn) {
     SignedConfiguration inForce = ledKey.as(SignedConfiguration.class);
-    RevisionStatus standing = acceptedSoFar(inForce).standing(number, content);
+    RevisionStatus standing = acceptedSoFar(inForce).statusOf(number, content);
     if (standing == RevisionStatus.ACCEPTED) {
       ledKey.leader.confirmLeadership(error -> acknowledge(request, ledKey, number, error));
       return false;
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -110,7 +110,7 @@
     auditBatchRoom();
     faultTolerance.update(
         FaultToleranceMonitor.remainingTolerableFailures(
-            quorum.replicaSets(), quorum.liveMembers()::contains),
+            quorum.replicaConfiguration(), quorum.liveMembers()::contains),
         storage.remainingTolerableFailures(),
         environment.nowMs());
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -130,7 +130,8 @@
             this::learnMembership);
     this.staticBootstrap = new StaticBootstrap(environment, identity, quorum, founders);
     this.replicas =
-        new LogReplicas(environment, this::send, this::committed, key -> QuorumView.SET_NAME);
+        new LogReplicas(
+            environment, this::send, this::committed, key -> QuorumView.REPLICA_SET_NAME);
     this.catchUp = new ReplicaCatchUp(environment, this, replicas, new HashMap<>(), id -> "");
     this.joiningMember = new JoiningMember(environment, this, quorum, catchUp);
     this.keys =
@@ -213,7 +214,7 @@
   @Override
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>();
-    if (membership.number() > 0) {
+    if (membership.version() > 0) {
       records.add(rosterRecord());
     } else {
       records.addAll(bootstrap.records());
@@ -227,7 +228,7 @@
         Kind.ROSTER,
         MetadataKeys.MEMBERSHIP,
         Epoch.NONE,
-        membership.number(),
+        membership.version(),
         true,
         Json.bytes(membership));
   }
@@ -238,7 +239,7 @@
     quorum.started();
     replicas.finishRecovery();
     joiningMember.catchUpIfJoining();
-    boolean unfounded = staticBootstrap.isEmpty() && membership.number() == 0;
+    boolean unfounded = staticBootstrap.isEmpty() && membership.version() == 0;
     for (String address : unfounded ? seeds : staticBootstrap.addresses()) {
       if (!address.equals(identity.peerAddress())) {
         quorum.peers().put(address, new QuorumPeer());
@@ -258,10 +259,10 @@
   }
 
   private void tick() {
-    if (settings.voter() || membership.number() == 0 && bootstrap.isCoordinator()) {
+    if (settings.voter() || membership.version() == 0 && bootstrap.isCoordinator()) {
       heartbeat.send();
     }
-    if (membership.number() == 0) {
+    if (membership.version() == 0) {
       bootstrap();
     }
     if (quorum.isMember() && !stopping) {
@@ -298,9 +299,9 @@
 
   @Override
   protected void learnMembership(QuorumMembership newerMembership) {
-    long before = membership.number();
+    long before = membership.version();
     super.learnMembership(newerMembership);
-    if (membership.number() == before || !started) {
+    if (membership.version() == before || !started) {
       return;
     }
     quorum.addMembersAsPeers();
@@ -313,7 +314,7 @@
       return;
     }
     replicas.adoptConfiguration(
-        QuorumView.SET_NAME, membership.number(), joiningMember::catchUpIfJoining);
+        QuorumView.REPLICA_SET_NAME, membership.version(), joiningMember::catchUpIfJoining);
     keys.reconfigure();
   }
 
@@ -444,11 +445,11 @@
     if (!started || !quorum.isMember() || !quorum.includes(fromAddress)) {
       return;
     }
-    if (contact.heardAgain()) {
+    if (contact.aliveAgain()) {
       heartbeat.send(List.of(fromAddress));
       feed.poll(fromAddress);
     }
-    if (contact.hearEachOtherAgain() && !stopping) {
+    if (contact.inContactAgain() && !stopping) {
       keys.electForLeaderlessKeys();
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
@@ -55,7 +55,8 @@
     EdgeList next = listing.next(list, live, knownToMost);
     if (next != null) {
       environment.log(
-          PART, "Edges that count: list " + next.number() + " of " + next.addresses().size() + ".");
+          PART,
+          "Edges that count: list " + next.version() + " of " + next.addresses().size() + ".");
       keys.put(ledKey, next, error -> {});
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
@@ -62,7 +62,7 @@
         live.stream().filter(address -> !next.contains(address)).findFirst();
     if (newcomer.isPresent()) {
       next.add(newcomer.get());
-      return new EdgeList(present.number() + 1, next);
+      return new EdgeList(present.version() + 1, next);
     }
     boolean struck =
         next.stream()
@@ -74,6 +74,6 @@
             .findFirst()
             .map(next::remove)
             .orElse(false);
-    return struck ? new EdgeList(present.number() + 1, next) : null;
+    return struck ? new EdgeList(present.version() + 1, next) : null;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -68,7 +68,12 @@
     this.leadershipListener = whenLed;
     this.elections =
         new Elections(
-            environment, identity.id(), sender, key -> quorum.replicaSets(), this::begin, true);
+            environment,
+            identity.id(),
+            sender,
+            key -> quorum.replicaConfiguration(),
+            this::begin,
+            true);
   }
 
   /** By key, in the order of the keys. */
@@ -174,7 +179,7 @@
   /** Lets every key and every claim go on with the membership as it is known now. */
   void reconfigure() {
     List.copyOf(ledKeys.values())
-        .forEach(ledKey -> ledKey.leader.reconfigure(quorum.replicaSets()));
+        .forEach(ledKey -> ledKey.leader.reconfigure(quorum.replicaConfiguration()));
     elections.reconfigure();
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
@@ -57,10 +57,10 @@
     }
     QuorumMembership present =
         ledKey.value.isNull() ? quorum.current() : ledKey.as(QuorumMembership.class);
-    if (present.number() != quorum.current().number()) {
+    if (present.version() != quorum.current().version()) {
       return;
     }
-    if (!present.next().isEmpty()) {
+    if (!present.nextMembers().isEmpty()) {
       settle(ledKey, present);
     } else if (!replaceLost(ledKey, present)) {
       grow(ledKey, present);
@@ -70,13 +70,13 @@
   /** Ends a change once the newcomer has copied, or calls it off if the newcomer is silent. */
   private void settle(LedKey ledKey, QuorumMembership present) {
     QuorumMember newcomer =
-        present.next().stream()
+        present.nextMembers().stream()
             .filter(member -> !present.members().contains(member))
             .findFirst()
             .get();
-    if (ledKey.caughtUpVersions.getOrDefault(newcomer.id(), 0L) == present.number()) {
+    if (ledKey.caughtUpVersions.getOrDefault(newcomer.id(), 0L) == present.version()) {
       environment.log(PART, "Core member taken in: " + newcomer.name() + ".");
-      put(ledKey, present, present.next(), List.of());
+      put(ledKey, present, present.nextMembers(), List.of());
     } else if (!isThere(newcomer)) {
       put(ledKey, present, present.members(), List.of());
     }
@@ -84,7 +84,7 @@
 
   private boolean isThere(QuorumMember member) {
     QuorumPeer peer = quorum.peers().get(member.peerAddress());
-    return peer != null && quorum.isAlive(peer) && peer.member.id().equals(member.id());
+    return peer != null && quorum.isAlive(peer) && peer.member().id().equals(member.id());
   }
 
   /** True if a replacement was begun. */
@@ -114,9 +114,9 @@
     // Another process at the address says that the member's disk is gone: it never comes back, so
     // nothing is waited for.
     boolean sameProcess =
-        peer != null && peer.member != null && peer.member.id().equals(member.id());
-    if (peer != null && !sameProcess && quorum.isAlive(peer) && peer.joinCandidate) {
-      return Optional.of(peer.member);
+        peer != null && peer.member() != null && peer.member().id().equals(member.id());
+    if (peer != null && !sameProcess && quorum.isAlive(peer) && peer.isJoinCandidate()) {
+      return Optional.of(peer.member());
     }
     return silentMs >= MembershipConstants.QUORUM_MEMBER_REPLACEMENT_DELAY_MS
         ? candidateFor(member)
@@ -142,8 +142,8 @@
    */
   private Optional<QuorumMember> candidateFor(QuorumMember leaver) {
     return quorum.peers().values().stream()
-        .filter(peer -> quorum.isAlive(peer) && peer.joinCandidate)
-        .map(peer -> peer.member)
+        .filter(peer -> quorum.isAlive(peer) && peer.isJoinCandidate())
+        .map(QuorumPeer::member)
         .min(
             Comparator.comparing(
                     (QuorumMember each) -> leaver != null && !each.zone().equals(leaver.zone()))
@@ -167,6 +167,6 @@
       QuorumMembership present,
       List<QuorumMember> members,
       List<QuorumMember> next) {
-    keys.put(ledKey, new QuorumMembership(present.number() + 1, members, next), error -> {});
+    keys.put(ledKey, new QuorumMembership(present.version() + 1, members, next), error -> {});
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
@@ -140,7 +140,7 @@
 
   private long pending() {
     return ownedShards().stream()
-        .filter(ledKey -> !ledKey.as(ShardAssignment.class).next().isEmpty())
+        .filter(ledKey -> !ledKey.as(ShardAssignment.class).nextReplicas().isEmpty())
         .count();
   }
 
@@ -157,7 +157,7 @@
     long pending = pending();
     for (LedKey ledKey : ownedShards()) {
       ShardAssignment shard = ledKey.as(ShardAssignment.class);
-      if (!shard.next().isEmpty()) {
+      if (!shard.nextReplicas().isEmpty()) {
         settle(ledKey, shard, live);
       } else if (pending < ShardConstants.MAX_CONCURRENT_CHANGES) {
         List<ShardReplica> next = repaired(ledKey.leader.key, shard, live, spares, holding, now);
@@ -171,9 +171,9 @@
 
   private void changeTo(LedKey ledKey, ShardAssignment shard, List<ShardReplica> next) {
     ledKey.caughtUpVersions.clear();
-    core.traceLog().add("changing", ledKey.leader.key, "set " + (shard.number() + 1));
+    core.traceLog().add("changing", ledKey.leader.key, "set " + (shard.version() + 1));
     core.keys.put(
-        ledKey, new ShardAssignment(shard.number() + 1, shard.replicas(), next), error -> {});
+        ledKey, new ShardAssignment(shard.version() + 1, shard.replicas(), next), error -> {});
   }
 
   /**
@@ -216,7 +216,7 @@
 
   /** All replicas are there, live and to stay, and no change is under way. */
   private boolean whole(ShardAssignment shard, Map<String, NodeRegistration> live) {
-    return shard.next().isEmpty()
+    return shard.nextReplicas().isEmpty()
         && shard.replicas().size() == replicas
         && shard.replicas().stream()
             .allMatch(each -> live.containsKey(each.id()) && table.isActive(each.id()));
@@ -225,19 +225,19 @@
   /** Ends a change once the newcomer has copied, or calls it off if the newcomer has died. */
   private void settle(LedKey ledKey, ShardAssignment shard, Map<String, NodeRegistration> live) {
     List<ShardReplica> newcomers =
-        shard.next().stream().filter(each -> !shard.replicas().contains(each)).toList();
-    List<ShardReplica> needed = newcomers.isEmpty() ? shard.next() : newcomers;
+        shard.nextReplicas().stream().filter(each -> !shard.replicas().contains(each)).toList();
+    List<ShardReplica> needed = newcomers.isEmpty() ? shard.nextReplicas() : newcomers;
     if (needed.stream()
-        .allMatch(each -> ledKey.caughtUpVersions.getOrDefault(each.id(), 0L) == shard.number())) {
+        .allMatch(each -> ledKey.caughtUpVersions.getOrDefault(each.id(), 0L) == shard.version())) {
       environment.log(PART, "Replicas changed: " + ledKey.leader.key + ".");
       core.keys.put(
           ledKey,
-          new ShardAssignment(shard.number() + 1, shard.next(), List.of()),
+          new ShardAssignment(shard.version() + 1, shard.nextReplicas(), List.of()),
           error -> checkSoon());
     } else if (newcomers.stream().anyMatch(each -> !live.containsKey(each.id()))) {
       core.keys.put(
           ledKey,
-          new ShardAssignment(shard.number() + 1, shard.replicas(), List.of()),
+          new ShardAssignment(shard.version() + 1, shard.replicas(), List.of()),
           error -> checkSoon());
     }
   }
@@ -452,7 +452,7 @@
 
   private static boolean names(ShardAssignment shard, String id) {
     return shard.replicas().stream().anyMatch(each -> each.id().equals(id))
-        || shard.next().stream().anyMatch(each -> each.id().equals(id));
+        || shard.nextReplicas().stream().anyMatch(each -> each.id().equals(id));
   }
 
   /** How many more storage nodes the worst shard may lose; all of them while there is no shard. */
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -348,7 +348,7 @@
         continue;
       }
       apply(metadataRecord);
-      if (MetadataKeys.mustBeInForce(metadataRecord.key())) {
+      if (MetadataKeys.requiresEdgeAcknowledgement(metadataRecord.key())) {
         applied.add(new KeyPosition(metadataRecord.key(), metadataRecord.sequence()));
       }
     }
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/FollowedMetadata.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/FollowedMetadata.java
@@ -172,7 +172,7 @@
   /** The positions of all keys whose updates are acknowledged once they are in force. */
   List<KeyPosition> acknowledgedPositions() {
     return records.values().stream()
-        .filter(each -> MetadataKeys.mustBeInForce(each.key()))
+        .filter(each -> MetadataKeys.requiresEdgeAcknowledgement(each.key()))
         .map(each -> new KeyPosition(each.key(), each.sequence()))
         .toList();
   }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapAcceptance.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapAcceptance.java
@@ -101,7 +101,7 @@
         Kind.ROSTER,
         ACCEPTED_PROPOSAL_KEY,
         Epoch.NONE,
-        membership.number(),
+        membership.version(),
         true,
         Json.bytes(membership));
   }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
@@ -26,10 +26,10 @@
   /**
    * How a received heartbeat changed the contact with its sender.
    *
-   * @param heardAgain the sender had timed out, or was unknown, until this heartbeat
-   * @param hearEachOtherAgain messages pass in both directions again since this heartbeat
+   * @param aliveAgain the sender had timed out, or was unknown, until this heartbeat
+   * @param inContactAgain messages pass in both directions again since this heartbeat
    */
-  public record ContactChange(boolean heardAgain, boolean hearEachOtherAgain) {}
+  public record ContactChange(boolean aliveAgain, boolean inContactAgain) {}
 
   private final Environment environment;
   private final NodeIdentity identity;
@@ -85,7 +85,7 @@
     HeartbeatBody body = describeSelf(membership, keys.keysInContactWithQuorum());
     byte[] withoutMembership = Json.bytes(body);
     byte[] withMembership =
-        membership.number() == 0 ? withoutMembership : Json.bytes(body.withMembership(membership));
+        membership.version() == 0 ? withoutMembership : Json.bytes(body.withMembership(membership));
     for (String address : addresses) {
       boolean upToDate = isKnownToHave(address, membership);
       byte[] bytes = upToDate ? withoutMembership : withMembership;
@@ -96,7 +96,7 @@
 
   private boolean isKnownToHave(String address, QuorumMembership membership) {
     QuorumPeer peer = quorum.peers().get(address);
-    return peer != null && quorum.isAlive(peer) && peer.membershipVersion() >= membership.number();
+    return peer != null && quorum.isAlive(peer) && peer.membershipVersion() >= membership.version();
   }
 
   /** Replicas on this node learn of their leader's contact without a message. */
@@ -105,7 +105,7 @@
   }
 
   private HeartbeatBody describeSelf(QuorumMembership membership, List<String> ledKeys) {
-    boolean formed = membership.number() > 0;
+    boolean formed = membership.version() > 0;
     QuorumMembership proposal = formed ? null : bootstrap.proposal();
     return new HeartbeatBody(
         quorum.self(),
@@ -115,7 +115,7 @@
         proposal,
         proposal == null ? null : bootstrap.hasAccepted(),
         reachablePeers(),
-        membership.number(),
+        membership.version(),
         ledKeys,
         null);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -40,10 +40,10 @@
     if (quorum.isMember() || !quorum.isReplica()) {
       return;
     }
-    long number = quorum.current().number();
-    node.traceLog().add("copying", QuorumView.SET_NAME, "set " + number);
+    long number = quorum.current().version();
+    node.traceLog().add("copying", QuorumView.REPLICA_SET_NAME, "set " + number);
     catchUp.catchUp(
-        QuorumView.SET_NAME,
+        QuorumView.REPLICA_SET_NAME,
         number,
         QuorumView.replicas(quorum.current().members()),
         () -> isCurrent(number),
@@ -51,7 +51,7 @@
   }
 
   private boolean isCurrent(long number) {
-    return quorum.current().number() == number && !node.isTerminated();
+    return quorum.current().version() == number && !node.isTerminated();
   }
 
   private void reportCopied(long number) {
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumDiscovery.java
@@ -72,7 +72,7 @@
 
   /** Whether no membership is known, or a voter has no contact to enough of its members. */
   private boolean hasLostContact() {
-    if (quorum.current().number() == 0) {
+    if (quorum.current().version() == 0) {
       return true;
     }
     return quorum.isMember()
@@ -90,7 +90,7 @@
                 sender.send(
                     seed,
                     "",
-                    new QuorumDiscoveryResponse(membership.number(), Json.bytes(membership))));
+                    new QuorumDiscoveryResponse(membership.version(), Json.bytes(membership))));
   }
 
   private void requestMembers() {
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
@@ -18,9 +18,9 @@
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private long lastHeartbeatAt = NEVER;
-  public QuorumMember member;
+  private QuorumMember member;
   private boolean uninitialized;
-  public boolean joinCandidate;
+  private boolean joinCandidate;
   private boolean voter;
   private QuorumMembership proposal;
   private boolean accepted;
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
@@ -24,7 +24,7 @@
  */
 public final class QuorumView {
   /** The name of the replica set that holds all keys of the control plane. */
-  public static final String SET_NAME = "core";
+  public static final String REPLICA_SET_NAME = "core";
 
   private final Environment environment;
   private final NodeIdentity identity;
@@ -89,7 +89,7 @@
    * entries but leads nothing yet.
    */
   public boolean isReplica() {
-    return isMember() || contains(current().next(), identity.id());
+    return isMember() || contains(current().nextMembers(), identity.id());
   }
 
   private static boolean contains(List<QuorumMember> members, String id) {
@@ -105,14 +105,14 @@
   /** The members, and after them the joining member of a change in progress. */
   public Set<QuorumMember> membersAndJoining() {
     Set<QuorumMember> all = new LinkedHashSet<>(current().members());
-    all.addAll(current().next());
+    all.addAll(current().nextMembers());
     return all;
   }
 
   /** The membership as the replicas of the control plane's keys. */
-  public ReplicaConfiguration replicaSets() {
+  public ReplicaConfiguration replicaConfiguration() {
     return new ReplicaConfiguration(
-        current().number(), replicas(current().members()), replicas(current().next()));
+        current().version(), replicas(current().members()), replicas(current().nextMembers()));
   }
 
   static List<NodeAddress> replicas(List<QuorumMember> members) {
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/AcceptedRevisions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/AcceptedRevisions.java
@@ -45,7 +45,7 @@
   }
 
   /** What is known of the revision with this number and content. */
-  public RevisionStatus standing(long number, byte[] content) {
+  public RevisionStatus statusOf(long number, byte[] content) {
     if (remembers(number, digest(content))) {
       return RevisionStatus.ACCEPTED;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/EdgeList.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/EdgeList.java
@@ -1,6 +1,7 @@
 package applespindle.corelogic.metadata;
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
@@ -11,8 +12,8 @@
  * before a majority of the edges applies the last. So any two majorities, also of different
  * versions in use at once, have an edge in common.
  *
- * @param number version of the list; rises by one with each change
+ * @param version version of the list; rises by one with each change
  * @param addresses peer addresses of the edges
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record EdgeList(long number, List<String> addresses) {}
+public record EdgeList(@JsonProperty("number") long version, List<String> addresses) {}
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/MetadataKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/MetadataKeys.java
@@ -54,7 +54,7 @@
   }
 
   /** Whether an update of this key is acknowledged only once edges apply it. */
-  public static boolean mustBeInForce(String key) {
+  public static boolean requiresEdgeAcknowledgement(String key) {
     return key.equals(CONFIGURATION) || key.equals(EDGE_LIST) || key.startsWith(WORKER_PREFIX);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -156,11 +156,11 @@
     } else if (message instanceof PeerRequest request) {
       handleRequest(request);
     } else if (message instanceof QuorumDiscoveryRequest) {
-      if (membership.number() > 0) {
+      if (membership.version() > 0) {
         send(
             envelope.fromAddress(),
             envelope.fromId(),
-            new QuorumDiscoveryResponse(membership.number(), Json.bytes(membership)));
+            new QuorumDiscoveryResponse(membership.version(), Json.bytes(membership)));
       }
     } else if (message instanceof QuorumDiscoveryResponse response) {
       learnMembership(Json.read(response.body(), QuorumMembership.class));
@@ -171,9 +171,9 @@
 
   /** Adopts a membership of the control plane if it is newer than the one known. */
   protected void learnMembership(QuorumMembership learned) {
-    if (learned.number() > membership.number()) {
+    if (learned.version() > membership.version()) {
       membership = learned;
-      traceLog.add("roster", "roster", "number " + learned.number());
+      traceLog.add("roster", "roster", "number " + learned.version());
     }
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
@@ -22,7 +22,7 @@
   /** The replicas of a shard. */
   public static ReplicaConfiguration of(ShardAssignment shard) {
     return new ReplicaConfiguration(
-        shard.number(), replicas(shard.replicas()), replicas(shard.next()));
+        shard.version(), replicas(shard.replicas()), replicas(shard.nextReplicas()));
   }
 
   public static List<NodeAddress> replicas(List<ShardReplica> replicas) {
--- a/core-logic/src/main/java/applespindle/corelogic/storage/ShardReconfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/ShardReconfiguration.java
@@ -58,17 +58,19 @@
   void follow(String shard) {
     ShardAssignment assignment = shards.get().get(shard);
     replicas.adoptConfiguration(
-        shard, assignment.number(), () -> configurationAdopted(shard, assignment));
+        shard, assignment.version(), () -> configurationAdopted(shard, assignment));
   }
 
   /** A joining replica catches up; one that stays only reports that it rejects older versions. */
   private void configurationAdopted(String shard, ShardAssignment assignment) {
-    boolean current = assignment.number() == shards.get().get(shard).number();
-    if (!current || assignment.next().isEmpty() || !includesThisNode(assignment.next())) {
+    boolean current = assignment.version() == shards.get().get(shard).version();
+    if (!current
+        || assignment.nextReplicas().isEmpty()
+        || !includesThisNode(assignment.nextReplicas())) {
       return;
     }
     if (includesThisNode(assignment.replicas())) {
-      reportCaughtUp(shard, assignment.number());
+      reportCaughtUp(shard, assignment.version());
     } else {
       catchUp(shard, assignment);
     }
@@ -80,13 +82,13 @@
 
   private boolean isPending(String shard, long version) {
     ShardAssignment assignment = shards.get().get(shard);
-    return assignment.number() == version
-        && !assignment.next().isEmpty()
+    return assignment.version() == version
+        && !assignment.nextReplicas().isEmpty()
         && !terminated.getAsBoolean();
   }
 
   private void catchUp(String shard, ShardAssignment assignment) {
-    long version = assignment.number();
+    long version = assignment.version();
     traceLog.add("copying", shard, "set " + version);
     catchUp.catchUp(
         shard,
--- a/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
@@ -25,27 +25,27 @@
   @Test
   void tellsWhatWasAcceptedFromWhatWasNot() {
     AcceptedRevisions accepted = accepted(3);
-    assertThat(accepted.standing(4, content(4))).isEqualTo(RevisionStatus.ACCEPTED);
-    assertThat(accepted.standing(4, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(5, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(8, content(8))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(4, content(4))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(4, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(5, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(8, content(8))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
   }
 
   @Test
   void whileAllIsRememberedNothingIsForgotten() {
     AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
-    assertThat(accepted.standing(2, content(2))).isEqualTo(RevisionStatus.ACCEPTED);
-    assertThat(accepted.standing(1, content(1))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(2, content(2))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(1, content(1))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
   }
 
   @Test
   void whatIsOlderThanTheMemoryIsForgottenAndNothingElse() {
     AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + 3);
-    assertThat(accepted.standing(2, content(2))).isEqualTo(RevisionStatus.FORGOTTEN);
-    assertThat(accepted.standing(5, content(5))).isEqualTo(RevisionStatus.FORGOTTEN);
-    assertThat(accepted.standing(6, content(6))).isEqualTo(RevisionStatus.FORGOTTEN);
-    assertThat(accepted.standing(7, content(7))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(8, content(8))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(2, content(2))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(5, content(5))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(6, content(6))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(7, content(7))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(8, content(8))).isEqualTo(RevisionStatus.ACCEPTED);
   }
 
   @Test
@@ -59,9 +59,9 @@
   @Test
   void afterAWriterWithoutThisMemoryOnlyTheLastIsKnown() {
     AcceptedRevisions accepted = AcceptedRevisions.startingWith(10, content(10));
-    assertThat(accepted.standing(10, content(10))).isEqualTo(RevisionStatus.ACCEPTED);
-    assertThat(accepted.standing(10, content(11))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(9, content(9))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(10, content(10))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(10, content(11))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(9, content(9))).isEqualTo(RevisionStatus.FORGOTTEN);
   }
 
   @Test
@@ -69,7 +69,7 @@
     SignedConfiguration kept =
         new SignedConfiguration(4, content(4), "", new byte[0], 2L, accepted(2));
     byte[] event = Json.bytes(kept);
-    assertThat(Json.read(event, SignedConfiguration.class).accepted().standing(2, content(2)))
+    assertThat(Json.read(event, SignedConfiguration.class).accepted().statusOf(2, content(2)))
         .isEqualTo(RevisionStatus.ACCEPTED);
     SignedConfiguration fed =
         Json.read(ConfigurationManager.forFeed(event), SignedConfiguration.class);
