--- a/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
+++ b/core-logic/src/main/java/applespindle/corelogic/changefeed/UpdateAcknowledgements.java
@@ -140,27 +140,27 @@
    */
   public void tick() {
     completePending();
-    KnownEdges present = edges.get();
-    appliedPositions.retainIf(present::includes);
-    edgesToAsk(present).forEach(requestPositions);
+    KnownEdges current = edges.get();
+    appliedPositions.retainIf(current::includes);
+    edgesToAsk(current).forEach(requestPositions);
   }
 
   /**
    * Without waiting updates a new leader asks all listed edges, until a majority has reported: the
    * next change of the list depends on their reports.
    */
-  private Set<String> edgesToAsk(KnownEdges present) {
+  private Set<String> edgesToAsk(KnownEdges current) {
     Set<String> asked = new TreeSet<>();
-    pending.forEach(update -> asked.addAll(unconfirmed(present, update)));
-    if (asked.isEmpty() && !appliedPositions.hasReportsOfMajority(present.listed())) {
-      asked.addAll(present.listed());
+    pending.forEach(update -> asked.addAll(unconfirmed(current, update)));
+    if (asked.isEmpty() && !appliedPositions.hasReportsOfMajority(current.listed())) {
+      asked.addAll(current.listed());
     }
     return asked;
   }
 
   /** Addresses of the known edges that did not report to apply the update. */
-  private Set<String> unconfirmed(KnownEdges present, PendingAcknowledgement update) {
-    Set<String> unconfirmed = present.addresses();
+  private Set<String> unconfirmed(KnownEdges current, PendingAcknowledgement update) {
+    Set<String> unconfirmed = current.addresses();
     unconfirmed.removeIf(
         address -> appliedPositions.isAppliedBy(address, update.key(), update.sequence()));
     return unconfirmed;
@@ -171,16 +171,16 @@
     if (pending.isEmpty()) {
       return;
     }
-    KnownEdges present = edges.get();
+    KnownEdges current = edges.get();
     List<Runnable> responses = new ArrayList<>();
     pending.removeIf(
         update -> {
-          Set<String> unconfirmed = unconfirmed(present, update);
-          Decision decision = decide(present, update, unconfirmed.isEmpty());
+          Set<String> unconfirmed = unconfirmed(current, update);
+          Decision decision = decide(current, update, unconfirmed.isEmpty());
           if (decision == Decision.WAIT) {
             return false;
           }
-          addEdgeNames(update.body(), present, unconfirmed);
+          addEdgeNames(update.body(), current, unconfirmed);
           responses.add(() -> update.responder().accept(response(update, decision)));
           return true;
         });
@@ -188,9 +188,9 @@
   }
 
   private Decision decide(
-      KnownEdges present, PendingAcknowledgement update, boolean confirmedByAll) {
+      KnownEdges current, PendingAcknowledgement update, boolean confirmedByAll) {
     long waitedMs = environment.nowMs() - update.startedAt();
-    boolean confirmed = confirmedByAll || isConfirmedByEnough(present, update, waitedMs);
+    boolean confirmed = confirmedByAll || isConfirmedByEnough(current, update, waitedMs);
     if (confirmed && isInContactWithMajority.getAsBoolean()) {
       return Decision.ACKNOWLEDGE;
     }
@@ -201,21 +201,21 @@
 
   /** Whether the update may be acknowledged although not every edge has confirmed it. */
   private boolean isConfirmedByEnough(
-      KnownEdges present, PendingAcknowledgement update, long waitedMs) {
+      KnownEdges current, PendingAcknowledgement update, long waitedMs) {
     if (!bindsDisconnectedEdges) {
       return waitedMs >= ChangeFeedConstants.CONNECTED_EDGES_WAIT_MS;
     }
     return waitedMs >= ChangeFeedConstants.ALL_EDGES_WAIT_MS
-        && appliedPositions.isAppliedByMajority(present.listed(), update.key(), update.sequence());
+        && appliedPositions.isAppliedByMajority(current.listed(), update.key(), update.sequence());
   }
 
   private static void addEdgeNames(
-      ObjectNode body, KnownEdges present, Set<String> unconfirmedAddresses) {
+      ObjectNode body, KnownEdges current, Set<String> unconfirmedAddresses) {
     ArrayNode confirmed = body.putArray("confirmed");
     ArrayNode unconfirmed = body.putArray("unconfirmed");
-    for (String address : present.addresses()) {
+    for (String address : current.addresses()) {
       boolean isUnconfirmed = unconfirmedAddresses.contains(address);
-      (isUnconfirmed ? unconfirmed : confirmed).add(present.nameOf(address));
+      (isUnconfirmed ? unconfirmed : confirmed).add(current.nameOf(address));
     }
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapProposer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapProposer.java
@@ -78,7 +78,10 @@
   }
 
   private boolean isCandidate(QuorumPeer peer) {
-    return alive.test(peer) && peer.isUninitialized() && peer.isVoter() && peer.hearsThisNode();
+    return alive.test(peer)
+        && peer.isUninitialized()
+        && peer.isVoter()
+        && peer.receivesFromThisNode();
   }
 
   private void noteChanges(List<QuorumMember> candidates) {
--- a/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
@@ -13,8 +13,8 @@
 
 /**
  * Sends this node's heartbeats to the other control plane nodes and processes theirs. A heartbeat
- * tells which peers its sender can hear, which keys it leads and which membership it knows; see
- * {@link HeartbeatBody}.
+ * reports which peers its sender receives heartbeats from, which keys it leads and which membership
+ * it knows; see {@link HeartbeatBody}.
  *
  * <p>The exchange owns no state: what heartbeats report is kept in the {@link QuorumPeer}s of the
  * {@link QuorumView}.
@@ -139,7 +139,7 @@
     boolean wasAlive = quorum.isAlive(peer);
     boolean wasInContact = quorum.isInContact(peer);
     peer.recordHeartbeat(body, environment.nowMs(), identity.id());
-    if (peer.hearsThisNode()) {
+    if (peer.receivesFromThisNode()) {
       keys.noteContact(peer.member().id());
     }
     body.ledKeys().forEach(key -> replicas.noteLeaderContact(key, peer.member().id(), fromAddress));
--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -40,18 +40,18 @@
     if (quorum.isMember() || !quorum.isReplica()) {
       return;
     }
-    long number = quorum.current().version();
-    node.traceLog().add("copying", QuorumView.REPLICA_SET_NAME, "set " + number);
+    long version = quorum.current().version();
+    node.traceLog().add("copying", QuorumView.REPLICA_SET_NAME, "set " + version);
     catchUp.catchUp(
         QuorumView.REPLICA_SET_NAME,
-        number,
+        version,
         QuorumView.replicas(quorum.current().members()),
-        () -> isCurrent(number),
-        () -> reportCopied(number));
+        () -> isCurrent(version),
+        () -> reportCopied(version));
   }
 
-  private boolean isCurrent(long number) {
-    return quorum.current().version() == number && !node.isTerminated();
+  private boolean isCurrent(long version) {
+    return quorum.current().version() == version && !node.isTerminated();
   }
 
   private void reportCopied(long number) {
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumPeer.java
@@ -25,7 +25,7 @@
   private QuorumMembership proposal;
   private boolean accepted;
   private long membershipVersion;
-  private boolean hearsThisNode;
+  private boolean receivesFromThisNode;
 
   private String feedId = "";
   private long feedIncarnation;
@@ -47,7 +47,7 @@
     proposal = body.proposal();
     accepted = Boolean.TRUE.equals(body.accepted());
     membershipVersion = body.membershipVersion();
-    hearsThisNode = body.reachablePeers().contains(thisNodeId);
+    receivesFromThisNode = body.reachablePeers().contains(thisNodeId);
   }
 
   /** Moves on to the position that an update of the peer's change feed reaches. */
@@ -101,8 +101,8 @@
   }
 
   /** Whether the peer reported that it receives this node's heartbeats. */
-  boolean hearsThisNode() {
-    return hearsThisNode;
+  boolean receivesFromThisNode() {
+    return receivesFromThisNode;
   }
 
   /** Id of the process whose change feed was followed last at this address; empty if none. */
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumView.java
@@ -152,7 +152,7 @@
 
   /** Whether heartbeats pass in both directions. */
   boolean isInContact(QuorumPeer peer) {
-    return isAlive(peer) && peer.hearsThisNode();
+    return isAlive(peer) && peer.receivesFromThisNode();
   }
 
   /** Ids of the members in contact, this node included if it is one, in membership order. */
--- a/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void tellsWhatWasAcceptedFromWhatWasNot() {
+  void distinguishesAcceptedFromNeverAcceptedRevisions() {
     AcceptedRevisions accepted = accepted(3);
     assertThat(accepted.statusOf(4, content(4))).isEqualTo(RevisionStatus.ACCEPTED);
     assertThat(accepted.statusOf(4, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
@@ -32,14 +32,14 @@
   }
 
   @Test
-  void whileAllIsRememberedNothingIsForgotten() {
+  void forgetsNothingBeforeItIsFull() {
     AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
     assertThat(accepted.statusOf(2, content(2))).isEqualTo(RevisionStatus.ACCEPTED);
     assertThat(accepted.statusOf(1, content(1))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
   }
 
   @Test
-  void whatIsOlderThanTheMemoryIsForgottenAndNothingElse() {
+  void forgetsOnlyRevisionsOlderThanTheOldestRemembered() {
     AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + 3);
     assertThat(accepted.statusOf(2, content(2))).isEqualTo(RevisionStatus.FORGOTTEN);
     assertThat(accepted.statusOf(5, content(5))).isEqualTo(RevisionStatus.FORGOTTEN);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void itsSizeIsBounded() {
+  void sizeIsBounded() {
     int full = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS).packed().length;
     assertThat(full).isEqualTo(16 * ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
     assertThat(accepted(5 * ConfigurationConstants.MAX_REMEMBERED_REVISIONS).packed())
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void afterAWriterWithoutThisMemoryOnlyTheLastIsKnown() {
+  void startsWithTheCurrentRevisionIfNoMemoryWasStored() {
     AcceptedRevisions accepted = AcceptedRevisions.startingWith(10, content(10));
     assertThat(accepted.statusOf(10, content(10))).isEqualTo(RevisionStatus.ACCEPTED);
     assertThat(accepted.statusOf(10, content(11))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
@@ -65,14 +65,14 @@
   }
 
   @Test
-  void isKeptWithItsBundleAndStrippedForTheFeed() {
+  void isStoredWithTheConfigurationButLeftOutOfTheFeed() {
     SignedConfiguration kept =
         new SignedConfiguration(4, content(4), "", new byte[0], 2L, accepted(2));
-    byte[] event = Json.bytes(kept);
-    assertThat(Json.read(event, SignedConfiguration.class).accepted().statusOf(2, content(2)))
+    byte[] stored = Json.bytes(kept);
+    assertThat(Json.read(stored, SignedConfiguration.class).accepted().statusOf(2, content(2)))
         .isEqualTo(RevisionStatus.ACCEPTED);
     SignedConfiguration fed =
-        Json.read(ConfigurationManager.forFeed(event), SignedConfiguration.class);
+        Json.read(ConfigurationManager.forFeed(stored), SignedConfiguration.class);
     assertThat(fed.accepted()).isNull();
     assertThat(fed.bytes()).isEqualTo(content(4));
   }
