--- a/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
@@ -51,4 +51,23 @@
     }
     return part;
   }
+
+  /** The sequence of the last entry; 0 if there is none. */
+  public static long lastSequence(List<LogEntry> entries) {
+    return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
+  }
+
+  /**
+   * Whether the first log is more recent than the second: its last entry has the higher epoch, or
+   * the same epoch and the higher sequence. An empty log is never more recent.
+   */
+  public static boolean isMoreUpToDate(List<LogEntry> log, List<LogEntry> other) {
+    if (log.isEmpty() || other.isEmpty()) {
+      return !log.isEmpty();
+    }
+    LogEntry last = log.get(log.size() - 1);
+    LogEntry lastOfOther = other.get(other.size() - 1);
+    int byEpoch = last.epoch().compareTo(lastOfOther.epoch());
+    return byEpoch != 0 ? byEpoch > 0 : last.sequence() > lastOfOther.sequence();
+  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -462,7 +462,7 @@
     }
     List<LogRecord> records = new ArrayList<>();
     raisePromisedEpoch(other.key(), replica, other.promised(), records);
-    if (ReplicatedLogLeader.isMoreUpToDate(other.entries(), replica.entries)) {
+    if (LogEntries.isMoreUpToDate(other.entries(), replica.entries)) {
       putNewEntries(other.key(), replica, other.entries(), records);
     }
     long committed = Math.min(other.committed(), replica.lastSequence());
@@ -486,10 +486,6 @@
     }
   }
 
-  static void trim(List<LogEntry> entries, long committed) {
-    LogEntries.trim(entries, committed);
-  }
-
   /**
    * The owner's process said that it still owns the key; as good as a beat, unless another owner
    * was heard since.
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
@@ -82,7 +82,7 @@
     askOn();
   }
 
-  void take(LogFetchResponse part) {
+  void handleResponse(LogFetchResponse part) {
     if (part.verdict() != OK) {
       cancel();
       whenFailed.run();
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -1,38 +1,43 @@
 package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.protocol.Message.Verdict.LEADER_ALIVE;
 import static applespindle.corelogic.protocol.Message.Verdict.OK;
 import static applespindle.corelogic.protocol.Message.Verdict.STALE_CONFIGURATION;
 import static applespindle.corelogic.protocol.Message.Verdict.STALE_EPOCH;
-import static applespindle.corelogic.protocol.Message.Verdict.WOULD_GRANT;
 
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.constants.ReplicationConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
-import applespindle.corelogic.environment.StageTimer;
 import applespindle.corelogic.log.Epoch;
+import applespindle.corelogic.log.LogEntries;
 import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.protocol.Message.AppendRequest;
 import applespindle.corelogic.protocol.Message.AppendResponse;
 import applespindle.corelogic.protocol.Message.LogFetchResponse;
-import applespindle.corelogic.protocol.Message.VoteRequest;
 import applespindle.corelogic.protocol.Message.VoteResponse;
 import applespindle.corelogic.protocol.MessageSender;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 
 /**
- * The owner's side of one key: claims it under a higher epoch, appends in order, and answers once a
- * majority of synced disks has the entry. It stops for good when it meets a higher epoch; a new
- * claim needs a new object.
+ * The leader of one key's replicated log, from its candidacy to the end of its leadership. It
+ * appends entries in order under its epoch, sends them to every replica of the configuration, and
+ * answers a caller once a quorum has synced the caller's entry.
+ *
+ * <p>Transitions: {@code ELECTING -> ESTABLISHING} once the {@link Election} is won; {@code
+ * ESTABLISHING -> LEADING} once the first entry of its own epoch, which is empty, is committed and
+ * with it every entry before. Each of them ends in {@code LOST}: when the election fails, a replica
+ * has promised a higher epoch, no quorum was in contact for {@link
+ * ReplicationConstants#LEADER_STEP_DOWN_MS}, or the owner of this object resigns. {@code LOST} is
+ * final; a new leadership needs a new object.
+ *
+ * <p>Invariants: {@link #committedSequence} never falls, and covers only entries that a quorum has
+ * synced and of which the last is of this leader's own epoch; entries before the first own one
+ * never change; each callback runs exactly once.
  */
 public final class ReplicatedLogLeader {
 
@@ -43,187 +48,145 @@
     LOST
   }
 
-  private static final class FollowerProgress {
-    final NodeAddress replica;
-
-    /** The replica has synced our log up to here. Never falls. */
-    long matchedSequence;
-
-    /**
-     * The next sequence to send; may run ahead of matched, falls back when the replica is behind.
-     */
-    long nextSequence = 1;
-
-    long lastAnsweredRound;
-    boolean heardSinceHeartbeat;
-
-    /** Beats since the replica last showed that it hears this owner. */
-    int silentHeartbeats;
-
-    /** How far the replica was last told that entries are committed, and beats since. */
-    long notifiedCommittedSequence = -1;
-
-    int heartbeatsSinceNotified;
-
-    final InFlightAppends inFlight = new InFlightAppends();
-
-    FollowerProgress(NodeAddress replica) {
-      this.replica = replica;
-    }
-  }
-
-  private record PendingCommit(long mark, long expiresAt, Consumer<ApiError> then) {}
-
-  /** A committed entry's effect on the state machine of this leader. */
-  private record PendingApply(long sequence, Runnable whenCommitted) {}
-
   private static final Runnable NO_EFFECT = () -> {};
-  private static final String PART = "owned-key";
+  private static final String LOG_PART = "owned-key";
 
   private final Environment environment;
   private final String nodeId;
   private final MessageSender sender;
   public final String key;
 
-  /** Replaced only by one of a higher number. */
-  private ReplicaConfiguration replicaConfiguration;
-
-  private final Map<String, FollowerProgress> followers = new LinkedHashMap<>();
-  private final boolean leadershipTransferred;
-
-  /**
-   * Replicas hear by other ways that this owner lives: one that lacks nothing gets a beat only now
-   * and then.
-   */
+  /** Whether replicas that have everything get a heartbeat only now and then. */
   private final boolean quietWhenIdle;
 
-  private long electionExpiresAt;
-
-  /** Of the claim; its rounds are marked when they end. */
-  private final StageTimer electionTimer;
-
-  private int electionRounds;
-
-  /** Of a claim that has its promises and reads a long log; else null. */
-  private LogTransfer transfer;
-
+  private final Election election;
   private Consumer<ElectionOutcome> electionListener;
   private Runnable leadershipLostListener = () -> {};
-
   private LeadershipState state = LeadershipState.ELECTING;
 
-  /** Rises with each claim round; never used again once refused. */
-  private Epoch epoch;
-
-  private long highestSeenCounter;
-
-  /** Whether the present claim round only asks if a majority would promise. */
-  private boolean preVote;
+  /** Replaced only by one of a higher version. */
+  private ReplicaConfiguration replicaConfiguration;
 
-  private final Map<String, VoteResponse> votes = new LinkedHashMap<>();
+  /** By replica id: exactly the replicas of the configuration, in its order. */
+  private final Map<String, FollowerProgress> followers = new LinkedHashMap<>();
 
-  /** Our log: contiguous; nothing before the takeover entry changes after the claim. */
+  /** The log: contiguous by sequence. Empty while ELECTING, else it ends with own entries. */
   private final List<LogEntry> entries = new ArrayList<>();
 
+  /** The sequence of the empty entry that begins this leader's epoch. */
   private long firstOwnSequence;
 
-  /** Highest sequence synced on a majority in our own epoch. Never falls. */
+  /** The highest sequence that a quorum has synced in this leader's epoch. Never falls. */
   private long committedSequence;
 
+  /** The number of the last append round; a round is one append to each replica at most. */
   private long round;
 
-  /**
-   * By sequence, what each uncommitted entry changes here once it is committed. Invariant: while
-   * this node leads, every committed entry is applied exactly once and in log order, however long
-   * its commit takes; only a caller's wait for it has a time limit.
-   */
-  private final ArrayDeque<PendingApply> pendingApplies = new ArrayDeque<>();
-
-  private final ArrayDeque<PendingCommit> pendingCommits = new ArrayDeque<>();
-  private final ArrayDeque<PendingCommit> pendingConfirmations = new ArrayDeque<>();
+  private final CommitQueue commits = new CommitQueue();
+  private final LeadershipConfirmations confirmations = new LeadershipConfirmations();
   private boolean flushScheduled;
   private ScheduledTask heartbeat = () -> {};
-  private ScheduledTask electionRound = () -> {};
 
+  /**
+   * Starts the election at once; the listener may run before this returns.
+   *
+   * @param leadershipTransferred whether the former leader has handed the key over
+   * @param quietWhenIdle whether the replicas know by other messages that this node lives
+   * @param electionListener runs once, when the election has ended; never after {@link #resign} in
+   *     the state ELECTING
+   */
   ReplicatedLogLeader(
       Environment environment,
       String nodeId,
       MessageSender sender,
       String key,
       ReplicaConfiguration replicaConfiguration,
-      boolean handedOver,
+      boolean leadershipTransferred,
       boolean quietWhenIdle,
-      Consumer<ElectionOutcome> whenClaimed) {
+      Consumer<ElectionOutcome> electionListener) {
     this.environment = environment;
     this.nodeId = nodeId;
     this.sender = sender;
     this.key = key;
-    this.leadershipTransferred = handedOver;
     this.quietWhenIdle = quietWhenIdle;
-    this.electionListener = whenClaimed;
-    this.electionExpiresAt = environment.nowMs() + ReplicationConstants.ELECTION_TIMEOUT_MS;
+    this.electionListener = electionListener;
     this.replicaConfiguration = replicaConfiguration;
-    electionTimer = new StageTimer(environment);
     replicaConfiguration
         .allReplicas()
         .forEach(replica -> followers.put(replica.id(), new FollowerProgress(replica)));
-    startPreVoteRound();
+    this.election =
+        new Election(
+            environment,
+            nodeId,
+            sender,
+            key,
+            replicaConfiguration,
+            leadershipTransferred,
+            this::establishLeadership,
+            this::finishElection);
+    election.start();
   }
 
   LeadershipState state() {
     return state;
   }
 
+  /** Whether this node is the established leader and accepts appends. */
   public boolean isLeading() {
     return state == LeadershipState.LEADING;
   }
 
+  /** The epoch of this leader; while it is ELECTING, that of the present round. */
   public Epoch epoch() {
-    return epoch;
+    return election.epoch();
   }
 
+  /** The log as this leader holds it, with entries that aren't committed yet; not a copy. */
   public List<LogEntry> entries() {
     return entries;
   }
 
+  /** The sequence of the last entry, committed or not; 0 while there is none. */
   public long lastSequence() {
-    return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
+    return LogEntries.lastSequence(entries);
   }
 
-  /** A replica's process showed, other than by an answer to an append, that it hears this one. */
+  /**
+   * Notes that the replica's process showed, other than by an answer to an append, that it receives
+   * this node's messages. A replica outside of the configuration is ignored.
+   */
   public void noteContact(String replicaId) {
-    FollowerProgress each = followers.get(replicaId);
-    if (each != null) {
-      each.silentHeartbeats = 0;
+    FollowerProgress follower = followers.get(replicaId);
+    if (follower != null) {
+      follower.recordContact();
     }
   }
 
-  /** Whether a majority of the replicas has heard this owner of late. */
+  /**
+   * Whether a quorum has answered within {@link ReplicationConstants#QUORUM_CONTACT_TIMEOUT_MS}.
+   */
   public boolean isInContactWithQuorum() {
-    return quorumHeardWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
+    return hasQuorumContactWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
   }
 
-  /**
-   * Counted in beats, not read from a clock: a process that stood still, or whose clock was
-   * stepped, is not cut off.
-   */
-  private boolean quorumHeardWithin(long millis) {
-    long beatsMost = millis / ReplicationConstants.HEARTBEAT_INTERVAL_MS;
-    List<String> heard =
+  private boolean hasQuorumContactWithin(long millis) {
+    long heartbeats = millis / ReplicationConstants.HEARTBEAT_INTERVAL_MS;
+    List<String> inContact =
         followers.values().stream()
-            .filter(each -> each.silentHeartbeats < beatsMost || each.replica.id().equals(nodeId))
+            .filter(each -> each.isInContactWithin(heartbeats) || each.replica.id().equals(nodeId))
             .map(each -> each.replica.id())
             .toList();
-    return replicaConfiguration.isQuorum(heard);
+    return replicaConfiguration.isQuorum(inContact);
   }
 
-  public void onLeadershipLost(Runnable whenLost) {
-    this.leadershipLostListener = whenLost;
+  /** Sets what runs, once, when the leadership is lost other than by {@link #resign}. */
+  public void onLeadershipLost(Runnable listener) {
+    this.leadershipLostListener = listener;
   }
 
   /**
-   * Goes on under newer sets: newcomers get the log from its start, those that left are no longer
-   * counted.
+   * Goes on under a newer configuration: joining replicas get the log from its start, those that
+   * left are no longer counted. One that isn't newer is ignored.
    */
   public void reconfigure(ReplicaConfiguration newer) {
     if (newer.version() <= replicaConfiguration.version() || state == LeadershipState.LOST) {
@@ -237,223 +200,50 @@
       followers.put(replica.id(), known != null ? known : new FollowerProgress(replica));
     }
     if (state == LeadershipState.ELECTING) {
-      electionRound.cancel();
-      startPreVoteRound();
+      election.reconfigure(newer, followers.values().stream().map(each -> each.replica).toList());
     } else {
-      advance();
-      planFlush();
+      advanceCommit();
+      scheduleFlush();
     }
   }
 
-  /**
-   * Asks first whether a majority would promise: a claimant that has none, or that comes while the
-   * owner lives, raises no epoch and disturbs nobody.
-   */
-  private void startPreVoteRound() {
-    startElectionRound(true);
-  }
-
-  private void startElectionRound(boolean onlyTrial) {
-    if (state != LeadershipState.ELECTING) {
-      return;
-    }
-    if (environment.nowMs() >= electionExpiresAt || replicaConfiguration.isEmpty()) {
-      finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", ""));
-      return;
-    }
-    electionRounds++;
-    votes.clear();
-    cancelTransfer();
-    preVote = onlyTrial;
-    epoch = new Epoch(highestSeenCounter + 1, nodeId);
-    highestSeenCounter = epoch.counter();
-    for (FollowerProgress each : followers.values()) {
-      sender.send(
-          each.replica.address(),
-          each.replica.id(),
-          new VoteRequest(
-              key,
-              epoch,
-              replicaConfiguration.version(),
-              leadershipTransferred,
-              ReplicationConstants.MAX_VOTE_TAIL_BYTES,
-              preVote));
-    }
-    electionRound =
-        environment.schedule(
-            ReplicationConstants.ELECTION_ROUND_TIMEOUT_MS, this::startPreVoteRound);
-  }
-
   void handleVoteResponse(VoteResponse message, String fromId) {
-    highestSeenCounter = Math.max(highestSeenCounter, message.promisedEpoch().counter());
-    if (state != LeadershipState.ELECTING
-        || !message.requestedEpoch().equals(epoch)
-        || !followers.containsKey(fromId)
-        || message.verdict() == WOULD_GRANT && !preVote) {
-      return;
-    }
-    votes.put(fromId, message);
-    if (transfer != null) {
-      return;
-    }
-    if (replicaConfiguration.isQuorum(votersFor(true))) {
-      electionRound.cancel();
-      electionTimer.mark(preVote ? "trial" : "promise");
-      if (preVote) {
-        startElectionRound(false);
-      } else {
-        adoptMostRecentLog();
-      }
-      return;
-    }
-    Set<String> stillPossible = new HashSet<>(followers.keySet());
-    stillPossible.removeAll(votersFor(false));
-    if (!replicaConfiguration.isQuorum(stillPossible)) {
-      var busy = votes.values().stream().filter(each -> each.verdict() == LEADER_ALIVE).findFirst();
-      if (busy.isPresent()) {
-        finishElection(
-            new ElectionOutcome(
-                ElectionResult.LEADER_ALIVE, busy.get().leaderId(), busy.get().leaderAddress()));
-      } else {
-        electionRound.cancel();
-        electionRound =
-            environment.schedule(
-                1 + environment.random().nextLong(ReplicationConstants.MAX_ELECTION_BACKOFF_MS),
-                this::startPreVoteRound);
-      }
-    }
+    election.handleVoteResponse(message, fromId);
   }
 
-  /** Replicas that answered this round, for the claim or against it. */
-  private Set<String> votersFor(boolean wanted) {
-    Set<String> ids = new HashSet<>();
-    votes.forEach(
-        (id, promise) -> {
-          boolean favours = promise.verdict() == OK || promise.verdict() == WOULD_GRANT;
-          if (favours == wanted) {
-            ids.add(id);
-          }
-        });
-    return ids;
-  }
-
-  private void adoptMostRecentLog() {
-    VoteResponse best = null;
-    for (VoteResponse each : votes.values()) {
-      if (each.verdict() == OK
-          && (best == null || isMoreUpToDate(each.entries(), best.entries()))) {
-        best = each;
-      }
-    }
-    if (best.isCompleteLog()) {
-      assumeLeadership(best.entries());
-      return;
-    }
-    transfer =
-        new LogTransfer(
-            environment,
-            sender,
-            key,
-            epoch,
-            replicasWithLogOf(best),
-            best.logStartSequence(),
-            best.entries(),
-            log -> {
-              electionExpiresAt = environment.nowMs() + ReplicationConstants.ELECTION_TIMEOUT_MS;
-              transfer = null;
-              assumeLeadership(log);
-            },
-            () -> finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", "")));
-  }
-
-  /** Those of the promising replicas whose log ends with the same entry. */
-  private List<NodeAddress> replicasWithLogOf(VoteResponse best) {
-    return followers.values().stream()
-        .map(each -> each.replica)
-        .filter(
-            replica -> {
-              VoteResponse promise = votes.get(replica.id());
-              return promise != null
-                  && promise.verdict() == OK
-                  && !isMoreUpToDate(best.entries(), promise.entries());
-            })
-        .toList();
-  }
-
-  void handleLogFetchResponse(LogFetchResponse part) {
-    if (transfer != null && part.epoch().equals(epoch)) {
-      transfer.take(part);
-    }
+  void handleLogFetchResponse(LogFetchResponse message) {
+    election.handleLogFetchResponse(message);
   }
 
-  private void cancelTransfer() {
-    if (transfer != null) {
-      transfer.cancel();
-      transfer = null;
-    }
-  }
-
-  private void assumeLeadership(List<LogEntry> log) {
-    entries.addAll(log);
-    firstOwnSequence = lastSequence() + 1;
-    entries.add(new LogEntry(firstOwnSequence, epoch, false, new byte[0]));
+  /** Appends the first entry of the new epoch; once it is committed, this node leads. */
+  private void establishLeadership(ElectionVictory victory) {
+    entries.addAll(victory.log());
+    long lastAdopted = lastSequence();
+    firstOwnSequence = lastAdopted + 1;
+    entries.add(new LogEntry(firstOwnSequence, victory.epoch(), false, new byte[0]));
     for (FollowerProgress each : followers.values()) {
-      VoteResponse promise = votes.get(each.replica.id());
-      boolean known = promise != null && promise.verdict() == OK;
-      each.nextSequence =
-          known
-              ? Math.min(lastSequenceOf(promise.entries()), firstOwnSequence - 1) + 1
-              : firstOwnSequence;
+      long lastOfReplica =
+          victory.lastSequenceByVoter().getOrDefault(each.replica.id(), lastAdopted);
+      each.nextSequence = Math.min(lastOfReplica, lastAdopted) + 1;
     }
     state = LeadershipState.ESTABLISHING;
-    pendingCommits.add(
-        new PendingCommit(
-            firstOwnSequence,
-            electionExpiresAt,
-            error -> {
-              if (error == null) {
-                state = LeadershipState.LEADING;
-                finishElection(new ElectionOutcome(ElectionResult.ELECTED, nodeId, ""));
-              } else {
-                resign();
-                finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", ""));
-              }
-            }));
+    commits.addCallback(firstOwnSequence, victory.establishBeforeMs(), this::firstOwnEntryFinished);
     broadcast();
-    heartbeat =
-        environment.schedule(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
+    scheduleHeartbeat();
   }
 
-  /**
-   * Whose log is to be believed: the one whose last entry has the higher epoch, then the higher
-   * sequence.
-   */
-  static boolean isMoreUpToDate(List<LogEntry> one, List<LogEntry> other) {
-    if (one.isEmpty() || other.isEmpty()) {
-      return !one.isEmpty();
+  private void firstOwnEntryFinished(ApiError error) {
+    if (error == null) {
+      state = LeadershipState.LEADING;
+      finishElection(new ElectionOutcome(ElectionResult.ELECTED, nodeId, ""));
+    } else {
+      resign();
+      finishElection(new ElectionOutcome(ElectionResult.NO_QUORUM, "", ""));
     }
-    LogEntry lastOne = one.get(one.size() - 1);
-    LogEntry lastOther = other.get(other.size() - 1);
-    int byEpoch = lastOne.epoch().compareTo(lastOther.epoch());
-    return byEpoch != 0 ? byEpoch > 0 : lastOne.sequence() > lastOther.sequence();
-  }
-
-  private static long lastSequenceOf(List<LogEntry> entries) {
-    return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
   private void finishElection(ElectionOutcome outcome) {
-    electionTimer.mark("settle");
-    environment.log(
-        PART,
-        "Claim ended: key="
-            + key
-            + " outcome="
-            + outcome.result()
-            + " rounds="
-            + electionRounds
-            + electionTimer
-            + ".");
+    election.logOutcome(outcome.result());
     if (outcome.result() != ElectionResult.ELECTED) {
       resign();
     }
@@ -463,84 +253,85 @@
   }
 
   /**
-   * Appends an event whose state is kept by the caller already; see {@link #append(boolean, byte[],
-   * Runnable, Consumer)}.
+   * Appends an event whose effect the caller has applied already; see {@link #append(boolean,
+   * byte[], Runnable, Consumer)}.
    */
-  public long append(boolean whole, byte[] event, Consumer<ApiError> then) {
-    return append(whole, event, NO_EFFECT, then);
+  public long append(boolean snapshot, byte[] event, Consumer<ApiError> callback) {
+    return append(snapshot, event, NO_EFFECT, callback);
   }
 
   /**
    * Appends an event.
    *
-   * @param commitListener applies the event: runs once a majority has synced the entry, after those
-   *     of all earlier entries; without a time limit, but never after the leadership was lost
-   * @param then answers the caller: gets null right after that, or a fault when the wait was too
-   *     long or the leadership was lost. {@link ApiError.OutcomeUnknown} does not mean that the
+   * @param snapshot whether the event holds all state of the key, so that earlier entries may be
+   *     dropped once it is committed
+   * @param effect applies the event: runs once a quorum has synced the entry, after those of all
+   *     earlier entries; without a time limit, but never after the leadership was lost
+   * @param callback answers the caller: gets null right after that, or an error when the wait was
+   *     too long or the leadership was lost. {@link ApiError.OutcomeUnknown} does not mean that the
    *     entry is not committed later
    * @return the entry's sequence, or 0 if this node does not lead
    */
-  public long append(boolean whole, byte[] event, Runnable whenCommitted, Consumer<ApiError> then) {
+  public long append(boolean snapshot, byte[] event, Runnable effect, Consumer<ApiError> callback) {
     if (state != LeadershipState.LEADING) {
-      then.accept(new ApiError.NotLeader(key));
+      callback.accept(new ApiError.NotLeader(key));
       return 0;
     }
     long sequence = lastSequence() + 1;
-    entries.add(new LogEntry(sequence, epoch, whole, event));
-    pendingApplies.add(new PendingApply(sequence, whenCommitted));
-    long expiresAt =
+    entries.add(new LogEntry(sequence, epoch(), snapshot, event));
+    commits.addEffect(sequence, effect);
+    long expiresAtMs =
         environment.nowMs()
             + ReplicationConstants.COMMIT_TIMEOUT_MS
-            + toAllReplicasMs(event.length);
-    pendingCommits.add(new PendingCommit(sequence, expiresAt, then));
-    planFlush();
+            + transferToAllReplicasMs(event.length);
+    commits.addCallback(sequence, expiresAtMs, callback);
+    scheduleFlush();
     return sequence;
   }
 
   /**
-   * Runs the callback with null once all that was appended before is committed and a majority has
-   * confirmed, after this call, that our epoch still stands.
+   * Runs the callback with null once all that was appended before is committed and a quorum has
+   * confirmed, after this call, that this leader's epoch still stands; with an error otherwise.
    */
-  public void confirmLeadership(Consumer<ApiError> then) {
-    confirmLeadership(true, then);
+  public void confirmLeadership(Consumer<ApiError> callback) {
+    confirmLeadership(true, callback);
   }
 
   /**
-   * The same, but no sooner than the next beat asks the replicas anyway: costs no message of its
-   * own.
+   * The same, but no sooner than the next heartbeat asks the replicas anyway: costs no message of
+   * its own.
    */
-  public void confirmAtBeat(Consumer<ApiError> then) {
-    confirmLeadership(false, then);
+  public void confirmAtBeat(Consumer<ApiError> callback) {
+    confirmLeadership(false, callback);
   }
 
-  private void confirmLeadership(boolean atOnce, Consumer<ApiError> then) {
+  private void confirmLeadership(boolean atOnce, Consumer<ApiError> callback) {
     if (state != LeadershipState.LEADING) {
-      then.accept(new ApiError.NotLeader(key));
+      callback.accept(new ApiError.NotLeader(key));
       return;
     }
+    long expiresAtMs = environment.nowMs() + ReplicationConstants.COMMIT_TIMEOUT_MS;
     if (lastSequence() > committedSequence) {
-      pendingCommits.add(
-          new PendingCommit(
-              lastSequence(),
-              environment.nowMs() + ReplicationConstants.COMMIT_TIMEOUT_MS,
-              error -> {
-                if (error == null) {
-                  confirmLeadership(atOnce, then);
-                } else {
-                  then.accept(error);
-                }
-              }));
+      commits.addCallback(
+          lastSequence(),
+          expiresAtMs,
+          error -> {
+            if (error == null) {
+              confirmLeadership(atOnce, callback);
+            } else {
+              callback.accept(error);
+            }
+          });
       return;
     }
-    pendingConfirmations.add(
-        new PendingCommit(
-            round + 1, environment.nowMs() + ReplicationConstants.COMMIT_TIMEOUT_MS, then));
+    confirmations.add(round + 1, expiresAtMs, callback);
     if (atOnce) {
-      planFlush();
+      scheduleFlush();
     }
   }
 
-  private void planFlush() {
+  /** Sends to all replicas once the present task ends, so that its appends share one message. */
+  private void scheduleFlush() {
     if (!flushScheduled) {
       flushScheduled = true;
       environment.schedule(
@@ -552,196 +343,163 @@
     }
   }
 
+  private boolean isReplicating() {
+    return state == LeadershipState.LEADING || state == LeadershipState.ESTABLISHING;
+  }
+
   private void broadcast() {
-    if (state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
+    if (!isReplicating()) {
       return;
     }
     round++;
-    followers.values().forEach(this::sendTo);
+    followers.values().forEach(this::sendAppend);
   }
 
-  private void sendTo(FollowerProgress each) {
+  private void sendAppend(FollowerProgress follower) {
     long first = entries.get(0).sequence();
-    long from = each.nextSequence < first || each.nextSequence == 1 ? first : each.nextSequence;
-    List<LogEntry> lacking =
+    long next = follower.nextSequence;
+    long from = next < first || next == 1 ? first : next;
+    List<LogEntry> missing =
         from > lastSequence()
             ? List.of()
             : List.copyOf(entries.subList((int) (from - first), entries.size()));
     long previous = from == first ? 0 : from - 1;
     Epoch previousEpoch =
         from == first ? Epoch.NONE : entries.get((int) (from - 1 - first)).epoch();
-    each.nextSequence = lastSequence() + 1;
-    each.notifiedCommittedSequence = committedSequence;
-    each.heartbeatsSinceNotified = 0;
-    long bytes = lacking.stream().mapToLong(entry -> entry.event().length).sum();
+    follower.recordAppend(lastSequence(), committedSequence);
+    long bytes = missing.stream().mapToLong(entry -> entry.event().length).sum();
     if (bytes >= ReplicationConstants.LARGE_APPEND_BYTES) {
-      long until =
-          environment.nowMs() + ReplicationConstants.LARGE_APPEND_MIN_MS + toAllReplicasMs(bytes);
-      each.inFlight.add(from, lastSequence(), until);
+      long arrivesBeforeMs =
+          environment.nowMs()
+              + ReplicationConstants.LARGE_APPEND_MIN_MS
+              + transferToAllReplicasMs(bytes);
+      follower.recordLargeAppend(from, lastSequence(), arrivesBeforeMs);
     }
     sender.send(
-        each.replica.address(),
-        each.replica.id(),
+        follower.replica.address(),
+        follower.replica.id(),
         new AppendRequest(
             key,
-            epoch,
+            epoch(),
             replicaConfiguration.version(),
             round,
             previous,
             previousEpoch,
             committedSequence,
             isInContactWithQuorum(),
-            lacking));
+            missing));
+  }
+
+  /** How long it takes at most, on a slow link that they share, to send this much to each. */
+  private long transferToAllReplicasMs(long bytes) {
+    return bytes * followers.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
   }
 
+  /** Takes a replica's answer to an append; a higher promised epoch ends this leadership. */
   public void handleAppendResponse(AppendResponse message, String fromId) {
-    FollowerProgress from = followers.get(fromId);
-    if (from == null || state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
+    FollowerProgress follower = followers.get(fromId);
+    if (follower == null || !isReplicating()) {
       return;
     }
-    if (message.verdict() == STALE_EPOCH && epoch.isBelow(message.promisedEpoch())) {
+    if (message.verdict() == STALE_EPOCH && epoch().isBelow(message.promisedEpoch())) {
       loseLeadership();
       return;
     }
-    if (!message.epoch().equals(epoch) || message.verdict() == STALE_CONFIGURATION) {
+    if (!message.epoch().equals(epoch()) || message.verdict() == STALE_CONFIGURATION) {
       return;
     }
-    from.heardSinceHeartbeat = true;
-    from.silentHeartbeats = 0;
-    from.lastAnsweredRound = Math.max(from.lastAnsweredRound, message.round());
+    follower.recordResponse(message.round());
     if (message.verdict() == OK) {
-      from.matchedSequence = Math.max(from.matchedSequence, message.matchedSequence());
-      from.nextSequence = Math.max(from.nextSequence, from.matchedSequence + 1);
-      from.inFlight.arrived(from.matchedSequence);
-    } else if (!onItsWay(from, message.matchedSequence() + 1)) {
-      from.nextSequence = Math.max(1, Math.min(message.matchedSequence() + 1, lastSequence()));
-      sendTo(from);
+      follower.recordMatch(message.matchedSequence());
+    } else {
+      retryFrom(follower, message.matchedSequence() + 1);
     }
-    advance();
-  }
-
-  private boolean onItsWay(FollowerProgress each, long sequence) {
-    return each.inFlight.holds(sequence, environment.nowMs());
+    advanceCommit();
   }
 
-  /** How long it takes at the most, on a slow link that they share, to send so much to each. */
-  private long toAllReplicasMs(long bytes) {
-    return bytes * followers.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
+  /** Sends again from the entry that the replica lacks, unless that entry is in flight. */
+  private void retryFrom(FollowerProgress follower, long sequence) {
+    if (!follower.isInFlight(sequence, environment.nowMs())) {
+      follower.nextSequence = Math.max(1, Math.min(sequence, lastSequence()));
+      sendAppend(follower);
+    }
   }
 
-  private void advance() {
-    long majorityMatched =
+  /** Commits what a quorum has synced, then runs the effects and callbacks that are due. */
+  private void advanceCommit() {
+    long matchedByQuorum =
         replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).matchedSequence);
-    if (majorityMatched >= firstOwnSequence && majorityMatched > committedSequence) {
-      committedSequence = majorityMatched;
-      LogReplicas.trim(entries, committedSequence);
-      planFlush();
+    if (matchedByQuorum >= firstOwnSequence && matchedByQuorum > committedSequence) {
+      committedSequence = matchedByQuorum;
+      LogEntries.trim(entries, committedSequence);
+      scheduleFlush();
     }
-    answerCommitted();
-    if (state == LeadershipState.LOST) {
-      return;
-    }
-    long majorityRound =
-        replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).lastAnsweredRound);
-    while (!pendingConfirmations.isEmpty() && pendingConfirmations.peek().mark() <= majorityRound) {
-      pendingConfirmations.poll().then().accept(null);
-      if (state == LeadershipState.LOST) {
-        return;
-      }
+    commits.advance(committedSequence);
+    if (state != LeadershipState.LOST) {
+      confirmations.advance(
+          replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).lastAnsweredRound));
     }
   }
 
-  /**
-   * Applies what is committed in log order; each caller is answered once its own entry is applied.
-   */
-  private void answerCommitted() {
-    while (state != LeadershipState.LOST) {
-      if (!pendingApplies.isEmpty()
-          && pendingApplies.peek().sequence() <= committedSequence
-          && (pendingCommits.isEmpty()
-              || pendingApplies.peek().sequence() <= pendingCommits.peek().mark())) {
-        pendingApplies.poll().whenCommitted().run();
-      } else if (!pendingCommits.isEmpty() && pendingCommits.peek().mark() <= committedSequence) {
-        pendingCommits.poll().then().accept(null);
-      } else {
-        return;
-      }
-    }
+  private void scheduleHeartbeat() {
+    heartbeat =
+        environment.schedule(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
   }
 
   private void sendHeartbeats() {
-    if (state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
+    if (!isReplicating()) {
       return;
     }
-    expire(pendingCommits, new ApiError.OutcomeUnknown(key));
-    expire(pendingConfirmations, new ApiError.NoQuorum(key));
-    if (state != LeadershipState.LEADING && state != LeadershipState.ESTABLISHING) {
+    commits.expire(environment.nowMs(), new ApiError.OutcomeUnknown(key));
+    confirmations.expire(environment.nowMs(), new ApiError.NoQuorum(key));
+    if (!isReplicating()) {
       return;
     }
-    for (FollowerProgress each : followers.values()) {
-      if (!each.heardSinceHeartbeat && !onItsWay(each, each.matchedSequence + 1)) {
-        each.nextSequence = each.matchedSequence + 1;
-      }
-      each.heardSinceHeartbeat = false;
-      each.silentHeartbeats++;
-    }
+    followers.values().forEach(each -> each.heartbeatElapsed(environment.nowMs()));
     if (state == LeadershipState.LEADING
-        && !quorumHeardWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
-      environment.log(PART, "Steps down, no majority heard: " + key + ".");
+        && !hasQuorumContactWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
+      environment.log(LOG_PART, "Leader steps down, no quorum in contact: key=" + key + ".");
       loseLeadership();
       return;
     }
-    if (!quietWhenIdle
-        || state == LeadershipState.ESTABLISHING
-        || !pendingConfirmations.isEmpty()) {
+    if (!quietWhenIdle || state == LeadershipState.ESTABLISHING || !confirmations.isEmpty()) {
       broadcast();
     } else {
-      beatWhereNeeded();
+      sendNeededHeartbeats();
     }
-    heartbeat =
-        environment.schedule(ReplicationConstants.HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
+    scheduleHeartbeat();
   }
 
-  private void beatWhereNeeded() {
+  /** Spares most heartbeats of the replicas that have everything. */
+  private void sendNeededHeartbeats() {
     round++;
     for (FollowerProgress each : followers.values()) {
-      boolean lacksNothing =
-          each.matchedSequence == lastSequence()
-              && each.notifiedCommittedSequence == committedSequence
-              && committedSequence == lastSequence();
-      if (!lacksNothing
-          || ++each.heartbeatsSinceNotified >= ReplicationConstants.IDLE_HEARTBEAT_ONE_IN) {
-        sendTo(each);
+      if (!each.isUpToDate(lastSequence(), committedSequence)
+          || each.countIdleHeartbeat() >= ReplicationConstants.IDLE_HEARTBEAT_ONE_IN) {
+        sendAppend(each);
       }
     }
   }
 
-  private void expire(ArrayDeque<PendingCommit> waiting, ApiError error) {
-    while (!waiting.isEmpty() && waiting.peek().expiresAt() <= environment.nowMs()) {
-      waiting.poll().then().accept(error);
-    }
-  }
-
   private void loseLeadership() {
     resign();
     leadershipLostListener.run();
   }
 
-  /** Gives the key up without a word: whoever claims it next reads the log from the replicas. */
+  /**
+   * Ends the candidacy or leadership without telling any replica: the next leader reads the log
+   * from the replicas. Waiting callers get an error. Does nothing in the state LOST.
+   */
   public void resign() {
     if (state == LeadershipState.LOST) {
       return;
     }
     state = LeadershipState.LOST;
     heartbeat.cancel();
-    electionRound.cancel();
-    cancelTransfer();
-    List<PendingCommit> unanswered = new ArrayList<>(pendingCommits);
-    List<PendingCommit> unconfirmed = new ArrayList<>(pendingConfirmations);
-    pendingApplies.clear();
-    pendingCommits.clear();
-    pendingConfirmations.clear();
-    unanswered.forEach(each -> each.then().accept(new ApiError.OutcomeUnknown(key)));
-    unconfirmed.forEach(each -> each.then().accept(new ApiError.NotLeader(key)));
+    election.cancel();
+    List<Consumer<ApiError>> uncommitted = commits.clear();
+    List<Consumer<ApiError>> unconfirmed = confirmations.clear();
+    uncommitted.forEach(callback -> callback.accept(new ApiError.OutcomeUnknown(key)));
+    unconfirmed.forEach(callback -> callback.accept(new ApiError.NotLeader(key)));
   }
 }
