--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -1,73 +1,62 @@
 package applespindle.corelogic.replication;
 
-import static applespindle.corelogic.protocol.Message.Verdict.LEADER_ALIVE;
-import static applespindle.corelogic.protocol.Message.Verdict.LOG_MISMATCH;
-import static applespindle.corelogic.protocol.Message.Verdict.OK;
-import static applespindle.corelogic.protocol.Message.Verdict.STALE_CONFIGURATION;
-import static applespindle.corelogic.protocol.Message.Verdict.STALE_EPOCH;
-import static applespindle.corelogic.protocol.Message.Verdict.WOULD_GRANT;
-
-import applespindle.corelogic.constants.ReplicationConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogEntries;
 import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.log.LogRecord;
-import applespindle.corelogic.log.LogRecord.Kind;
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.protocol.Message.AppendRequest;
-import applespindle.corelogic.protocol.Message.AppendResponse;
 import applespindle.corelogic.protocol.Message.LogFetchRequest;
-import applespindle.corelogic.protocol.Message.LogFetchResponse;
-import applespindle.corelogic.protocol.Message.Verdict;
 import applespindle.corelogic.protocol.Message.VoteRequest;
-import applespindle.corelogic.protocol.Message.VoteResponse;
 import applespindle.corelogic.protocol.MessageSender;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
 /**
- * One node's copies of owned keys: it promises epochs, takes entries in order, and refuses older
- * epochs.
+ * The replicas that one node keeps, one for each key: the node's entry to them. The records and
+ * their order on disk belong to {@link ReplicaStore}, elections to {@link VoteHandler}, appends to
+ * {@link AppendHandler}, and what joining replicas are sent to {@link SnapshotPages}.
+ *
+ * <p>Life: {@link #recover} for each record on disk, then {@link #finishRecovery} once, then
+ * messages. A node whose disk doesn't accept writes answers neither votes nor appends.
+ *
+ * <p>Invariants, over restarts too: the promised epoch of a key never falls, nor does its commit
+ * position; a committed entry is never replaced.
  */
 public final class LogReplicas {
-
   private final Environment environment;
-  private final BiConsumer<String, LogEntry> commitListener;
-  private final TreeMap<String, LogReplica> replicas = new TreeMap<>();
-
-  private final ReplicaConfigurationVersions configurationVersions;
-  private final UnaryOperator<String> configurationNameOf;
-  private final MessageSender sender;
-  private String lastChangedKey = "";
-
+  private final ReplicaStore store;
+  private final VoteHandler voteHandler;
+  private final AppendHandler appendHandler;
+  private final SnapshotPages snapshotPages;
   private final UncommittedEntries uncommittedEntries = new UncommittedEntries();
-  private final SnapshotPages pages;
 
   /**
-   * configurationNameOf tells which set a key belongs to: keys of one set change their replicas
-   * together.
+   * @param commitListener gets each committed entry with its key, once in the life of the process
+   *     and in log order
+   * @param configurationNameOf names the replica configuration that a key belongs to; keys of one
+   *     configuration change their replicas together
    */
   public LogReplicas(
       Environment environment,
       MessageSender sender,
-      BiConsumer<String, LogEntry> whenCommitted,
-      UnaryOperator<String> setNameOf) {
-    this.configurationNameOf = setNameOf;
+      BiConsumer<String, LogEntry> commitListener,
+      UnaryOperator<String> configurationNameOf) {
     this.environment = environment;
-    this.sender = sender;
-    this.commitListener = whenCommitted;
-    this.configurationVersions = new ReplicaConfigurationVersions(environment);
-    this.pages = new SnapshotPages(replicas, setNameOf);
+    this.store = new ReplicaStore(environment, commitListener, configurationNameOf);
+    this.voteHandler = new VoteHandler(environment, sender, store);
+    this.appendHandler = new AppendHandler(environment, sender, store);
+    this.snapshotPages = new SnapshotPages(store.replicas(), configurationNameOf);
   }
 
+  /** All replicas by key, not a copy. */
   public Map<String, LogReplica> replicas() {
-    return replicas;
+    return store.replicas();
   }
 
   /** What a checker of invariants may see of one key. */
@@ -75,11 +64,12 @@
 
   /** The key of the last message taken, for a checker; empty before the first. */
   public String lastChangedKey() {
-    return lastChangedKey;
+    return store.lastChangedKey();
   }
 
+  /** The view of a key that this node has a replica of. */
   public View view(String key) {
-    LogReplica replica = replicas.get(key);
+    LogReplica replica = store.find(key);
     return new View(
         replica.promisedEpoch,
         replica.entries.stream()
@@ -87,9 +77,9 @@
             .toList());
   }
 
-  /** Whether the entry stands here, or a whole entry after it does. */
+  /** Whether an entry that matches is held at the sequence, or a snapshot after it is. */
   public boolean holds(String key, long sequence, Predicate<LogEntry> same) {
-    LogReplica replica = replicas.get(key);
+    LogReplica replica = store.find(key);
     if (replica == null || replica.entries.isEmpty()) {
       return false;
     }
@@ -97,363 +87,124 @@
     return entry != null ? same.test(entry) : replica.entries.get(0).sequence() > sequence;
   }
 
+  /** The replica of a key; an empty one is created if the node has none. */
   public LogReplica replica(String key) {
-    lastChangedKey = key;
-    return replicas.computeIfAbsent(key, missing -> new LogReplica());
+    return store.getOrCreate(key);
   }
 
-  /** Replays one record of this node's log at start. */
+  /** Replays one record of this node's disk at the start, in the order of writing. */
   public void recover(LogRecord record) {
-    if (record.kind() == Kind.SET) {
-      configurationVersions.recover(record);
-      return;
-    }
-    LogReplica replica = replica(record.key());
-    switch (record.kind()) {
-      case PROMISE -> {
-        if (replica.promisedEpoch.isBelow(record.epoch())) {
-          replica.promisedEpoch = record.epoch();
-        }
-      }
-      case ENTRY ->
-          replica.put(
-              new LogEntry(record.sequence(), record.epoch(), record.snapshot(), record.payload()));
-      case COMMITTED -> {
-        replica.committedSequence =
-            Math.max(
-                replica.committedSequence, Math.min(record.sequence(), replica.lastSequence()));
-        replica.trim();
-      }
-      default -> {}
-    }
+    store.recover(record);
   }
 
+  /** To be called once all records are replayed; hands committed entries to the listener. */
   public void finishRecovery() {
-    replicas.forEach(this::announce);
-    uncommittedEntries.recovered(replicas);
+    store.announceRecovered();
+    uncommittedEntries.recovered(store.replicas());
   }
 
-  /** Another replica knows a committed event at this place: what stands up to there is decided. */
+  /**
+   * Another replica knows a committed event at this sequence: recovered entries up to there are no
+   * longer undecided.
+   */
   public void committedElsewhere(String key, long sequence) {
     uncommittedEntries.committedElsewhere(key, sequence);
   }
 
-  /** Whether the key may hold an event whose commit is not known; its leader decides that. */
+  /** Whether the key may hold a recovered event whose commit is not known; its leader decides. */
   public boolean hasUncommittedEntries(String key) {
-    return uncommittedEntries.contains(key, replicas);
+    return uncommittedEntries.contains(key, store.replicas());
   }
 
+  /** Whether {@link #hasUncommittedEntries} holds for any key that matches. */
   public boolean anyUncommittedEntries(Predicate<String> keys) {
-    return uncommittedEntries.containsAny(keys, replicas);
+    return uncommittedEntries.containsAny(keys, store.replicas());
   }
 
-  /** Everything a new log needs in order to stand without the older segments. */
+  /** The records that stand for all state, so that older segments of the disk can go. */
   public List<LogRecord> checkpoint() {
-    List<LogRecord> records = new ArrayList<>(configurationVersions.records());
-    replicas.forEach(
-        (key, replica) -> {
-          records.add(LogRecords.promise(key, replica.promisedEpoch));
-          replica.entries.forEach(entry -> records.add(LogRecords.entry(key, entry)));
-          records.add(LogRecords.committed(key, replica.committedSequence));
-        });
-    return records;
+    return store.checkpoint();
   }
 
   /**
-   * Records that the set has this number, and with that refuses lower ones; the callback runs once
-   * it is synced.
+   * Records that a configuration has this version, and with that refuses messages of lower ones;
+   * the callback runs once it is synced.
    */
-  public void adoptConfiguration(String name, long number, Runnable whenSynced) {
-    configurationVersions.adopt(name, number, whenSynced);
+  public void adoptConfiguration(String name, long version, Runnable whenSynced) {
+    store.configurationVersions().adopt(name, version, whenSynced);
   }
 
+  /** The highest version known of a configuration; 0 while none is known. */
   public long configurationVersion(String name) {
-    return configurationVersions.get(name);
-  }
-
-  /**
-   * True if the message speaks of an older set than the one known here; a newer one is recorded at
-   * once, and afterSync holds the reply back until that record is synced.
-   */
-  private boolean isStaleConfiguration(String key, long setNumber) {
-    return configurationVersions.isStale(configurationNameOf.apply(key), setNumber);
+    return store.configurationVersions().get(name);
   }
 
+  /** Answers a candidate's pre-vote or vote request. */
   public void handleVoteRequest(VoteRequest message, String fromId, String fromAddress) {
-    if (!environment.acceptsWrites()) {
-      return;
-    }
-    if (message.preVote()) {
-      sender.send(fromAddress, fromId, preVoteResponse(message));
-      return;
-    }
-    LogReplica replica = replica(message.key());
-    if (isStaleConfiguration(message.key(), message.configurationVersion())) {
-      sender.send(fromAddress, fromId, voteResponse(message, replica, STALE_CONFIGURATION));
-      return;
-    }
-    if (message.epoch().compareTo(replica.promisedEpoch) <= 0) {
-      afterSync(
-          replica,
-          List.of(),
-          () -> sender.send(fromAddress, fromId, voteResponse(message, replica, STALE_EPOCH)));
-      return;
-    }
-    if (isProtectedForLeader(replica, message)) {
-      sender.send(fromAddress, fromId, voteResponse(message, replica, LEADER_ALIVE));
-      return;
-    }
-    replica.promisedEpoch = message.epoch();
-    noteCandidate(replica, message.epoch(), fromAddress);
-    afterSync(
-        replica,
-        List.of(LogRecords.promise(message.key(), replica.promisedEpoch)),
-        () -> {
-          boolean overtaken = message.epoch().isBelow(replica.promisedEpoch);
-          sender.send(
-              fromAddress, fromId, voteResponse(message, replica, overtaken ? STALE_EPOCH : OK));
-        });
-  }
-
-  /** Another owner was heard within the takeover interval, and has not handed the key over. */
-  private boolean isProtectedForLeader(LogReplica replica, VoteRequest message) {
-    return !isLeaderSilent(replica)
-        && !message.leadershipTransferred()
-        && !replica.leaderId.equals(message.epoch().node());
-  }
-
-  /**
-   * What a promise would meet here now; nothing is changed or written. The promised epoch is told,
-   * so that the claimant's next is above it.
-   */
-  private VoteResponse preVoteResponse(VoteRequest message) {
-    LogReplica known = replicas.get(message.key());
-    LogReplica replica = known == null ? new LogReplica() : known;
-    boolean old =
-        message.configurationVersion()
-            < configurationVersion(configurationNameOf.apply(message.key()));
-    if (old) {
-      return voteResponse(message, replica, STALE_CONFIGURATION);
+    if (environment.acceptsWrites()) {
+      voteHandler.handleVoteRequest(message, fromId, fromAddress);
     }
-    return voteResponse(
-        message, replica, isProtectedForLeader(replica, message) ? LEADER_ALIVE : WOULD_GRANT);
   }
 
-  private VoteResponse voteResponse(VoteRequest message, LogReplica replica, Verdict verdict) {
-    return new VoteResponse(
-        message.key(),
-        message.epoch(),
-        verdict,
-        replica.promisedEpoch,
-        replica.leaderId,
-        replica.leaderAddress,
-        replica.committedSequence,
-        replica.entries.isEmpty() ? 0 : replica.entries.get(0).sequence(),
-        verdict == OK ? LogEntries.tail(replica.entries, message.maxTailBytes()) : List.of());
-  }
-
-  private void noteCandidate(LogReplica replica, Epoch epoch, String address) {
-    replica.candidateId = epoch.node();
-    replica.candidateAddress = address;
-    replica.candidateHeardAt = environment.nowMs();
-  }
-
-  /**
-   * Tells a claimant a part of the log. Logs that hold the same entry are the same up to it; one
-   * that holds another entry behind the part, as after a copy was taken in, is refused, so that no
-   * log is put together of two.
-   */
+  /** Sends a candidate that this replica voted for a part of its log. */
   public void handleLogFetchRequest(LogFetchRequest message, String fromId, String fromAddress) {
-    LogReplica replica = replicas.get(message.key());
-    if (replica == null || replica.promisedEpoch.isBelow(message.epoch())) {
-      return;
-    }
-    LogEntry next = replica.entryAt(message.toSequence() + 1);
-    boolean sameLog = next != null && next.epoch().equals(message.nextEpoch());
-    boolean overtaken = message.epoch().isBelow(replica.promisedEpoch) || !sameLog;
-    if (!overtaken) {
-      noteCandidate(replica, message.epoch(), fromAddress);
-    }
-    sender.send(
-        fromAddress,
-        fromId,
-        new LogFetchResponse(
-            message.key(),
-            message.epoch(),
-            overtaken ? STALE_EPOCH : OK,
-            overtaken
-                ? List.of()
-                : LogEntries.slice(replica.entries, message.fromSequence(), message.toSequence())));
-  }
-
-  /** A claimant counts for as long as it would wait for promises, an owner until its takeover. */
-  public NodeAddress knownLeader(LogReplica replica) {
-    long now = environment.nowMs();
-    boolean claimed = now - replica.candidateHeardAt < ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
-    if (claimed && replica.candidateHeardAt > replica.leaderHeardAt) {
-      return new NodeAddress(replica.candidateId, replica.candidateAddress);
-    }
-    return isLeaderSilent(replica)
-        ? NodeAddress.NONE
-        : new NodeAddress(replica.leaderId, replica.leaderAddress);
+    voteHandler.handleLogFetchRequest(message, fromId, fromAddress);
   }
 
+  /** Takes a leader's append or heartbeat, and answers it once what it brought is synced. */
   public void handleAppendRequest(AppendRequest message, String fromId, String fromAddress) {
-    if (!environment.acceptsWrites()) {
-      return;
+    if (environment.acceptsWrites()) {
+      appendHandler.handleAppendRequest(message, fromId, fromAddress);
     }
-    LogReplica replica = replica(message.key());
-    if (isStaleConfiguration(message.key(), message.configurationVersion())) {
-      sender.send(
-          fromAddress,
-          fromId,
-          appendResponse(message, STALE_CONFIGURATION, replica.promisedEpoch, 0));
-      return;
-    }
-    if (message.epoch().isBelow(replica.promisedEpoch)) {
-      sender.send(
-          fromAddress, fromId, appendResponse(message, STALE_EPOCH, replica.promisedEpoch, 0));
-      return;
-    }
-    List<LogRecord> records = new ArrayList<>();
-    raisePromisedEpoch(message.key(), replica, message.epoch(), records);
-    noteLeader(replica, message, fromAddress);
-    if (!follows(replica, message)) {
-      long previous = message.previousSequence();
-      long hint =
-          previous > replica.lastSequence() ? replica.lastSequence() : replica.committedSequence;
-      afterSync(
-          replica,
-          records,
-          () ->
-              sender.send(
-                  fromAddress,
-                  fromId,
-                  appendResponse(message, LOG_MISMATCH, replica.promisedEpoch, hint)));
-      return;
-    }
-    putNewEntries(message.key(), replica, message.entries(), records);
-    long matched = lastSequence(message);
-    afterSync(
-        replica,
-        records,
-        () -> {
-          boolean overtaken = message.epoch().isBelow(replica.promisedEpoch);
-          Verdict verdict = overtaken ? STALE_EPOCH : OK;
-          sender.send(
-              fromAddress,
-              fromId,
-              appendResponse(message, verdict, replica.promisedEpoch, matched));
-        });
-    commit(message.key(), replica, Math.min(message.committedSequence(), matched));
-  }
-
-  /** Promises this epoch if it is higher than the one promised, and adds the record of that. */
-  private static void raisePromisedEpoch(
-      String key, LogReplica replica, Epoch epoch, List<LogRecord> records) {
-    if (replica.promisedEpoch.isBelow(epoch)) {
-      replica.promisedEpoch = epoch;
-      records.add(LogRecords.promise(key, epoch));
-    }
-  }
-
-  private void noteLeader(LogReplica replica, AppendRequest message, String fromAddress) {
-    replica.leaderId = message.epoch().node();
-    replica.leaderAddress = fromAddress;
-    // An owner that waits for this very disk is not cut off.
-    if (message.inContactWithQuorum() || replica.unsyncedWrites > 0) {
-      replica.leaderHeardAt = environment.nowMs();
-    }
-  }
-
-  /** Whether the entries of the message follow on what is held here. */
-  private static boolean follows(LogReplica replica, AppendRequest message) {
-    if (message.previousSequence() == 0) {
-      return !message.entries().isEmpty() || replica.entries.isEmpty();
-    }
-    LogEntry predecessor = replica.entryAt(message.previousSequence());
-    return predecessor != null && predecessor.epoch().equals(message.previousEpoch());
-  }
-
-  /** Places the entries that are not held yet, and adds their records. */
-  private static void putNewEntries(
-      String key, LogReplica replica, List<LogEntry> entries, List<LogRecord> records) {
-    for (LogEntry entry : entries) {
-      if (!replica.contains(entry)) {
-        replica.put(entry);
-        records.add(LogRecords.entry(key, entry));
-      }
-    }
-  }
-
-  private static long lastSequence(AppendRequest message) {
-    List<LogEntry> entries = message.entries();
-    return entries.isEmpty()
-        ? message.previousSequence()
-        : entries.get(entries.size() - 1).sequence();
   }
 
   /**
-   * Notes how far the log is committed, behind the entries that this speaks of: a power loss
-   * between the two must not leave a mark that covers a tail which those entries replace. No reply
-   * speaks of the mark, so none waits for it.
+   * The leader's process said that it still leads the key; as good as a heartbeat, unless another
+   * leader was heard since. Ignored for a key that this node has no replica of.
    */
-  private void commit(String key, LogReplica replica, long committed) {
-    if (committed <= replica.committedSequence) {
-      return;
+  public void noteLeaderContact(String key, String leaderId, String leaderAddress) {
+    LogReplica replica = store.find(key);
+    if (replica != null && (replica.leaderId.isEmpty() || replica.leaderId.equals(leaderId))) {
+      replica.leaderId = leaderId;
+      replica.leaderAddress = leaderAddress;
+      replica.leaderContactAtMs = environment.nowMs();
     }
-    replica.committedSequence = committed;
-    environment.write(List.of(LogRecords.committed(key, committed)), () -> {});
-    announce(key, replica);
-    replica.trim();
   }
 
-  private AppendResponse appendResponse(
-      AppendRequest message, Verdict verdict, Epoch promised, long matched) {
-    return new AppendResponse(
-        message.key(), message.epoch(), message.round(), verdict, promised, matched);
+  /** Whether the key's leader wasn't heard for the leader timeout, or never. */
+  public boolean isLeaderSilent(LogReplica replica) {
+    return replica.isLeaderTimedOut(environment.nowMs());
   }
 
-  /**
-   * No reply leaves before what it speaks of is synced, be it written by this message or an earlier
-   * one.
-   */
-  private void afterSync(LogReplica replica, List<LogRecord> records, Runnable reply) {
-    if (records.isEmpty() && replica.unsyncedWrites == 0 && configurationVersions.synced()) {
-      reply.run();
-      return;
-    }
-    replica.unsyncedWrites++;
-    environment.write(
-        records,
-        () -> {
-          replica.unsyncedWrites--;
-          reply.run();
-        });
+  /** The candidate or leader heard last, while it counts; else {@link NodeAddress#NONE}. */
+  public NodeAddress knownLeader(LogReplica replica) {
+    return replica.knownLeader(environment.nowMs());
   }
 
-  /** Of the keys of a set after the given one, how far each is held here. */
-  Map<String, LogEndPosition> logEndsOf(String setName, String afterKey) {
-    return pages.heldOf(setName, afterKey);
+  /** For the keys of a configuration after the given one, the end of each log that isn't empty. */
+  Map<String, LogEndPosition> logEndsOf(String configurationName, String afterKey) {
+    return snapshotPages.logEndsOf(configurationName, afterKey);
   }
 
   /**
-   * The next keys of a set after the given one, up to a size; what a newcomer starts from. Of a log
-   * that it holds a part of, the last entry of that part and what follows.
+   * The next keys of a configuration after the given one, up to a size in bytes; what a joining
+   * replica starts from. For a log that it has a part of, the last entry of that part and what
+   * follows.
    */
   List<ReplicaSnapshot> snapshotsOf(
-      String setName, String afterKey, Map<String, LogEndPosition> held, int bytesMost) {
-    return pages.copiesOf(setName, afterKey, held, bytesMost);
+      String configurationName, String afterKey, Map<String, LogEndPosition> known, int maxBytes) {
+    return snapshotPages.page(configurationName, afterKey, known, maxBytes);
   }
 
   /**
-   * Takes over another replica's copy of a key if its log is the newer one, by the same rule as an
-   * owner's claim. The promise is taken over too, so that an epoch refused there is refused here.
-   * False, and nothing is taken, if it is a part that does not follow on what is held here any
-   * more.
+   * Takes over another replica's log of a key if it is the more recent one, by the same rule as an
+   * election. The promised epoch is taken over too, so that an epoch refused there is refused here.
+   *
+   * @return false, and nothing is taken, if it is a part that does not follow on what is held here
+   *     any more
    */
   boolean merge(ReplicaSnapshot other, Runnable whenSynced) {
-    LogReplica replica = replica(other.key());
+    LogReplica replica = store.getOrCreate(other.key());
     if (other.partial()) {
       LogEntry shared = replica.entryAt(other.entries().get(0).sequence());
       if (shared == null || !shared.epoch().equals(other.entries().get(0).epoch())) {
@@ -461,45 +212,13 @@
       }
     }
     List<LogRecord> records = new ArrayList<>();
-    raisePromisedEpoch(other.key(), replica, other.promised(), records);
+    ReplicaStore.raisePromisedEpoch(other.key(), replica, other.promised(), records);
     if (LogEntries.isMoreUpToDate(other.entries(), replica.entries)) {
-      putNewEntries(other.key(), replica, other.entries(), records);
+      ReplicaStore.putNewEntries(other.key(), replica, other.entries(), records);
     }
     long committed = Math.min(other.committed(), replica.lastSequence());
-    if (committed > replica.committedSequence) {
-      replica.committedSequence = committed;
-      records.add(LogRecords.committed(other.key(), committed));
-      announce(other.key(), replica);
-      replica.trim();
-    }
-    afterSync(replica, records, whenSynced);
+    store.commit(other.key(), replica, committed, records);
+    store.afterSync(replica, records, whenSynced);
     return true;
   }
-
-  private void announce(String key, LogReplica replica) {
-    for (LogEntry entry : List.copyOf(replica.entries)) {
-      if (entry.sequence() > replica.announcedSequence
-          && entry.sequence() <= replica.committedSequence) {
-        replica.announcedSequence = entry.sequence();
-        commitListener.accept(key, entry);
-      }
-    }
-  }
-
-  /**
-   * The owner's process said that it still owns the key; as good as a beat, unless another owner
-   * was heard since.
-   */
-  public void noteLeaderContact(String key, String ownerId, String ownerAddress) {
-    LogReplica replica = replicas.get(key);
-    if (replica != null && (replica.leaderId.isEmpty() || replica.leaderId.equals(ownerId))) {
-      replica.leaderId = ownerId;
-      replica.leaderAddress = ownerAddress;
-      replica.leaderHeardAt = environment.nowMs();
-    }
-  }
-
-  public boolean isLeaderSilent(LogReplica replica) {
-    return environment.nowMs() - replica.leaderHeardAt >= ReplicationConstants.LEADER_TIMEOUT_MS;
-  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -9,18 +9,12 @@
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
 import applespindle.corelogic.log.Epoch;
-import applespindle.corelogic.log.LogEntries;
 import applespindle.corelogic.log.LogEntry;
-import applespindle.corelogic.metadata.NodeAddress;
-import applespindle.corelogic.protocol.Message.AppendRequest;
 import applespindle.corelogic.protocol.Message.AppendResponse;
 import applespindle.corelogic.protocol.Message.LogFetchResponse;
 import applespindle.corelogic.protocol.Message.VoteResponse;
 import applespindle.corelogic.protocol.MessageSender;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 
 /**
@@ -35,9 +29,11 @@
  * ReplicationConstants#LEADER_STEP_DOWN_MS}, or the owner of this object resigns. {@code LOST} is
  * final; a new leadership needs a new object.
  *
- * <p>Invariants: {@link #committedSequence} never falls, and covers only entries that a quorum has
- * synced and of which the last is of this leader's own epoch; entries before the first own one
- * never change; each callback runs exactly once.
+ * <p>The log itself is in {@link LeaderLog}, what is sent to the replicas in {@link LogReplicator},
+ * and who waits in {@link CommitQueue} and {@link LeadershipConfirmations}.
+ *
+ * <p>Invariants: an entry is committed only once a quorum has synced it and an entry of this
+ * leader's own epoch at or after it; each callback runs exactly once.
  */
 public final class ReplicatedLogLeader {
 
@@ -53,7 +49,6 @@
 
   private final Environment environment;
   private final String nodeId;
-  private final MessageSender sender;
   public final String key;
 
   /** Whether replicas that have everything get a heartbeat only now and then. */
@@ -64,24 +59,8 @@
   private Runnable leadershipLostListener = () -> {};
   private LeadershipState state = LeadershipState.ELECTING;
 
-  /** Replaced only by one of a higher version. */
-  private ReplicaConfiguration replicaConfiguration;
-
-  /** By replica id: exactly the replicas of the configuration, in its order. */
-  private final Map<String, FollowerProgress> followers = new LinkedHashMap<>();
-
-  /** The log: contiguous by sequence. Empty while ELECTING, else it ends with own entries. */
-  private final List<LogEntry> entries = new ArrayList<>();
-
-  /** The sequence of the empty entry that begins this leader's epoch. */
-  private long firstOwnSequence;
-
-  /** The highest sequence that a quorum has synced in this leader's epoch. Never falls. */
-  private long committedSequence;
-
-  /** The number of the last append round; a round is one append to each replica at most. */
-  private long round;
-
+  private final LeaderLog log = new LeaderLog();
+  private final LogReplicator replicator;
   private final CommitQueue commits = new CommitQueue();
   private final LeadershipConfirmations confirmations = new LeadershipConfirmations();
   private boolean flushScheduled;
@@ -106,14 +85,11 @@
       Consumer<ElectionOutcome> electionListener) {
     this.environment = environment;
     this.nodeId = nodeId;
-    this.sender = sender;
     this.key = key;
     this.quietWhenIdle = quietWhenIdle;
     this.electionListener = electionListener;
-    this.replicaConfiguration = replicaConfiguration;
-    replicaConfiguration
-        .allReplicas()
-        .forEach(replica -> followers.put(replica.id(), new FollowerProgress(replica)));
+    this.replicator =
+        new LogReplicator(environment, nodeId, sender, key, log, replicaConfiguration);
     this.election =
         new Election(
             environment,
@@ -143,12 +119,12 @@
 
   /** The log as this leader holds it, with entries that aren't committed yet; not a copy. */
   public List<LogEntry> entries() {
-    return entries;
+    return log.entries();
   }
 
   /** The sequence of the last entry, committed or not; 0 while there is none. */
   public long lastSequence() {
-    return LogEntries.lastSequence(entries);
+    return log.lastSequence();
   }
 
   /**
@@ -156,7 +132,7 @@
    * this node's messages. A replica outside of the configuration is ignored.
    */
   public void noteContact(String replicaId) {
-    FollowerProgress follower = followers.get(replicaId);
+    FollowerProgress follower = replicator.follower(replicaId);
     if (follower != null) {
       follower.recordContact();
     }
@@ -166,17 +142,7 @@
    * Whether a quorum has answered within {@link ReplicationConstants#QUORUM_CONTACT_TIMEOUT_MS}.
    */
   public boolean isInContactWithQuorum() {
-    return hasQuorumContactWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
-  }
-
-  private boolean hasQuorumContactWithin(long millis) {
-    long heartbeats = millis / ReplicationConstants.HEARTBEAT_INTERVAL_MS;
-    List<String> inContact =
-        followers.values().stream()
-            .filter(each -> each.isInContactWithin(heartbeats) || each.replica.id().equals(nodeId))
-            .map(each -> each.replica.id())
-            .toList();
-    return replicaConfiguration.isQuorum(inContact);
+    return replicator.isInContactWithQuorum();
   }
 
   /** Sets what runs, once, when the leadership is lost other than by {@link #resign}. */
@@ -189,18 +155,12 @@
    * left are no longer counted. One that isn't newer is ignored.
    */
   public void reconfigure(ReplicaConfiguration newer) {
-    if (newer.version() <= replicaConfiguration.version() || state == LeadershipState.LOST) {
+    if (newer.version() <= replicator.configuration().version() || state == LeadershipState.LOST) {
       return;
     }
-    replicaConfiguration = newer;
-    Map<String, FollowerProgress> before = new LinkedHashMap<>(followers);
-    followers.clear();
-    for (NodeAddress replica : newer.allReplicas()) {
-      FollowerProgress known = before.get(replica.id());
-      followers.put(replica.id(), known != null ? known : new FollowerProgress(replica));
-    }
+    replicator.reconfigure(newer);
     if (state == LeadershipState.ELECTING) {
-      election.reconfigure(newer, followers.values().stream().map(each -> each.replica).toList());
+      election.reconfigure(newer, replicator.replicas());
     } else {
       advanceCommit();
       scheduleFlush();
@@ -217,18 +177,12 @@
 
   /** Appends the first entry of the new epoch; once it is committed, this node leads. */
   private void establishLeadership(ElectionVictory victory) {
-    entries.addAll(victory.log());
-    long lastAdopted = lastSequence();
-    firstOwnSequence = lastAdopted + 1;
-    entries.add(new LogEntry(firstOwnSequence, victory.epoch(), false, new byte[0]));
-    for (FollowerProgress each : followers.values()) {
-      long lastOfReplica =
-          victory.lastSequenceByVoter().getOrDefault(each.replica.id(), lastAdopted);
-      each.nextSequence = Math.min(lastOfReplica, lastAdopted) + 1;
-    }
+    log.adopt(victory);
+    replicator.startFrom(victory);
     state = LeadershipState.ESTABLISHING;
-    commits.addCallback(firstOwnSequence, victory.establishBeforeMs(), this::firstOwnEntryFinished);
-    broadcast();
+    commits.addCallback(
+        log.firstOwnSequence(), victory.establishBeforeMs(), this::firstOwnEntryFinished);
+    replicator.broadcast();
     scheduleHeartbeat();
   }
 
@@ -277,13 +231,12 @@
       callback.accept(new ApiError.NotLeader(key));
       return 0;
     }
-    long sequence = lastSequence() + 1;
-    entries.add(new LogEntry(sequence, epoch(), snapshot, event));
+    long sequence = log.append(snapshot, event);
     commits.addEffect(sequence, effect);
     long expiresAtMs =
         environment.nowMs()
             + ReplicationConstants.COMMIT_TIMEOUT_MS
-            + transferToAllReplicasMs(event.length);
+            + replicator.transferToAllReplicasMs(event.length);
     commits.addCallback(sequence, expiresAtMs, callback);
     scheduleFlush();
     return sequence;
@@ -311,7 +264,7 @@
       return;
     }
     long expiresAtMs = environment.nowMs() + ReplicationConstants.COMMIT_TIMEOUT_MS;
-    if (lastSequence() > committedSequence) {
+    if (!log.isFullyCommitted()) {
       commits.addCallback(
           lastSequence(),
           expiresAtMs,
@@ -324,7 +277,7 @@
           });
       return;
     }
-    confirmations.add(round + 1, expiresAtMs, callback);
+    confirmations.add(replicator.nextRound(), expiresAtMs, callback);
     if (atOnce) {
       scheduleFlush();
     }
@@ -338,7 +291,9 @@
           0,
           () -> {
             flushScheduled = false;
-            broadcast();
+            if (isReplicating()) {
+              replicator.broadcast();
+            }
           });
     }
   }
@@ -347,57 +302,9 @@
     return state == LeadershipState.LEADING || state == LeadershipState.ESTABLISHING;
   }
 
-  private void broadcast() {
-    if (!isReplicating()) {
-      return;
-    }
-    round++;
-    followers.values().forEach(this::sendAppend);
-  }
-
-  private void sendAppend(FollowerProgress follower) {
-    long first = entries.get(0).sequence();
-    long next = follower.nextSequence;
-    long from = next < first || next == 1 ? first : next;
-    List<LogEntry> missing =
-        from > lastSequence()
-            ? List.of()
-            : List.copyOf(entries.subList((int) (from - first), entries.size()));
-    long previous = from == first ? 0 : from - 1;
-    Epoch previousEpoch =
-        from == first ? Epoch.NONE : entries.get((int) (from - 1 - first)).epoch();
-    follower.recordAppend(lastSequence(), committedSequence);
-    long bytes = missing.stream().mapToLong(entry -> entry.event().length).sum();
-    if (bytes >= ReplicationConstants.LARGE_APPEND_BYTES) {
-      long arrivesBeforeMs =
-          environment.nowMs()
-              + ReplicationConstants.LARGE_APPEND_MIN_MS
-              + transferToAllReplicasMs(bytes);
-      follower.recordLargeAppend(from, lastSequence(), arrivesBeforeMs);
-    }
-    sender.send(
-        follower.replica.address(),
-        follower.replica.id(),
-        new AppendRequest(
-            key,
-            epoch(),
-            replicaConfiguration.version(),
-            round,
-            previous,
-            previousEpoch,
-            committedSequence,
-            isInContactWithQuorum(),
-            missing));
-  }
-
-  /** How long it takes at most, on a slow link that they share, to send this much to each. */
-  private long transferToAllReplicasMs(long bytes) {
-    return bytes * followers.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
-  }
-
   /** Takes a replica's answer to an append; a higher promised epoch ends this leadership. */
   public void handleAppendResponse(AppendResponse message, String fromId) {
-    FollowerProgress follower = followers.get(fromId);
+    FollowerProgress follower = replicator.follower(fromId);
     if (follower == null || !isReplicating()) {
       return;
     }
@@ -412,32 +319,19 @@
     if (message.verdict() == OK) {
       follower.recordMatch(message.matchedSequence());
     } else {
-      retryFrom(follower, message.matchedSequence() + 1);
+      replicator.retryFrom(follower, message.matchedSequence() + 1);
     }
     advanceCommit();
   }
 
-  /** Sends again from the entry that the replica lacks, unless that entry is in flight. */
-  private void retryFrom(FollowerProgress follower, long sequence) {
-    if (!follower.isInFlight(sequence, environment.nowMs())) {
-      follower.nextSequence = Math.max(1, Math.min(sequence, lastSequence()));
-      sendAppend(follower);
-    }
-  }
-
   /** Commits what a quorum has synced, then runs the effects and callbacks that are due. */
   private void advanceCommit() {
-    long matchedByQuorum =
-        replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).matchedSequence);
-    if (matchedByQuorum >= firstOwnSequence && matchedByQuorum > committedSequence) {
-      committedSequence = matchedByQuorum;
-      LogEntries.trim(entries, committedSequence);
+    if (log.commit(replicator.sequenceMatchedByQuorum())) {
       scheduleFlush();
     }
-    commits.advance(committedSequence);
+    commits.advance(log.committedSequence());
     if (state != LeadershipState.LOST) {
-      confirmations.advance(
-          replicaConfiguration.valueReachedByQuorum(id -> followers.get(id).lastAnsweredRound));
+      confirmations.advance(replicator.roundAnsweredByQuorum());
     }
   }
 
@@ -455,32 +349,21 @@
     if (!isReplicating()) {
       return;
     }
-    followers.values().forEach(each -> each.heartbeatElapsed(environment.nowMs()));
+    replicator.heartbeatElapsed();
     if (state == LeadershipState.LEADING
-        && !hasQuorumContactWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
+        && !replicator.hasQuorumContactWithin(ReplicationConstants.LEADER_STEP_DOWN_MS)) {
       environment.log(LOG_PART, "Leader steps down, no quorum in contact: key=" + key + ".");
       loseLeadership();
       return;
     }
     if (!quietWhenIdle || state == LeadershipState.ESTABLISHING || !confirmations.isEmpty()) {
-      broadcast();
+      replicator.broadcast();
     } else {
-      sendNeededHeartbeats();
+      replicator.sendNeededHeartbeats();
     }
     scheduleHeartbeat();
   }
 
-  /** Spares most heartbeats of the replicas that have everything. */
-  private void sendNeededHeartbeats() {
-    round++;
-    for (FollowerProgress each : followers.values()) {
-      if (!each.isUpToDate(lastSequence(), committedSequence)
-          || each.countIdleHeartbeat() >= ReplicationConstants.IDLE_HEARTBEAT_ONE_IN) {
-        sendAppend(each);
-      }
-    }
-  }
-
   private void loseLeadership() {
     resign();
     leadershipLostListener.run();
