--- a/adapters/src/main/java/applespindle/adapters/PeerCodec.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerCodec.java
@@ -178,7 +178,7 @@
             .next()
             .sequence(entry.sequence())
             .epochCounter(entry.epoch().counter())
-            .whole(flag(entry.whole()))
+            .whole(flag(entry.snapshot()))
             .epochNode(entry.epoch().node())
             .putEvent(entry.event(), 0, entry.event().length);
       }
@@ -207,7 +207,7 @@
             .next()
             .sequence(entry.sequence())
             .epochCounter(entry.epoch().counter())
-            .whole(flag(entry.whole()))
+            .whole(flag(entry.snapshot()))
             .epochNode(entry.epoch().node())
             .putEvent(entry.event(), 0, entry.event().length);
       }
@@ -228,7 +228,7 @@
             .next()
             .sequence(entry.sequence())
             .epochCounter(entry.epoch().counter())
-            .whole(flag(entry.whole()))
+            .whole(flag(entry.snapshot()))
             .epochNode(entry.epoch().node())
             .putEvent(entry.event(), 0, entry.event().length);
       }
--- a/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
@@ -223,13 +223,15 @@
   static List<LogRecord> oneOfEachKind() {
     byte[] none = {};
     return List.of(
-        new LogRecord(Kind.PROMISE, "batch/b-1", new Epoch(7, "0123456789ab"), 0, false, none),
+        new LogRecord(Kind.VOTE, "batch/b-1", new Epoch(7, "0123456789ab"), 0, false, none),
         new LogRecord(
             Kind.ENTRY, "batch/b-1", new Epoch(7, "0123456789ab"), 1, true, new byte[] {0, 1, -1}),
         new LogRecord(Kind.COMMITTED, "batch/b-1", Epoch.NONE, 1, false, none),
-        new LogRecord(Kind.ONCE, "once/call-1", new Epoch(0, "token-1"), 0, false, none),
-        new LogRecord(Kind.ROSTER, "core", Epoch.NONE, 3, true, "{\"number\":3}".getBytes(UTF_8)),
-        new LogRecord(Kind.SET, "shard/17", Epoch.NONE, 4_294_967_296L, true, none));
+        new LogRecord(Kind.ONCE_CLAIM, "once/call-1", new Epoch(0, "token-1"), 0, false, none),
+        new LogRecord(
+            Kind.MEMBERSHIP, "core", Epoch.NONE, 3, true, "{\"number\":3}".getBytes(UTF_8)),
+        new LogRecord(
+            Kind.CONFIGURATION_VERSION, "shard/17", Epoch.NONE, 4_294_967_296L, true, none));
   }
 
   /** Started twice: all kinds in the first segment, all but the first again in the second. */
--- a/adapters/src/test/java/applespindle/adapters/StoredRecordText.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredRecordText.java
@@ -30,12 +30,12 @@
 
   private static String kind(LogRecord record) {
     return switch (record.kind()) {
-      case PROMISE -> "promise";
+      case VOTE -> "promise";
       case ENTRY -> "entry";
       case COMMITTED -> "committed";
-      case ONCE -> "once";
-      case ROSTER -> "roster";
-      case SET -> "set";
+      case ONCE_CLAIM -> "once";
+      case MEMBERSHIP -> "roster";
+      case CONFIGURATION_VERSION -> "set";
     };
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -159,7 +159,7 @@
     this.batch = batch;
     this.leader = key;
     for (LogEntry entry : key.entries()) {
-      if (!entry.isTakeover()) {
+      if (!entry.isEpochStart()) {
         batchState.apply(entry.event());
       }
     }
@@ -603,7 +603,7 @@
           }
         };
     if (onlyRenews) {
-      leader.confirmAtBeat(answering);
+      leader.confirmLeadershipWithHeartbeat(answering);
     } else {
       leader.confirmLeadership(answering);
     }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
@@ -31,7 +31,7 @@
   private int changesSinceWhole;
 
   void replay(LogEntry entry) {
-    if (entry.whole()) {
+    if (entry.snapshot()) {
       BatchCapacityUsage whole = Json.read(entry.event(), BatchCapacityUsage.class);
       items.clear();
       items.putAll(whole.items());
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -203,7 +203,7 @@
   public void recover(LogRecord record) {
     if (QuorumBootstrap.owns(record)) {
       bootstrap.recover(record);
-    } else if (record.kind() == Kind.ROSTER) {
+    } else if (record.kind() == Kind.MEMBERSHIP) {
       learnMembership(Json.read(record.payload(), QuorumMembership.class));
     } else {
       replicas.recover(record);
@@ -224,7 +224,7 @@
 
   private LogRecord rosterRecord() {
     return new LogRecord(
-        Kind.ROSTER,
+        Kind.MEMBERSHIP,
         MetadataKeys.MEMBERSHIP,
         Epoch.NONE,
         membership.number(),
@@ -318,7 +318,7 @@
   }
 
   private void committed(String key, LogEntry entry) {
-    if (!entry.isTakeover() && entry.whole() && !key.equals(MetadataKeys.BATCH_CAPACITY)) {
+    if (!entry.isEpochStart() && entry.snapshot() && !key.equals(MetadataKeys.BATCH_CAPACITY)) {
       byte[] value =
           key.equals(MetadataKeys.CONFIGURATION)
               ? ConfigurationManager.forFeed(entry.event())
@@ -377,7 +377,7 @@
     String first = RendezvousHashing.first(request.key(), quorum.liveMembers());
     LogReplica replica = replicas.replicas().get(request.key());
     if (replica != null
-        && !replicas.isLeaderSilent(replica)
+        && !replicas.isLeaderTimedOut(replica)
         && !replica.leaderId.equals(identity.id())) {
       forward(request, replica.leaderId, replica.leaderAddress);
     } else if (!identity.id().equals(first)) {
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
@@ -50,7 +50,7 @@
 
   /** Applies an entry of the log that was read at the takeover. */
   void replay(LogEntry entry) {
-    if (entry.isTakeover()) {
+    if (entry.isEpochStart()) {
       return;
     }
     if (leader.key.equals(MetadataKeys.BATCH_CAPACITY)) {
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -112,7 +112,8 @@
   /** Claims a key if nobody is heard to lead it and this node comes first for it. */
   void electIfVacant(String key) {
     LogReplica replica = replicas.replicas().get(key);
-    if ((replica == null || replicas.isLeaderSilent(replica)) && quorum.isPreferredLeaderOf(key)) {
+    if ((replica == null || replicas.isLeaderTimedOut(replica))
+        && quorum.isPreferredLeaderOf(key)) {
       elect(key);
     }
   }
@@ -128,7 +129,7 @@
         .forEach(
             (key, replica) -> {
               if (!ledKeys.containsKey(key)
-                  && replicas.isLeaderSilent(replica)
+                  && replicas.isLeaderTimedOut(replica)
                   && (needsLeader(key) || replicas.hasUncommittedEntries(key))
                   && identity.id().equals(RendezvousHashing.first(key, live))) {
                 elect(key);
--- a/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
@@ -14,7 +14,7 @@
   /** Drops what stands before the last whole entry that is committed, as that stands for it. */
   public static void trim(List<LogEntry> entries, long committed) {
     for (int index = entries.size() - 1; index > 0; index--) {
-      if (entries.get(index).whole() && entries.get(index).sequence() <= committed) {
+      if (entries.get(index).snapshot() && entries.get(index).sequence() <= committed) {
         entries.subList(0, index).clear();
         return;
       }
--- a/core-logic/src/main/java/applespindle/corelogic/log/LogRecord.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogRecord.java
@@ -5,11 +5,11 @@
     Kind kind, String key, Epoch epoch, long sequence, boolean snapshot, byte[] payload) {
   /** What a record says of its key. */
   public enum Kind {
-    PROMISE,
+    VOTE,
     ENTRY,
     COMMITTED,
-    ONCE,
-    ROSTER,
-    SET
+    ONCE_CLAIM,
+    MEMBERSHIP,
+    CONFIGURATION_VERSION
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/QuorumBootstrap.java
@@ -80,7 +80,7 @@
 
   /** Whether the record is one of founding; the roster in use has its own. */
   public static boolean owns(LogRecord record) {
-    return record.kind() == Kind.ROSTER
+    return record.kind() == Kind.MEMBERSHIP
         && (record.key().equals(ACCEPTED) || record.key().equals(FIRST_START));
   }
 
@@ -113,12 +113,12 @@
   }
 
   private static LogRecord firstStartRecord() {
-    return new LogRecord(Kind.ROSTER, FIRST_START, Epoch.NONE, 0, true, new byte[0]);
+    return new LogRecord(Kind.MEMBERSHIP, FIRST_START, Epoch.NONE, 0, true, new byte[0]);
   }
 
   private static LogRecord acceptedRecord(QuorumMembership membership) {
     return new LogRecord(
-        Kind.ROSTER, ACCEPTED, Epoch.NONE, membership.number(), true, Json.bytes(membership));
+        Kind.MEMBERSHIP, ACCEPTED, Epoch.NONE, membership.number(), true, Json.bytes(membership));
   }
 
   /** Told to be part of the fleet's first start, now or when its disk was first used. */
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogRecords.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogRecords.java
@@ -11,20 +11,20 @@
 
   private LogRecords() {}
 
-  static LogRecord promise(String key, Epoch promised) {
-    return new LogRecord(Kind.PROMISE, key, promised, 0, false, EMPTY);
+  static LogRecord vote(String key, Epoch promised) {
+    return new LogRecord(Kind.VOTE, key, promised, 0, false, EMPTY);
   }
 
   static LogRecord entry(String key, LogEntry entry) {
     return new LogRecord(
-        Kind.ENTRY, key, entry.epoch(), entry.sequence(), entry.whole(), entry.event());
+        Kind.ENTRY, key, entry.epoch(), entry.sequence(), entry.snapshot(), entry.event());
   }
 
   static LogRecord committed(String key, long committed) {
     return new LogRecord(Kind.COMMITTED, key, Epoch.NONE, committed, false, EMPTY);
   }
 
-  static LogRecord setNumber(String name, long number) {
-    return new LogRecord(Kind.SET, name, Epoch.NONE, number, true, EMPTY);
+  static LogRecord configurationVersion(String name, long number) {
+    return new LogRecord(Kind.CONFIGURATION_VERSION, name, Epoch.NONE, number, true, EMPTY);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -60,7 +60,7 @@
   }
 
   /** What a checker of invariants may see of one key. */
-  public record View(Epoch promised, List<LogEntry> committedEntries) {}
+  public record View(Epoch promisedEpoch, List<LogEntry> committedEntries) {}
 
   /** The key of the last message taken, for a checker; empty before the first. */
   public String lastChangedKey() {
@@ -172,7 +172,7 @@
   }
 
   /** Whether the key's leader wasn't heard for the leader timeout, or never. */
-  public boolean isLeaderSilent(LogReplica replica) {
+  public boolean isLeaderTimedOut(LogReplica replica) {
     return replica.isLeaderTimedOut(environment.nowMs());
   }
 
@@ -212,11 +212,11 @@
       }
     }
     List<LogRecord> records = new ArrayList<>();
-    ReplicaStore.raisePromisedEpoch(other.key(), replica, other.promised(), records);
+    ReplicaStore.raisePromisedEpoch(other.key(), replica, other.promisedEpoch(), records);
     if (LogEntries.isMoreUpToDate(other.entries(), replica.entries)) {
       ReplicaStore.putNewEntries(other.key(), replica, other.entries(), records);
     }
-    long committed = Math.min(other.committed(), replica.lastSequence());
+    long committed = Math.min(other.committedSequence(), replica.lastSequence());
     store.commit(other.key(), replica, committed, records);
     store.afterSync(replica, records, whenSynced);
     return true;
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
@@ -109,7 +109,7 @@
     }
     LogEntry first = entries.get(0);
     if (first.sequence() > nextSequence) {
-      if (!first.whole()) {
+      if (!first.snapshot()) {
         return false;
       }
       // This source has dropped what a whole entry makes needless.
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -12,6 +12,7 @@
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.node.Node;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.LinkedHashMap;
@@ -27,7 +28,10 @@
  */
 public final class ReplicaCatchUp {
   /** A page of a set; last is empty on the last one. Claims come with the first. */
-  public record Page(List<ReplicaSnapshot> keys, Map<String, String> claims, String last) {}
+  public record Page(
+      @JsonProperty("keys") List<ReplicaSnapshot> snapshots,
+      @JsonProperty("claims") Map<String, String> onceClaims,
+      @JsonProperty("last") String lastKey) {}
 
   private final Environment environment;
   private final Node node;
@@ -148,7 +152,7 @@
             return;
           }
           Page page = JSON.convertValue(response.body(), Page.class);
-          page.claims()
+          page.onceClaims()
               .forEach(
                   (id, token) -> {
                     if (claims.putIfAbsent(id, token) == null) {
@@ -156,19 +160,19 @@
                     }
                   });
           boolean fits = true;
-          for (ReplicaSnapshot copied : page.keys()) {
+          for (ReplicaSnapshot copied : page.snapshots()) {
             fits &= replicas.merge(copied, () -> {});
           }
           if (!fits) {
             environment.schedule(
                 ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
                 () -> copyPage(name, number, source, after, stillPending, whenDone));
-          } else if (page.last().isEmpty()) {
+          } else if (page.lastKey().isEmpty()) {
             environment.write(List.of(), whenDone);
           } else {
             environment.schedule(
                 ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
-                () -> copyPage(name, number, source, page.last(), stillPending, whenDone));
+                () -> copyPage(name, number, source, page.lastKey(), stillPending, whenDone));
           }
         });
   }
@@ -203,6 +207,6 @@
   }
 
   public static LogRecord onceClaimRecord(String id, String token) {
-    return new LogRecord(LogRecord.Kind.ONCE, id, new Epoch(0, token), 0, false, new byte[0]);
+    return new LogRecord(LogRecord.Kind.ONCE_CLAIM, id, new Epoch(0, token), 0, false, new byte[0]);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
@@ -32,7 +32,7 @@
   /** Every number, for a snapshot. */
   List<LogRecord> records() {
     List<LogRecord> records = new ArrayList<>();
-    numbers.forEach((name, number) -> records.add(LogRecords.setNumber(name, number)));
+    numbers.forEach((name, number) -> records.add(LogRecords.configurationVersion(name, number)));
     return records;
   }
 
@@ -50,7 +50,7 @@
     numbers.put(name, number);
     unsynced++;
     environment.write(
-        List.of(LogRecords.setNumber(name, number)),
+        List.of(LogRecords.configurationVersion(name, number)),
         () -> {
           unsynced--;
           whenSynced.run();
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaSnapshot.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaSnapshot.java
@@ -2,6 +2,7 @@
 
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogEntry;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
@@ -9,4 +10,8 @@
  * holds, and nothing before it is here.
  */
 public record ReplicaSnapshot(
-    String key, Epoch promised, long committed, boolean partial, List<LogEntry> entries) {}
+    String key,
+    @JsonProperty("promised") Epoch promisedEpoch,
+    @JsonProperty("committed") long committedSequence,
+    boolean partial,
+    List<LogEntry> entries) {}
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaStore.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaStore.java
@@ -80,13 +80,13 @@
    * Replays one record of the log on disk; to be called in the order in which they were written.
    */
   void recover(LogRecord record) {
-    if (record.kind() == Kind.SET) {
+    if (record.kind() == Kind.CONFIGURATION_VERSION) {
       configurationVersions.recover(record);
       return;
     }
     LogReplica replica = getOrCreate(record.key());
     switch (record.kind()) {
-      case PROMISE -> {
+      case VOTE -> {
         if (replica.promisedEpoch.isBelow(record.epoch())) {
           replica.promisedEpoch = record.epoch();
         }
@@ -114,7 +114,7 @@
     List<LogRecord> records = new ArrayList<>(configurationVersions.records());
     replicas.forEach(
         (key, replica) -> {
-          records.add(LogRecords.promise(key, replica.promisedEpoch));
+          records.add(LogRecords.vote(key, replica.promisedEpoch));
           replica.entries.forEach(entry -> records.add(LogRecords.entry(key, entry)));
           records.add(LogRecords.committed(key, replica.committedSequence));
         });
@@ -126,7 +126,7 @@
       String key, LogReplica replica, Epoch epoch, List<LogRecord> records) {
     if (replica.promisedEpoch.isBelow(epoch)) {
       replica.promisedEpoch = epoch;
-      records.add(LogRecords.promise(key, epoch));
+      records.add(LogRecords.vote(key, epoch));
     }
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -254,7 +254,7 @@
    * The same, but no sooner than the next heartbeat asks the replicas anyway: costs no message of
    * its own.
    */
-  public void confirmAtBeat(Consumer<ApiError> callback) {
+  public void confirmLeadershipWithHeartbeat(Consumer<ApiError> callback) {
     confirmLeadership(false, callback);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
@@ -20,7 +20,7 @@
         (key, replica) ->
             replica.entries.stream()
                 .filter(
-                    entry -> entry.sequence() > replica.committedSequence && !entry.isTakeover())
+                    entry -> entry.sequence() > replica.committedSequence && !entry.isEpochStart())
                 .forEach(entry -> lastByKey.put(key, entry)));
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/replication/VoteHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/VoteHandler.java
@@ -66,7 +66,7 @@
     replica.noteCandidate(message.epoch().node(), fromAddress, environment.nowMs());
     store.afterSync(
         replica,
-        List.of(LogRecords.promise(message.key(), replica.promisedEpoch)),
+        List.of(LogRecords.vote(message.key(), replica.promisedEpoch)),
         () -> {
           boolean overtaken = message.epoch().isBelow(replica.promisedEpoch);
           sender.send(
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -78,7 +78,7 @@
 
   @Override
   public void recover(LogRecord record) {
-    if (record.kind() == Kind.ONCE) {
+    if (record.kind() == Kind.ONCE_CLAIM) {
       remember(record);
     } else {
       replicas.recover(record);
@@ -148,7 +148,7 @@
   }
 
   private void committed(String key, LogEntry entry) {
-    if (entry.isTakeover()) {
+    if (entry.isEpochStart()) {
       return;
     }
     String kind = BatchEvent.kindOf(entry.event());
@@ -174,7 +174,7 @@
   private void reportLeaderlessBatches() {
     Map<NodeAddress, List<String>> orphans = new HashMap<>();
     for (String key : unfinished) {
-      if (replicas.isLeaderSilent(replicas.replica(key))) {
+      if (replicas.isLeaderTimedOut(replicas.replica(key))) {
         NodeAddress chosenEdge = leaderPlacement().edge(key, 0);
         if (chosenEdge != null && chosenEdge.id().equals(replicas.replica(key).leaderId)) {
           chosenEdge = leaderPlacement().edge(key, 1);
@@ -227,7 +227,7 @@
     }
     LogReplica replica = replicas.replicas().get(request.key());
     boolean present =
-        replica != null && replica.entries.stream().anyMatch(entry -> !entry.isTakeover());
+        replica != null && replica.entries.stream().anyMatch(entry -> !entry.isEpochStart());
     NodeAddress holder = present ? replicas.knownLeader(replica) : NodeAddress.NONE;
     respond(
         request,
--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
@@ -233,7 +233,8 @@
   void theMarkOfWhatIsCommittedFollowsItsEntries() {
     append(1, FIRST, 0, Epoch.NONE, 2, entry(1, FIRST), entry(2, FIRST));
     assertThat(disk.written.stream().map(LogRecord::kind).toList())
-        .containsExactly(Kind.SET, Kind.PROMISE, Kind.ENTRY, Kind.ENTRY, Kind.COMMITTED)
+        .containsExactly(
+            Kind.CONFIGURATION_VERSION, Kind.VOTE, Kind.ENTRY, Kind.ENTRY, Kind.COMMITTED)
         .inOrder();
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
@@ -230,7 +230,7 @@
   void aTrialChangesNothing() {
     beat(FIRST, false);
     assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_GRANT);
-    assertThat(replicas.view(KEY).promised()).isEqualTo(FIRST);
+    assertThat(replicas.view(KEY).promisedEpoch()).isEqualTo(FIRST);
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
@@ -45,7 +45,7 @@
             (address, toId, message) ->
                 network.accept(address, new Envelope(id, id, toId, message)),
             unused -> sets.get(),
-            this::lead);
+            this::startLeading);
   }
 
   ModelRuntime runtime() {
@@ -61,20 +61,20 @@
   }
 
   /** Claims as one to whom the register is handed over: no replica keeps it away. */
-  void claim() {
+  void elect() {
     elections.elect(key, true, outcome -> {});
   }
 
-  private void lead(ReplicatedLogLeader owned) {
+  private void startLeading(ReplicatedLogLeader owned) {
     led = owned;
     view.clear();
     owned.onLeadershipLost(() -> led = null);
-    List.copyOf(owned.entries()).forEach(this::fold);
+    List.copyOf(owned.entries()).forEach(this::apply);
   }
 
-  private void fold(LogEntry entry) {
-    if (!entry.isTakeover()) {
-      history.folded(id, led.entries(), view, entry);
+  private void apply(LogEntry entry) {
+    if (!entry.isEpochStart()) {
+      history.applied(id, led.entries(), view, entry);
       view.add(entry);
     }
   }
@@ -84,7 +84,7 @@
     led.append(
         snapshotValues,
         value,
-        () -> fold(entry),
+        () -> apply(entry),
         error -> {
           if (error == null) {
             history.acknowledged(entry);
@@ -96,7 +96,7 @@
     long before = history.lastSeen();
     long last =
         led.entries().stream()
-            .filter(entry -> !entry.isTakeover())
+            .filter(entry -> !entry.isEpochStart())
             .mapToLong(LogEntry::sequence)
             .max()
             .orElse(0);
@@ -109,13 +109,13 @@
   }
 
   /** Gives the register up, as a leader without work does. */
-  void release() {
+  void resign() {
     ReplicatedLogLeader former = led;
     led = null;
     former.resign();
   }
 
-  void changeSets(ReplicaConfiguration replicaConfiguration) {
+  void reconfigure(ReplicaConfiguration replicaConfiguration) {
     if (led != null) {
       led.reconfigure(replicaConfiguration);
     }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelEvent.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelEvent.java
@@ -3,7 +3,7 @@
 /** What the bounds of a model limit. All else may happen as often as it is possible. */
 enum ModelEvent {
   /** A claimant begins to claim. */
-  CLAIM,
+  ELECTION,
   /** A leader appends a value. */
   APPEND,
   /** A leader begins a confirmed read. */
@@ -17,9 +17,9 @@
   /** A replica crashes and starts again. */
   REPLICA_CRASH,
   /** A claimant crashes and starts again. */
-  CLAIMANT_CRASH,
+  CANDIDATE_CRASH,
   /** A leader gives the register up. */
-  RELEASE,
+  RESIGNATION,
   /** A step of the one change of membership: it becomes pending, then it ends. */
-  SET_CHANGE
+  RECONFIGURATION
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
@@ -35,7 +35,7 @@
     return acknowledged;
   }
 
-  Epoch told(String replica) {
+  Epoch promisedTo(String replica) {
     return told.getOrDefault(replica, Epoch.NONE);
   }
 
@@ -48,7 +48,7 @@
     if (present != null && !same(present, entry)) {
       throw new InvariantViolation(
           Invariant.ONE_VALUE,
-          by + " has " + text(entry) + " where " + text(present) + " was committed");
+          by + " has " + describe(entry) + " where " + describe(present) + " was committed");
     }
   }
 
@@ -72,21 +72,21 @@
   }
 
   /** A leader is about to add an entry to its view. */
-  void folded(String leader, List<LogEntry> log, List<LogEntry> view, LogEntry entry) {
+  void applied(String leader, List<LogEntry> log, List<LogEntry> view, LogEntry entry) {
     committed(leader + "'s view", entry);
     long last = lastOf(view);
     if (entry.sequence() <= last) {
       throw new InvariantViolation(
-          Invariant.VIEW_IS_LOG, leader + " folds " + text(entry) + " after sequence " + last);
+          Invariant.VIEW_IS_LOG, leader + " folds " + describe(entry) + " after sequence " + last);
     }
-    if (entry.whole()) {
+    if (entry.snapshot()) {
       return;
     }
     for (LogEntry each : log) {
-      if (!each.isTakeover() && each.sequence() > last && each.sequence() < entry.sequence()) {
+      if (!each.isEpochStart() && each.sequence() > last && each.sequence() < entry.sequence()) {
         throw new InvariantViolation(
             Invariant.VIEW_IS_LOG,
-            leader + " folds " + text(entry) + " and has never folded " + text(each));
+            leader + " folds " + describe(entry) + " and has never folded " + describe(each));
       }
     }
   }
@@ -113,10 +113,10 @@
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
-  static String text(LogEntry entry) {
+  static String describe(LogEntry entry) {
     return entry.sequence()
         + "="
-        + (entry.isTakeover() ? "takeover" : new String(entry.event(), UTF_8))
+        + (entry.isEpochStart() ? "takeover" : new String(entry.event(), UTF_8))
         + " of epoch "
         + entry.epoch().counter()
         + entry.epoch().node();
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelPlan.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelPlan.java
@@ -8,14 +8,14 @@
 import static applespindle.corelogic.replication.ModelBounds.Start.SUPERSEDED;
 import static applespindle.corelogic.replication.ModelBounds.from;
 import static applespindle.corelogic.replication.ModelEvent.APPEND;
-import static applespindle.corelogic.replication.ModelEvent.CLAIM;
-import static applespindle.corelogic.replication.ModelEvent.CLAIMANT_CRASH;
+import static applespindle.corelogic.replication.ModelEvent.CANDIDATE_CRASH;
 import static applespindle.corelogic.replication.ModelEvent.CLOCK_JUMP;
 import static applespindle.corelogic.replication.ModelEvent.DUPLICATE;
+import static applespindle.corelogic.replication.ModelEvent.ELECTION;
 import static applespindle.corelogic.replication.ModelEvent.READ;
-import static applespindle.corelogic.replication.ModelEvent.RELEASE;
+import static applespindle.corelogic.replication.ModelEvent.RECONFIGURATION;
 import static applespindle.corelogic.replication.ModelEvent.REPLICA_CRASH;
-import static applespindle.corelogic.replication.ModelEvent.SET_CHANGE;
+import static applespindle.corelogic.replication.ModelEvent.RESIGNATION;
 import static applespindle.corelogic.replication.ModelEvent.TIMER;
 
 /** Named bounds, each made for one kind of trouble. */
@@ -25,57 +25,58 @@
   /** A leader's commands whose outcome it learns late. */
   EXPIRY(from(LED, 1).with(APPEND, 2).with(READ, 1).with(TIMER, 2).with(CLOCK_JUMP, 1)),
   /** A second claimant takes over while the first goes on. */
-  TAKEOVER(from(LED, 2).with(CLAIM, 1).with(APPEND, 2)),
+  TAKEOVER(from(LED, 2).with(ELECTION, 1).with(APPEND, 2)),
   /** A leader reads while another takes over. */
-  READS(from(LED, 2).with(CLAIM, 1).with(APPEND, 1).with(READ, 1).with(TIMER, 1)),
+  READS(from(LED, 2).with(ELECTION, 1).with(APPEND, 1).with(READ, 1).with(TIMER, 1)),
   /** The first leader goes on after it was superseded. */
   SUPERSEDED_LEADER(from(SUPERSEDED, 2).with(APPEND, 3).with(TIMER, 1)),
   /** Both claim, append and read. */
-  TWO_CLAIMANTS(from(LED, 2).with(CLAIM, 2).with(APPEND, 2).with(READ, 1).with(TIMER, 1)),
+  TWO_CLAIMANTS(from(LED, 2).with(ELECTION, 2).with(APPEND, 2).with(READ, 1).with(TIMER, 1)),
   /** Both claim while one replica holds entries that the others lack. */
-  DIVERGED_LOGS(from(DIVERGED, 2).with(CLAIM, 2).with(APPEND, 1)),
+  DIVERGED_LOGS(from(DIVERGED, 2).with(ELECTION, 2).with(APPEND, 1)),
   /** Replicas crash with unsynced writes. */
-  CRASHES(from(LED, 2).with(CLAIM, 1).with(APPEND, 1).with(REPLICA_CRASH, 2).withSlowDisks()),
+  CRASHES(from(LED, 2).with(ELECTION, 1).with(APPEND, 1).with(REPLICA_CRASH, 2).withSlowDisks()),
   /** A leader crashes and claims again, with the epoch of its former life. */
-  FORMER_LIFE(from(DIVERGED, 1).with(CLAIM, 1).with(APPEND, 1).with(CLAIMANT_CRASH, 1)),
+  FORMER_LIFE(from(DIVERGED, 1).with(ELECTION, 1).with(APPEND, 1).with(CANDIDATE_CRASH, 1)),
   /** A claimant crashes, claims again, and hears answers to its former life, also twice. */
   FORMER_LIFE_TWICE(
-      from(BLANK, 1).with(CLAIM, 2).with(APPEND, 2).with(CLAIMANT_CRASH, 1).with(DUPLICATE, 1)),
+      from(BLANK, 1).with(ELECTION, 2).with(APPEND, 2).with(CANDIDATE_CRASH, 1).with(DUPLICATE, 1)),
   /** A leader gives the register up and claims it again in the same life. */
-  RELEASED(from(DIVERGED, 1).with(RELEASE, 1).with(CLAIM, 1).with(APPEND, 1)),
+  RELEASED(from(DIVERGED, 1).with(RESIGNATION, 1).with(ELECTION, 1).with(APPEND, 1)),
   /** Two claim at once, and one begins a further round. */
-  CLAIM_ROUNDS(from(BLANK, 2).with(CLAIM, 2).with(APPEND, 1).with(TIMER, 1)),
+  CLAIM_ROUNDS(from(BLANK, 2).with(ELECTION, 2).with(APPEND, 1).with(TIMER, 1)),
   /** Values that hold the whole state, from one leader: what precedes them is dropped. */
   SNAPSHOTS_ALONE(from(LED, 1).with(APPEND, 2).with(TIMER, 1).withSnapshotValues()),
   /** The same with all that may overtake them. */
   SNAPSHOTS(
       from(LED, 2)
-          .with(CLAIM, 1)
+          .with(ELECTION, 1)
           .with(APPEND, 2)
           .with(TIMER, 2)
           .with(DUPLICATE, 1)
           .with(REPLICA_CRASH, 1)
           .withSnapshotValues()),
   /** One replica is replaced by a newcomer. */
-  SET_CHANGE_ALONE(from(LED, 1).with(APPEND, 1).with(SET_CHANGE, 2)),
+  SET_CHANGE_ALONE(from(LED, 1).with(APPEND, 1).with(RECONFIGURATION, 2)),
   /** The same after a value that one replica lacks. */
-  SET_CHANGE_LAGGING(from(LAGGING, 1).with(SET_CHANGE, 2)),
+  SET_CHANGE_LAGGING(from(LAGGING, 1).with(RECONFIGURATION, 2)),
   /** A leader goes on while the change ends. */
-  SET_CHANGE_ENDS(from(COPIED, 1).with(APPEND, 1).with(SET_CHANGE, 1)),
+  SET_CHANGE_ENDS(from(COPIED, 1).with(APPEND, 1).with(RECONFIGURATION, 1)),
   /** Two lead or claim while the change ends. */
-  SET_CHANGE_ENDS_AND_CLAIM(from(COPIED, 2).with(CLAIM, 1).with(APPEND, 2).with(SET_CHANGE, 1)),
+  SET_CHANGE_ENDS_AND_CLAIM(
+      from(COPIED, 2).with(ELECTION, 1).with(APPEND, 2).with(RECONFIGURATION, 1)),
   /** The whole change beside a second claimant. */
-  SET_CHANGE_AND_CLAIM(from(LED, 2).with(CLAIM, 1).with(APPEND, 2).with(SET_CHANGE, 2)),
+  SET_CHANGE_AND_CLAIM(from(LED, 2).with(ELECTION, 1).with(APPEND, 2).with(RECONFIGURATION, 2)),
   /** The same while one replica holds entries that the others lack. */
-  SET_CHANGE_DIVERGED(from(DIVERGED, 2).with(CLAIM, 1).with(APPEND, 1).with(SET_CHANGE, 2)),
+  SET_CHANGE_DIVERGED(from(DIVERGED, 2).with(ELECTION, 1).with(APPEND, 1).with(RECONFIGURATION, 2)),
   /** The same with unsynced writes and a crash. */
   SET_CHANGE_AND_CRASH(
       from(LED, 2)
-          .with(CLAIM, 1)
+          .with(ELECTION, 1)
           .with(APPEND, 1)
           .with(TIMER, 1)
           .with(REPLICA_CRASH, 1)
-          .with(SET_CHANGE, 2)
+          .with(RECONFIGURATION, 2)
           .withSlowDisks()),
   /** All troubles at once: too large to be searched but by random walks. */
   EVERYTHING(everything()),
@@ -90,16 +91,16 @@
 
   private static ModelBounds everything() {
     return from(LED, 2)
-        .with(CLAIM, 4)
+        .with(ELECTION, 4)
         .with(APPEND, 4)
         .with(READ, 2)
         .with(TIMER, 8)
         .with(CLOCK_JUMP, 2)
         .with(DUPLICATE, 1)
         .with(REPLICA_CRASH, 3)
-        .with(CLAIMANT_CRASH, 1)
-        .with(RELEASE, 1)
-        .with(SET_CHANGE, 2)
+        .with(CANDIDATE_CRASH, 1)
+        .with(RESIGNATION, 1)
+        .with(RECONFIGURATION, 2)
         .withSlowDisks();
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
@@ -40,12 +40,12 @@
   }
 
   /** Whether this life has told that its copy is whole. */
-  boolean copied() {
+  boolean hasCaughtUp() {
     return copied;
   }
 
   /** Learns of the pending set that it is to join, and begins to copy. */
-  void copyIn(String setName, long number, List<NodeAddress> sources, LongSupplier numberInForce) {
+  void join(String setName, long number, List<NodeAddress> sources, LongSupplier numberInForce) {
     replicas.adoptConfiguration(
         setName,
         number,
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -107,7 +107,7 @@
     this.bounds = bounds;
     for (NodeAddress replica : PENDING.allReplicas()) {
       boolean member = FIRST.current().contains(replica);
-      if (member || bounds.most(ModelEvent.SET_CHANGE) > 0) {
+      if (member || bounds.most(ModelEvent.RECONFIGURATION) > 0) {
         disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), SET));
         startReplica(replica.id());
       }
@@ -141,7 +141,7 @@
       return;
     }
     ModelCandidate first = claimants.get(CLAIMANTS.get(0));
-    act(first.runtime(), first::claim);
+    act(first.runtime(), first::elect);
     settle(ALL);
     act(first.runtime(), () -> first.append(value(0)));
     settle(ALL);
@@ -153,14 +153,14 @@
       case LAGGING -> appendReaching(first, -1, NOT_TO_FIRST);
       case SUPERSEDED -> {
         ModelCandidate second = claimants.get(CLAIMANTS.get(1));
-        act(second.runtime(), second::claim);
+        act(second.runtime(), second::elect);
         settle(message -> NOT_TO_FIRST.test(message) && !second.leads());
       }
       case COPIED -> {
         inForce = PENDING;
         copyIn();
         settle(ALL);
-        while (!replicas.get(NEWCOMER).copied()) {
+        while (!replicas.get(NEWCOMER).hasCaughtUp()) {
           endPauses(replicas.get(NEWCOMER).runtime());
           settle(ALL);
         }
@@ -285,8 +285,8 @@
   private void addClients(List<Step> steps) {
     claimants.forEach(
         (id, claimant) -> {
-          if (claimant.idle() && left(ModelEvent.CLAIM)) {
-            steps.add(step("claim by " + id, ModelEvent.CLAIM, claimant, claimant::claim));
+          if (claimant.idle() && left(ModelEvent.ELECTION)) {
+            steps.add(step("claim by " + id, ModelEvent.ELECTION, claimant, claimant::elect));
           }
           if (!claimant.leads()) {
             return;
@@ -303,8 +303,8 @@
           if (left(ModelEvent.READ)) {
             steps.add(step("read by " + id, ModelEvent.READ, claimant, claimant::read));
           }
-          if (left(ModelEvent.RELEASE)) {
-            steps.add(step("release by " + id, ModelEvent.RELEASE, claimant, claimant::release));
+          if (left(ModelEvent.RESIGNATION)) {
+            steps.add(step("release by " + id, ModelEvent.RESIGNATION, claimant, claimant::resign));
           }
         });
   }
@@ -357,7 +357,7 @@
             }
           });
     }
-    if (left(ModelEvent.CLAIMANT_CRASH)) {
+    if (left(ModelEvent.CANDIDATE_CRASH)) {
       claimants.forEach(
           (id, claimant) -> {
             if (!claimant.idle()) {
@@ -366,7 +366,7 @@
                       () -> "crash of " + id,
                       "",
                       counting(
-                          ModelEvent.CLAIMANT_CRASH,
+                          ModelEvent.CANDIDATE_CRASH,
                           () -> {
                             claimant.runtime().end();
                             startClaimant(id);
@@ -384,11 +384,11 @@
   }
 
   private void addSetChange(List<Step> steps) {
-    if (left(ModelEvent.SET_CHANGE)) {
+    if (left(ModelEvent.RECONFIGURATION)) {
       if (inForce == FIRST) {
         steps.add(change("pending set in force", PENDING));
       } else if (inForce == PENDING) {
-        if (replicas.get(NEWCOMER).copied()) {
+        if (replicas.get(NEWCOMER).hasCaughtUp()) {
           steps.add(change("new set in force", CHANGED));
         }
         steps.add(change("change of set called off", CALLED_OFF));
@@ -403,7 +403,7 @@
                     "",
                     () -> {
                       known.put(id, inForce);
-                      act(claimant.runtime(), () -> claimant.changeSets(inForce));
+                      act(claimant.runtime(), () -> claimant.reconfigure(inForce));
                     }));
           }
         });
@@ -414,7 +414,9 @@
 
   private Step change(String label, ReplicaConfiguration replicaConfiguration) {
     return new Step(
-        () -> label, "", counting(ModelEvent.SET_CHANGE, () -> inForce = replicaConfiguration));
+        () -> label,
+        "",
+        counting(ModelEvent.RECONFIGURATION, () -> inForce = replicaConfiguration));
   }
 
   private boolean newcomerKnows() {
@@ -426,7 +428,7 @@
     copying.add(newcomer);
     act(
         newcomer.runtime(),
-        () -> newcomer.copyIn(SET, PENDING_SET, FIRST.current(), () -> inForce.version()));
+        () -> newcomer.join(SET, PENDING_SET, FIRST.current(), () -> inForce.version()));
   }
 
   // ---- invariants and state
@@ -456,7 +458,7 @@
     if (before != null && promised.isBelow(before)) {
       throw new InvariantViolation(Invariant.PROMISE_KEPT, id + " fell to " + promised);
     }
-    Epoch told = history.told(id);
+    Epoch told = history.promisedTo(id);
     if (promised.isBelow(told) || promised(disks.get(id).recoverable()).isBelow(told)) {
       throw new InvariantViolation(
           Invariant.PROMISE_KEPT, id + " has promised " + promised + " and told " + told);
@@ -482,7 +484,7 @@
     if (!counted.isQuorum(holders)) {
       throw new InvariantViolation(
           Invariant.ACKNOWLEDGED_KEPT,
-          ModelHistory.text(entry) + " is recoverable at " + holders + " only");
+          ModelHistory.describe(entry) + " is recoverable at " + holders + " only");
     }
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -1010,10 +1010,10 @@
     String key = replicas.lastChangedKey();
     String holder = holder(process, key);
     LogReplicas.View view = replicas.view(key);
-    Epoch before = promisedBefore.put(holder, view.promised());
-    if (before != null && view.promised().compareTo(before) < 0) {
+    Epoch before = promisedBefore.put(holder, view.promisedEpoch());
+    if (before != null && view.promisedEpoch().compareTo(before) < 0) {
       throw new InvariantBroken(
-          "epoch fell on " + holder + ": " + before + " to " + view.promised());
+          "epoch fell on " + holder + ": " + before + " to " + view.promisedEpoch());
     }
     long checkedTo = steps % FULL_CHECK_EVERY == 0 ? 0 : checkedUpTo.getOrDefault(holder, 0L) - 1;
     view.committedEntries().stream()
