--- a/core-logic/src/main/java/applespindle/corelogic/replication/Elections.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/Elections.java
@@ -12,8 +12,11 @@
 import java.util.function.Function;
 
 /**
- * The claims under way in one node: at most one for each key; whoever asks meanwhile hears of its
- * outcome too.
+ * The elections in which this node is a candidate, by key.
+ *
+ * <p>Invariants: there is at most one election for each key; whoever asks for it while it runs gets
+ * its outcome too, each exactly once. A leader that was elected is handed to the listener before
+ * anybody gets the outcome, and isn't kept here.
  */
 public final class Elections {
   private final Environment environment;
@@ -25,64 +28,93 @@
   private final Map<String, ReplicatedLogLeader> candidates = new HashMap<>();
   private final Map<String, List<Consumer<ElectionOutcome>>> waiting = new HashMap<>();
 
+  /** Elections of leaders that send every heartbeat to every replica. */
   public Elections(
       Environment environment,
       String nodeId,
       MessageSender sender,
-      Function<String, ReplicaConfiguration> setsOf,
-      Consumer<ReplicatedLogLeader> whenOwned) {
-    this(environment, nodeId, sender, setsOf, whenOwned, false);
+      Function<String, ReplicaConfiguration> configurationOf,
+      Consumer<ReplicatedLogLeader> electedListener) {
+    this(environment, nodeId, sender, configurationOf, electedListener, false);
   }
 
+  /**
+   * @param configurationOf the replicas of a key, as far as this node knows; {@link
+   *     ReplicaConfiguration#NONE} if it doesn't
+   * @param electedListener gets each leader once it is established
+   * @param quietWhenIdle whether leaders spare replicas that have everything most heartbeats, as
+   *     those know by other messages that this node lives
+   */
   public Elections(
       Environment environment,
       String nodeId,
       MessageSender sender,
-      Function<String, ReplicaConfiguration> setsOf,
-      Consumer<ReplicatedLogLeader> whenOwned,
+      Function<String, ReplicaConfiguration> configurationOf,
+      Consumer<ReplicatedLogLeader> electedListener,
       boolean quietWhenIdle) {
-    this.quietWhenIdle = quietWhenIdle;
     this.environment = environment;
     this.nodeId = nodeId;
     this.sender = sender;
-    this.configurationOf = setsOf;
-    this.electedListener = whenOwned;
+    this.configurationOf = configurationOf;
+    this.electedListener = electedListener;
+    this.quietWhenIdle = quietWhenIdle;
   }
 
-  public void elect(String key, boolean handedOver, Consumer<ElectionOutcome> then) {
+  /**
+   * Makes this node a candidate for the key, unless it is one already.
+   *
+   * @param leadershipTransferred whether the former leader has handed the key over, so that
+   *     replicas vote even if they heard from it of late
+   * @param callback gets the outcome; possibly before this returns
+   */
+  public void elect(String key, boolean leadershipTransferred, Consumer<ElectionOutcome> callback) {
     List<Consumer<ElectionOutcome>> others = waiting.get(key);
     if (others != null) {
-      others.add(then);
+      others.add(callback);
       return;
     }
-    waiting.put(key, new ArrayList<>(List.of(then)));
-    ReplicatedLogLeader[] holder = new ReplicatedLogLeader[1];
-    holder[0] =
+    waiting.put(key, new ArrayList<>(List.of(callback)));
+    Candidacy candidacy = new Candidacy(key);
+    ReplicatedLogLeader candidate =
         new ReplicatedLogLeader(
             environment,
             nodeId,
             sender,
             key,
             configurationOf.apply(key),
-            handedOver,
+            leadershipTransferred,
             quietWhenIdle,
-            outcome -> {
-              candidates.remove(key);
-              if (outcome.result() == ElectionResult.ELECTED) {
-                electedListener.accept(holder[0]);
-              }
-              waiting.remove(key).forEach(each -> each.accept(outcome));
-            });
-    if (holder[0].state() == ReplicatedLogLeader.LeadershipState.ELECTING) {
-      candidates.put(key, holder[0]);
+            candidacy::finish);
+    candidacy.candidate = candidate;
+    if (candidate.state() == ReplicatedLogLeader.LeadershipState.ELECTING) {
+      candidates.put(key, candidate);
+    }
+  }
+
+  /** Ties the outcome of an election to the candidate, which is known only after it has begun. */
+  private final class Candidacy {
+    private final String key;
+    private ReplicatedLogLeader candidate;
+
+    Candidacy(String key) {
+      this.key = key;
+    }
+
+    void finish(ElectionOutcome outcome) {
+      candidates.remove(key);
+      if (outcome.result() == ElectionResult.ELECTED) {
+        electedListener.accept(candidate);
+      }
+      waiting.remove(key).forEach(each -> each.accept(outcome));
     }
   }
 
-  /** The key while its claim is under way, else null. */
+  /** The candidate for the key while its election runs, else null. */
   public ReplicatedLogLeader inProgress(String key) {
     return candidates.get(key);
   }
 
+  /** Takes a replica's response; ignored if there is no election for its key. */
   public void handleVoteResponse(VoteResponse message, String fromId) {
     ReplicatedLogLeader candidate = candidates.get(message.key());
     if (candidate != null) {
@@ -90,6 +122,7 @@
     }
   }
 
+  /** Takes a part of a log; ignored if there is no election for its key. */
   public void handleLogFetchResponse(LogFetchResponse message) {
     ReplicatedLogLeader candidate = candidates.get(message.key());
     if (candidate != null) {
@@ -97,7 +130,7 @@
     }
   }
 
-  /** Lets every claim under way go on with the sets as they are known now. */
+  /** Continues every election with the configurations as they are known now. */
   public void reconfigure() {
     List.copyOf(candidates.values())
         .forEach(candidate -> candidate.reconfigure(configurationOf.apply(candidate.key)));
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
@@ -4,6 +4,7 @@
 
 import applespindle.corelogic.constants.ReplicationConstants;
 import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.environment.Environment.ScheduledTask;
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.metadata.NodeAddress;
@@ -15,9 +16,15 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the log that a claimant has to take over, part by part, from replicas that promised its
- * epoch and end with the same entry; of such logs every entry is the same. What has arrived is
- * kept: a slow link delays the claim and doesn't begin it anew.
+ * Fetches the log that a candidate has to adopt, part by part, from replicas that voted for its
+ * epoch and whose logs end with the same entry; in such logs every entry is the same. What has
+ * arrived is kept: a slow link delays the election and doesn't begin it anew.
+ *
+ * <p>State: the entries received so far and the next sequence to fetch. A request that isn't
+ * answered goes to the next source after a wait that doubles each time.
+ *
+ * <p>Invariants: the received entries are contiguous and end just before the next sequence; at most
+ * one of the two listeners runs, once, and none after {@link #cancel}.
  */
 final class LogTransfer {
   private final Environment environment;
@@ -26,97 +33,108 @@
   private final Epoch epoch;
   private final List<NodeAddress> sources;
   private final List<LogEntry> tail;
-  private final Consumer<List<LogEntry>> whenWhole;
-  private final Runnable whenFailed;
+  private final Consumer<List<LogEntry>> completionListener;
+  private final Runnable failureListener;
   private final List<LogEntry> received = new ArrayList<>();
   private long nextSequence;
-  private int tries;
-  private long progressAt;
-  private long waitMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
-  private Environment.ScheduledTask retry = () -> {};
+  private int retries;
+  private long progressAtMs;
+  private long retryAfterMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
+  private ScheduledTask retry = () -> {};
 
-  /** tail: the last entries of the log, as the sources told them with their promises. */
+  /**
+   * Sends the first request.
+   *
+   * @param sources the replicas to fetch from; at least one
+   * @param logStartSequence the first sequence of the log
+   * @param tail the last entries of the log, as the sources sent them with their votes; at least
+   *     one
+   * @param completionListener gets the complete log
+   * @param failureListener runs once a source refuses, or nothing has arrived for {@link
+   *     ReplicationConstants#LOG_TRANSFER_TIMEOUT_MS}
+   */
   LogTransfer(
       Environment environment,
       MessageSender sender,
       String key,
       Epoch epoch,
       List<NodeAddress> sources,
-      long logStart,
+      long logStartSequence,
       List<LogEntry> tail,
-      Consumer<List<LogEntry>> whenWhole,
-      Runnable whenFailed) {
+      Consumer<List<LogEntry>> completionListener,
+      Runnable failureListener) {
     this.environment = environment;
     this.sender = sender;
     this.key = key;
     this.epoch = epoch;
     this.sources = List.copyOf(sources);
     this.tail = List.copyOf(tail);
-    this.whenWhole = whenWhole;
-    this.whenFailed = whenFailed;
-    nextSequence = logStart;
-    progressAt = environment.nowMs();
-    askOn();
+    this.completionListener = completionListener;
+    this.failureListener = failureListener;
+    nextSequence = logStartSequence;
+    progressAtMs = environment.nowMs();
+    requestNextPart();
   }
 
   private long tailStart() {
     return tail.get(0).sequence();
   }
 
-  private void askOn() {
-    NodeAddress source = sources.get(tries % sources.size());
+  private void requestNextPart() {
+    NodeAddress source = sources.get(retries % sources.size());
     sender.send(
         source.address(),
         source.id(),
         new LogFetchRequest(key, epoch, nextSequence, tailStart() - 1, tail.get(0).epoch()));
-    retry = environment.schedule(waitMs, this::askAnother);
+    retry = environment.schedule(retryAfterMs, this::retryWithNextSource);
   }
 
-  private void askAnother() {
-    if (environment.nowMs() - progressAt >= ReplicationConstants.LOG_TRANSFER_TIMEOUT_MS) {
-      whenFailed.run();
+  private void retryWithNextSource() {
+    if (environment.nowMs() - progressAtMs >= ReplicationConstants.LOG_TRANSFER_TIMEOUT_MS) {
+      failureListener.run();
       return;
     }
-    tries++;
-    waitMs *= 2;
-    askOn();
+    retries++;
+    retryAfterMs *= 2;
+    requestNextPart();
   }
 
+  /** Takes a part of the log, and requests the next one or completes the transfer. */
   void handleResponse(LogFetchResponse part) {
     if (part.verdict() != OK) {
       cancel();
-      whenFailed.run();
+      failureListener.run();
       return;
     }
-    if (!accept(part.entries())) {
+    if (!addNewEntries(part.entries())) {
       return;
     }
     retry.cancel();
-    progressAt = environment.nowMs();
-    waitMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
+    progressAtMs = environment.nowMs();
+    retryAfterMs = ReplicationConstants.LOG_FETCH_TIMEOUT_MS;
     if (nextSequence < tailStart()) {
-      askOn();
+      requestNextPart();
       return;
     }
     received.addAll(tail);
-    whenWhole.accept(received);
+    completionListener.accept(received);
   }
 
-  /** False if there is nothing new in it: an answer to an ask that was repeated. */
-  private boolean accept(List<LogEntry> entries) {
-    if (entries.isEmpty() || entries.get(entries.size() - 1).sequence() < nextSequence) {
+  /** Returns false if nothing in the part is new: a response to a request that was repeated. */
+  private boolean addNewEntries(List<LogEntry> part) {
+    if (part.isEmpty() || part.get(part.size() - 1).sequence() < nextSequence) {
       return false;
     }
-    LogEntry first = entries.get(0);
+    LogEntry first = part.get(0);
     if (first.sequence() > nextSequence) {
       if (!first.snapshot()) {
         return false;
       }
-      // This source has dropped what a whole entry makes needless.
+      // The source has dropped the entries that this snapshot replaces.
       received.clear();
       nextSequence = first.sequence();
     }
-    for (LogEntry entry : entries) {
+    for (LogEntry entry : part) {
       if (entry.sequence() == nextSequence) {
         received.add(entry);
         nextSequence++;
@@ -125,6 +143,7 @@
     return true;
   }
 
+  /** Ends the transfer without running a listener. */
   void cancel() {
     retry.cancel();
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfigurationVersions.java
@@ -8,16 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * The highest number known of each replica set. Invariants: a number never falls; every message
- * with a lower one is refused; no reply leaves before each number known is synced.
+ * The highest version known of each replica configuration.
+ *
+ * <p>Invariants, over restarts too: a version never falls; every message with a lower one is
+ * refused; no reply leaves before each version known is synced.
  */
 final class ReplicaConfigurationVersions {
   private final Environment environment;
 
-  /** By set name. */
-  private final Map<String, Long> numbers = new TreeMap<>();
+  /** By name of the configuration. */
+  private final Map<String, Long> versions = new TreeMap<>();
 
-  /** How many numbers are recorded in memory and not yet synced. */
+  /** How many versions are recorded in memory and not yet synced. */
   private long unsynced;
 
   ReplicaConfigurationVersions(Environment environment) {
@@ -26,46 +28,51 @@
 
   /** Replays a record of this node's log. */
   void recover(LogRecord record) {
-    numbers.merge(record.key(), record.sequence(), Math::max);
+    versions.merge(record.key(), record.sequence(), Math::max);
   }
 
-  /** Every number, for a snapshot. */
+  /** The records of every version, for a checkpoint. */
   List<LogRecord> records() {
     List<LogRecord> records = new ArrayList<>();
-    numbers.forEach((name, number) -> records.add(LogRecords.configurationVersion(name, number)));
+    versions.forEach(
+        (name, version) -> records.add(LogRecords.configurationVersion(name, version)));
     return records;
   }
 
-  /** The number of a set; 0 while none is known. */
+  /** The version of a configuration; 0 while none is known. */
   long get(String name) {
-    return numbers.getOrDefault(name, 0L);
+    return versions.getOrDefault(name, 0L);
   }
 
-  /** Records that the set has this number; the callback runs once that is synced. */
-  void adopt(String name, long number, Runnable whenSynced) {
-    if (number <= get(name)) {
+  /**
+   * Records that the configuration has at least this version; the callback runs once that is
+   * synced.
+   */
+  void adopt(String name, long version, Runnable whenSynced) {
+    if (version <= get(name)) {
       environment.write(List.of(), whenSynced);
       return;
     }
-    numbers.put(name, number);
+    versions.put(name, version);
     unsynced++;
     environment.write(
-        List.of(LogRecords.configurationVersion(name, number)),
+        List.of(LogRecords.configurationVersion(name, version)),
         () -> {
           unsynced--;
           whenSynced.run();
         });
   }
 
-  /** True if this is an older number than the one known here; a newer one is recorded at once. */
-  boolean isStale(String name, long number) {
+  /** Whether this version is older than the one known here; a newer one is recorded at once. */
+  boolean isStale(String name, long version) {
     long known = get(name);
-    if (number > known) {
-      adopt(name, number, () -> {});
+    if (version > known) {
+      adopt(name, version, () -> {});
     }
-    return number < known;
+    return version < known;
   }
 
+  /** Whether every version known is synced. */
   boolean synced() {
     return unsynced == 0;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaSnapshot.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaSnapshot.java
@@ -6,8 +6,13 @@
 import java.util.List;
 
 /**
- * One key as it is sent to a newcomer. partial: the first entry is one that whoever asked said it
- * holds, and nothing before it is here.
+ * One key's replica as it is sent to a joining replica.
+ *
+ * @param promisedEpoch the epoch below which the source refuses messages
+ * @param committedSequence how far the source knows the log to be committed
+ * @param partial whether the first entry is one that the joining replica said it holds, and entries
+ *     before it are left out
+ * @param entries contiguous by sequence; not empty if partial
  */
 public record ReplicaSnapshot(
     String key,
