--- a/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
@@ -6,69 +6,80 @@
 import java.util.function.Predicate;
 
 /**
- * How many more losses can be borne at this moment, and for how long it has been fewer than asked
- * for: of the core, and of the shard that is worst off.
+ * How many more replicas may fail without a loss of quorum, and for how long it has been fewer than
+ * required: for the core, and for the shard with the least tolerance.
+ *
+ * <p>Invariant: a shortage lasts from the first update below the required number to the first one
+ * that reaches it.
  */
 public final class FaultToleranceMonitor {
-  /** One kind of replica set: what it bears, and since when that is too little. */
-  private static final class Margin {
-    private int bearable;
-    private boolean fewer;
-    private long fewerSince;
+  /** The tolerance of one kind of configuration, and since when it is too small. */
+  private static final class Tolerance {
+    private int failures;
+    private boolean insufficient;
+    private long insufficientSinceMs;
 
-    void take(int now, int asked, long at) {
-      bearable = now;
-      if (now >= asked) {
-        fewer = false;
-      } else if (!fewer) {
-        fewer = true;
-        fewerSince = at;
+    void update(int failuresNow, int required, long nowMs) {
+      failures = failuresNow;
+      if (failuresNow >= required) {
+        insufficient = false;
+      } else if (!insufficient) {
+        insufficient = true;
+        insufficientSinceMs = nowMs;
       }
     }
 
-    long fewerForMs(long now) {
-      return fewer ? now - fewerSince : 0;
+    long insufficientForMs(long nowMs) {
+      return insufficient ? nowMs - insufficientSinceMs : 0;
     }
   }
 
-  private final int asked;
-  private final Margin core = new Margin();
-  private final Margin shards = new Margin();
+  private final int requiredFailures;
+  private final Tolerance core = new Tolerance();
+  private final Tolerance worstShard = new Tolerance();
 
-  public FaultToleranceMonitor(int asked) {
-    this.asked = asked;
+  /**
+   * @param requiredFailures how many failures the deployment is meant to tolerate
+   */
+  public FaultToleranceMonitor(int requiredFailures) {
+    this.requiredFailures = requiredFailures;
   }
 
   /**
-   * How many of the sets' present replicas may go while a majority of each set is left. While a
-   * change is under way both sets count, and a newcomer counts as absent: it may not hold all yet.
+   * How many of the present replicas may fail while a majority of each set is left. While a change
+   * is pending both sets count, and a joining replica counts as absent: its log may be incomplete.
+   *
+   * @param present whether the replica of this id is alive
    */
   public static int remainingTolerableFailures(
       ReplicaConfiguration replicaConfiguration, Predicate<String> present) {
-    List<String> holders =
+    List<String> presentIds =
         replicaConfiguration.current().stream().map(NodeAddress::id).filter(present).toList();
-    int ofPresent = remainingTolerableFailures(replicaConfiguration.current(), holders);
+    int ofCurrent = remainingTolerableFailures(replicaConfiguration.current(), presentIds);
     return replicaConfiguration.isChanging()
-        ? Math.min(ofPresent, remainingTolerableFailures(replicaConfiguration.next(), holders))
-        : ofPresent;
+        ? Math.min(ofCurrent, remainingTolerableFailures(replicaConfiguration.next(), presentIds))
+        : ofCurrent;
   }
 
-  private static int remainingTolerableFailures(List<NodeAddress> set, List<String> holders) {
-    long left = set.stream().filter(replica -> holders.contains(replica.id())).count();
-    return (int) Math.max(0, left - (set.size() / 2 + 1));
+  private static int remainingTolerableFailures(
+      List<NodeAddress> replicas, List<String> presentIds) {
+    long present = replicas.stream().filter(each -> presentIds.contains(each.id())).count();
+    return (int) Math.max(0, present - ReplicaConfiguration.majorityOf(replicas));
   }
 
-  public void update(int bearableByCore, int bearableByWorstShard, long now) {
-    core.take(bearableByCore, asked, now);
-    shards.take(bearableByWorstShard, asked, now);
+  /** Takes the failures that can be tolerated at this time, in milliseconds. */
+  public void update(int failuresOfCore, int failuresOfWorstShard, long nowMs) {
+    core.update(failuresOfCore, requiredFailures, nowMs);
+    worstShard.update(failuresOfWorstShard, requiredFailures, nowMs);
   }
 
-  public void describe(ObjectNode status, long now) {
+  /** Writes the tolerance at this time, in milliseconds, into a node's status. */
+  public void describe(ObjectNode status, long nowMs) {
     status
-        .put("lossesAsked", asked)
-        .put("coreLossesBearable", core.bearable)
-        .put("coreFewerForMs", core.fewerForMs(now))
-        .put("shardLossesBearable", shards.bearable)
-        .put("shardFewerForMs", shards.fewerForMs(now));
+        .put("lossesAsked", requiredFailures)
+        .put("coreLossesBearable", core.failures)
+        .put("coreFewerForMs", core.insufficientForMs(nowMs))
+        .put("shardLossesBearable", worstShard.failures)
+        .put("shardFewerForMs", worstShard.insufficientForMs(nowMs));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -22,12 +22,25 @@
 import java.util.function.Function;
 
 /**
- * Brings a newcomer's copies of one set up to date: pages from a majority of the present set, each
- * source of which has refused older set numbers before its first page, so nothing can be committed
- * behind the newcomer's back.
+ * Brings the replicas of one configuration that a joining node keeps up to date, and serves the
+ * pages that other joining nodes ask for.
+ *
+ * <p>A joining node fetches all pages from a majority of the present replicas. Each source refuses
+ * older configuration versions before it serves its first page, so that nothing can be committed
+ * that the joining node misses.
+ *
+ * <p>State: the once-claims, which belong to the node and are shared with it. What is known of a
+ * catch-up under way is in its {@link CatchUpTask}.
  */
 public final class ReplicaCatchUp {
-  /** A page of a set; last is empty on the last one. Claims come with the first. */
+  /**
+   * A page of a configuration.
+   *
+   * @param snapshots the next keys in order
+   * @param onceClaims by once-id, the token that claimed it; all of them with the first page, none
+   *     with others
+   * @param lastKey the key to continue after; empty if there are no more pages
+   */
   public record Page(
       @JsonProperty("keys") List<ReplicaSnapshot> snapshots,
       @JsonProperty("claims") Map<String, String> onceClaims,
@@ -36,147 +49,161 @@
   private final Environment environment;
   private final Node node;
   private final LogReplicas replicas;
+  private final Map<String, String> onceClaims;
+  private final Function<String, String> configurationNameOfOnceId;
 
-  /** Once-claims by id, the holder's token; empty for the core. */
-  private final Map<String, String> claims;
-
-  private final Function<String, String> setNameOfClaim;
-
+  /**
+   * @param onceClaims by once-id, the token that claimed it; empty for the core
+   * @param configurationNameOfOnceId names the configuration that a once-id belongs to
+   */
   public ReplicaCatchUp(
       Environment environment,
       Node node,
       LogReplicas replicas,
-      Map<String, String> claims,
-      Function<String, String> setNameOfClaim) {
+      Map<String, String> onceClaims,
+      Function<String, String> configurationNameOfOnceId) {
     this.environment = environment;
     this.node = node;
     this.replicas = replicas;
-    this.claims = claims;
-    this.setNameOfClaim = setNameOfClaim;
+    this.onceClaims = onceClaims;
+    this.configurationNameOfOnceId = configurationNameOfOnceId;
   }
 
+  /**
+   * Fetches all keys of a configuration from a majority of the sources.
+   *
+   * @param name the name of the configuration
+   * @param version its version that this node joins with
+   * @param sources the present replicas
+   * @param stillPending whether the change of the configuration is still under way; without it no
+   *     further page is requested
+   * @param whenDone runs once, when a majority of the sources was fetched and synced
+   */
   public void catchUp(
       String name,
-      long number,
+      long version,
       List<NodeAddress> sources,
       BooleanSupplier stillPending,
       Runnable whenDone) {
-    new CatchUpTask(name, number, sources, stillPending, whenDone).next();
+    new CatchUpTask(name, version, sources, stillPending, whenDone).startNextSource();
   }
 
   /**
-   * One source after the other, as what the first has brought need not come again from the next.
-   * One that is slow or silent holds the next up only for a moment, and once a majority is copied
-   * no further one is asked.
+   * One catch-up. It takes one source after the other, as what the first has sent need not come
+   * again from the next. A source that is slow or doesn't answer delays the next one only for a
+   * moment, and once a majority was fetched no further one is started.
+   *
+   * <p>Invariant: the sources are started in order, each once; {@code finished <= started}.
    */
   private final class CatchUpTask {
     private final String name;
-    private final long number;
+    private final long version;
     private final List<NodeAddress> sources;
     private final BooleanSupplier stillPending;
     private final Runnable whenDone;
-    private int begun;
-    private int done;
+    private int started;
+    private int finished;
 
     CatchUpTask(
         String name,
-        long number,
+        long version,
         List<NodeAddress> sources,
         BooleanSupplier stillPending,
         Runnable whenDone) {
       this.name = name;
-      this.number = number;
+      this.version = version;
       this.sources = sources;
       this.stillPending = stillPending;
       this.whenDone = whenDone;
     }
 
-    private boolean enough() {
-      return done > sources.size() / 2;
+    private int majority() {
+      return sources.size() / 2 + 1;
     }
 
-    void next() {
-      if (begun == sources.size() || enough()) {
+    void startNextSource() {
+      if (started == sources.size() || finished >= majority()) {
         return;
       }
-      int source = begun++;
-      copyPage(
-          name,
-          number,
-          sources.get(source),
-          "",
-          stillPending,
-          () -> {
-            done++;
-            if (done == sources.size() / 2 + 1) {
-              whenDone.run();
-            }
-            if (begun == source + 1) {
-              next();
-            }
-          });
+      int source = started++;
+      requestPage(sources.get(source), "", () -> finishSource(source));
       environment.schedule(
-          ReplicationConstants.CATCH_UP_NEXT_SOURCE_DELAY_MS,
-          () -> {
-            if (begun == source + 1) {
-              next();
+          ReplicationConstants.CATCH_UP_NEXT_SOURCE_DELAY_MS, () -> startNextAfter(source));
+    }
+
+    private void finishSource(int source) {
+      finished++;
+      if (finished == majority()) {
+        whenDone.run();
+      }
+      startNextAfter(source);
+    }
+
+    /** Starts the next source, unless that was done already. */
+    private void startNextAfter(int source) {
+      if (started == source + 1) {
+        startNextSource();
+      }
+    }
+
+    private void requestPage(NodeAddress source, String after, Runnable whenFetched) {
+      if (!stillPending.getAsBoolean()) {
+        return;
+      }
+      node.sendRequest(
+          attempt -> new NodeAddress(source.id(), source.address()),
+          "copy",
+          name,
+          JSON.createObjectNode()
+              .put("setNumber", version)
+              .put("after", after)
+              .set("held", JSON.valueToTree(replicas.logEndsOf(name, after))),
+          PeerRequestConstants.REQUEST_TIMEOUT_MS,
+          response -> {
+            if (response.isSuccess()) {
+              Page page = JSON.convertValue(response.body(), Page.class);
+              takePage(page, source, after, whenFetched);
+            } else {
+              requestPageLater(
+                  ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, source, after, whenFetched);
             }
           });
     }
+
+    private void requestPageLater(
+        long delayMs, NodeAddress source, String after, Runnable whenFetched) {
+      environment.schedule(delayMs, () -> requestPage(source, after, whenFetched));
+    }
+
+    /** Merges a page, then requests the next one, or the same if a part of it didn't fit. */
+    private void takePage(Page page, NodeAddress source, String after, Runnable whenFetched) {
+      page.onceClaims().forEach(ReplicaCatchUp.this::addOnceClaim);
+      boolean fits = true;
+      for (ReplicaSnapshot snapshot : page.snapshots()) {
+        fits &= replicas.merge(snapshot, () -> {});
+      }
+      if (fits && page.lastKey().isEmpty()) {
+        environment.write(List.of(), whenFetched);
+        return;
+      }
+      requestPageLater(
+          ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
+          source,
+          fits ? page.lastKey() : after,
+          whenFetched);
+    }
   }
 
-  private void copyPage(
-      String name,
-      long number,
-      NodeAddress source,
-      String after,
-      BooleanSupplier stillPending,
-      Runnable whenDone) {
-    if (!stillPending.getAsBoolean()) {
-      return;
+  private void addOnceClaim(String id, String token) {
+    if (onceClaims.putIfAbsent(id, token) == null) {
+      environment.write(List.of(onceClaimRecord(id, token)), () -> {});
     }
-    node.sendRequest(
-        attempt -> new NodeAddress(source.id(), source.address()),
-        "copy",
-        name,
-        JSON.createObjectNode()
-            .put("setNumber", number)
-            .put("after", after)
-            .set("held", JSON.valueToTree(replicas.logEndsOf(name, after))),
-        PeerRequestConstants.REQUEST_TIMEOUT_MS,
-        response -> {
-          if (!response.isSuccess()) {
-            environment.schedule(
-                ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS,
-                () -> copyPage(name, number, source, after, stillPending, whenDone));
-            return;
-          }
-          Page page = JSON.convertValue(response.body(), Page.class);
-          page.onceClaims()
-              .forEach(
-                  (id, token) -> {
-                    if (claims.putIfAbsent(id, token) == null) {
-                      environment.write(List.of(onceClaimRecord(id, token)), () -> {});
-                    }
-                  });
-          boolean fits = true;
-          for (ReplicaSnapshot copied : page.snapshots()) {
-            fits &= replicas.merge(copied, () -> {});
-          }
-          if (!fits) {
-            environment.schedule(
-                ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
-                () -> copyPage(name, number, source, after, stillPending, whenDone));
-          } else if (page.lastKey().isEmpty()) {
-            environment.write(List.of(), whenDone);
-          } else {
-            environment.schedule(
-                ReplicationConstants.CATCH_UP_PAGE_DELAY_MS,
-                () -> copyPage(name, number, source, page.lastKey(), stillPending, whenDone));
-          }
-        });
   }
 
+  /**
+   * Answers a joining node's request for a page, once the version that it names is synced here and
+   * older ones are refused.
+   */
   public void servePage(PeerRequest request) {
     JsonNode body = Json.tree(request.body());
     String after = body.path("after").asText();
@@ -192,20 +219,24 @@
                   after,
                   held == null ? Map.of() : held,
                   ReplicationConstants.MAX_CATCH_UP_PAGE_BYTES);
-          Map<String, String> ofSet = new LinkedHashMap<>();
-          if (after.isEmpty()) {
-            claims.forEach(
-                (id, token) -> {
-                  if (setNameOfClaim.apply(id).equals(request.key())) {
-                    ofSet.put(id, token);
-                  }
-                });
-          }
+          Map<String, String> claims = after.isEmpty() ? onceClaimsOf(request.key()) : Map.of();
           String last = keys.isEmpty() ? "" : keys.get(keys.size() - 1).key();
-          node.respond(request, Response.of(200, new Page(keys, ofSet, last)));
+          node.respond(request, Response.of(200, new Page(keys, claims, last)));
+        });
+  }
+
+  private Map<String, String> onceClaimsOf(String configurationName) {
+    Map<String, String> claims = new LinkedHashMap<>();
+    onceClaims.forEach(
+        (id, token) -> {
+          if (configurationNameOfOnceId.apply(id).equals(configurationName)) {
+            claims.put(id, token);
+          }
         });
+    return claims;
   }
 
+  /** The record of a once-claim; an empty token takes the claim back. */
   public static LogRecord onceClaimRecord(String id, String token) {
     return new LogRecord(LogRecord.Kind.ONCE_CLAIM, id, new Epoch(0, token), 0, false, new byte[0]);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
@@ -11,12 +11,18 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Who replicates a key, under a number that only rises. While a next set is pending, everything
- * needs a majority of the present set and one of the next; so neither an owner that has not heard
- * of the change nor one that is ahead of it can act on replicas that the other does not meet.
+ * The replicas of a key under a version that only rises. While a change is pending there is a next
+ * set of replicas too, and every decision needs a majority of either set (joint consensus, as in
+ * Raft): neither a leader that hasn't heard of the change nor one that is ahead of it can act by
+ * replicas that don't meet the other's.
+ *
+ * @param version 0 for {@link #NONE} only
+ * @param current the replicas in force
+ * @param next the replicas after the pending change; empty if none is pending
  */
 public record ReplicaConfiguration(
     long version, List<NodeAddress> current, List<NodeAddress> next) {
+  /** What a node has that knows no replicas. */
   public static final ReplicaConfiguration NONE = new ReplicaConfiguration(0, List.of(), List.of());
 
   /** The replicas of a shard. */
@@ -25,10 +31,12 @@
         shard.number(), replicas(shard.replicas()), replicas(shard.next()));
   }
 
+  /** The same replicas without their zones. */
   public static List<NodeAddress> replicas(List<ShardReplica> replicas) {
     return replicas.stream().map(each -> new NodeAddress(each.id(), each.address())).toList();
   }
 
+  /** Whether there are no replicas, so that nothing can have a quorum. */
   public boolean isEmpty() {
     return current.isEmpty();
   }
@@ -37,7 +45,7 @@
     return !next.isEmpty();
   }
 
-  /** Each replica of either set, once. */
+  /** Each replica of either set, once; at the address in the present set if it is in both. */
   public Collection<NodeAddress> allReplicas() {
     Map<String, NodeAddress> byId = new LinkedHashMap<>();
     current.forEach(replica -> byId.put(replica.id(), replica));
@@ -45,23 +53,34 @@
     return new ArrayList<>(byId.values());
   }
 
+  /** Whether these replicas are a majority of the present set, and of the next if there is one. */
   public boolean isQuorum(Collection<String> ids) {
-    return majority(current, ids) && (next.isEmpty() || majority(next, ids));
+    return isMajority(current, ids) && (next.isEmpty() || isMajority(next, ids));
   }
 
-  private static boolean majority(List<NodeAddress> set, Collection<String> ids) {
-    return set.stream().filter(replica -> ids.contains(replica.id())).count() >= set.size() / 2 + 1;
+  private static boolean isMajority(List<NodeAddress> replicas, Collection<String> ids) {
+    long present = replicas.stream().filter(replica -> ids.contains(replica.id())).count();
+    return present >= majorityOf(replicas);
   }
 
-  /** The highest value that a quorum has reached. */
+  /** The size of a majority of these replicas. */
+  static int majorityOf(List<NodeAddress> replicas) {
+    return replicas.size() / 2 + 1;
+  }
+
+  /** The highest value that every replica of some quorum has reached. */
   long valueReachedByQuorum(ToLongFunction<String> valueOf) {
-    long ofPresent = valueReachedByQuorum(current, valueOf);
-    return next.isEmpty() ? ofPresent : Math.min(ofPresent, valueReachedByQuorum(next, valueOf));
+    long ofCurrent = valueReachedByMajority(current, valueOf);
+    return next.isEmpty() ? ofCurrent : Math.min(ofCurrent, valueReachedByMajority(next, valueOf));
   }
 
-  private static long valueReachedByQuorum(List<NodeAddress> set, ToLongFunction<String> valueOf) {
+  private static long valueReachedByMajority(
+      List<NodeAddress> replicas, ToLongFunction<String> valueOf) {
     long[] values =
-        set.stream().mapToLong(replica -> valueOf.applyAsLong(replica.id())).sorted().toArray();
-    return values[values.length - (set.size() / 2 + 1)];
+        replicas.stream()
+            .mapToLong(replica -> valueOf.applyAsLong(replica.id()))
+            .sorted()
+            .toArray();
+    return values[values.length - majorityOf(replicas)];
   }
 }
