--- a/core-logic/src/main/java/applespindle/corelogic/log/DeflatedEvents.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/DeflatedEvents.java
@@ -25,7 +25,7 @@
 
   private DeflatedEvents() {}
 
-  /** The bytes as they are, or deflated where they are large. */
+  /** The bytes as they are, or deflated if they are large. */
   public static byte[] pack(byte[] plain) {
     return plain.length < DEFLATED_FROM_BYTES ? plain : deflate(plain);
   }
@@ -35,15 +35,15 @@
     ByteArrayOutputStream deflated = new ByteArrayOutputStream(plain.length);
     try (OutputStream out = new DeflaterOutputStream(deflated, deflater)) {
       out.write(plain);
-    } catch (IOException fault) {
-      throw new UncheckedIOException(fault);
+    } catch (IOException error) {
+      throw new UncheckedIOException("events can't be deflated in memory", error);
     } finally {
       deflater.end();
     }
     return deflated.toByteArray();
   }
 
-  /** The plain bytes; of deflated ones only as many are inflated as are read. */
+  /** The plain bytes of an event; they are inflated as they are read. */
   public static InputStream open(byte[] bytes) {
     InputStream in = new ByteArrayInputStream(bytes);
     return isDeflated(bytes) ? new InflaterInputStream(in) : in;
--- a/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogEntries.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Cuts the list of entries that a log is: contiguous by sequence, oldest first. Invariant: nothing
- * here changes an entry.
+ * Functions of a log as a list of entries, contiguous by sequence and oldest first. Only {@link
+ * #trim} changes the list; nothing changes an entry.
  */
 public final class LogEntries {
   private LogEntries() {}
 
-  /** Drops what stands before the last whole entry that is committed, as that stands for it. */
+  /** Drops the entries before the last snapshot that is committed. */
   public static void trim(List<LogEntry> entries, long committed) {
     for (int index = entries.size() - 1; index > 0; index--) {
       if (entries.get(index).snapshot() && entries.get(index).sequence() <= committed) {
@@ -21,21 +21,27 @@
     }
   }
 
-  /** The last entries, as many as fit and one at least; all of them where no limit is given. */
-  public static List<LogEntry> tail(List<LogEntry> entries, int bytesMost) {
-    if (bytesMost <= 0 || entries.isEmpty()) {
+  /**
+   * The last entries, as many as have at most this many bytes and at least one; all of them if the
+   * limit is 0 or less.
+   */
+  public static List<LogEntry> tail(List<LogEntry> entries, int maxBytes) {
+    if (maxBytes <= 0 || entries.isEmpty()) {
       return List.copyOf(entries);
     }
     int from = entries.size() - 1;
     long bytes = entries.get(from).event().length;
-    while (from > 0 && bytes + entries.get(from - 1).event().length <= bytesMost) {
+    while (from > 0 && bytes + entries.get(from - 1).event().length <= maxBytes) {
       from--;
       bytes += entries.get(from).event().length;
     }
     return List.copyOf(entries.subList(from, entries.size()));
   }
 
-  /** The first entries between these sequences, as many as one message takes and one at least. */
+  /**
+   * The first entries from one sequence to another, both included: as many as have at most {@link
+   * ReplicationConstants#MAX_LOG_FETCH_BYTES} and at least one, if there is one.
+   */
   public static List<LogEntry> slice(List<LogEntry> entries, long from, long to) {
     List<LogEntry> part = new ArrayList<>();
     long bytes = 0;
