--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
@@ -3,29 +3,19 @@
 import static com.google.common.truth.Truth.assertThat;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.constants.ReplicationConstants;
-import applespindle.corelogic.environment.Environment;
-import applespindle.corelogic.environment.Environment.ScheduledTask;
-import applespindle.corelogic.environment.Environment.WorkerCall;
-import applespindle.corelogic.environment.Environment.WorkerCallHandle;
-import applespindle.corelogic.environment.Environment.WorkerCallListener;
-import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.FakeEnvironment;
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.log.LogRecord;
 import applespindle.corelogic.log.LogRecord.Kind;
-import applespindle.corelogic.protocol.Envelope;
-import applespindle.corelogic.protocol.Message;
-import applespindle.corelogic.protocol.Message.AppendRequest;
+import applespindle.corelogic.protocol.Message.Verdict;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
-import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
 /**
- * What a replica knows of its own log when it starts again: an entry it can not call committed is
+ * What replicas make of appends, pre-votes and snapshots, and which recovered entries they count as
  * undecided.
  */
 final class LogReplicasTest {
@@ -33,56 +23,17 @@
   private static final Epoch FIRST = new Epoch(1, "a");
   private static final Epoch SECOND = new Epoch(2, "b");
 
-  private final class World implements Environment {
-    @Override
-    public long nowMs() {
-      return now;
-    }
-
-    @Override
-    public ScheduledTask schedule(long millis, Runnable task) {
-      return () -> {};
-    }
-
-    @Override
-    public void send(String peerAddress, Envelope envelope) {}
-
-    @Override
-    public void write(List<LogRecord> records, Runnable whenSynced) {
-      whenSynced.run();
-    }
-
-    @Override
-    public boolean acceptsWrites() {
-      return true;
-    }
-
-    @Override
-    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
-      return () -> {};
-    }
+  /** Syncs every write at once. */
+  private final FakeEnvironment environment =
+      new FakeEnvironment(0) {
+        @Override
+        public void write(List<LogRecord> records, Runnable whenSynced) {
+          whenSynced.run();
+        }
+      };
 
-    @Override
-    public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
-
-    @Override
-    public RandomGenerator random() {
-      return RandomGenerator.getDefault();
-    }
-
-    @Override
-    public void log(String part, String sentence) {}
-  }
-
-  private long now;
-  private Message replied;
-  private final LogReplicas replicas =
-      new LogReplicas(
-          new World(),
-          (address, id, message) -> replied = message,
-          (key, entry) -> {},
-          key -> "set");
+  private final IsolatedReplicas node = new IsolatedReplicas(environment, KEY);
+  private final LogReplicas replicas = node.replicas();
 
   private static LogEntry entry(long sequence, Epoch epoch) {
     return new LogEntry(sequence, epoch, true, "{}".getBytes(UTF_8));
@@ -98,22 +49,18 @@
 
   private void append(
       Epoch epoch, long previous, Epoch previousEpoch, long committed, LogEntry... entries) {
-    replicas.handleAppendRequest(
-        new AppendRequest(
-            KEY, epoch, 1, 1, previous, previousEpoch, committed, true, List.of(entries)),
-        epoch.node(),
-        "");
+    node.append(1, epoch, previous, previousEpoch, committed, entries);
   }
 
   @Test
-  void aLogWithoutATailIsDecided() {
+  void aFullyCommittedLogIsDecided() {
     recover(3, 3);
     assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
     assertThat(replicas.anyUncommittedEntries(key -> true)).isFalse();
   }
 
   @Test
-  void aTailIsUndecidedUntilItsOwnerCommitsIt() {
+  void anUncommittedTailIsUndecidedUntilItsLeaderCommitsIt() {
     recover(3, 2);
     assertThat(replicas.hasUncommittedEntries(KEY)).isTrue();
     assertThat(replicas.anyUncommittedEntries(key -> !key.equals(KEY))).isFalse();
@@ -124,7 +71,7 @@
   }
 
   @Test
-  void aTailThatANewOwnerReplacesIsDecided() {
+  void aTailThatANewLeaderReplacesIsDecided() {
     recover(3, 2);
     append(SECOND, 2, FIRST, 2, entry(3, SECOND));
     assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
@@ -140,7 +87,7 @@
   }
 
   @Test
-  void aTakeoverAloneIsNothingToDecide() {
+  void theStartOfAnEpochAloneIsNothingToDecide() {
     recover(2, 2);
     replicas.recover(new LogRecord(Kind.ENTRY, KEY, SECOND, 3, false, new byte[0]));
     replicas.finishRecovery();
@@ -154,41 +101,49 @@
     assertThat(replicas.hasUncommittedEntries(KEY)).isFalse();
   }
 
-  private static LogEntry part(long sequence, Epoch epoch) {
+  private static LogEntry event(long sequence, Epoch epoch) {
     return new LogEntry(sequence, epoch, false, "{}".getBytes(UTF_8));
   }
 
-  private static LogEndPosition held(long sequence, Epoch epoch) {
+  private static LogEndPosition endAt(long sequence, Epoch epoch) {
     return new LogEndPosition(sequence, epoch);
   }
 
-  private List<Long> copied(Map<String, LogEndPosition> held) {
-    return replicas.snapshotsOf("set", "", held, 1 << 20).get(0).entries().stream()
+  private List<Long> pageFor(Map<String, LogEndPosition> known) {
+    return replicas
+        .snapshotsOf(IsolatedReplicas.CONFIGURATION, "", known, 1 << 20)
+        .get(0)
+        .entries()
+        .stream()
         .map(LogEntry::sequence)
         .toList();
   }
 
   @Test
-  void aCopyBringsOnlyWhatTheOtherLacks() {
-    append(FIRST, 0, Epoch.NONE, 0, part(1, FIRST), part(2, FIRST), part(3, FIRST));
-    assertThat(copied(Map.of())).containsExactly(1L, 2L, 3L).inOrder();
-    assertThat(copied(Map.of(KEY, held(2, FIRST)))).containsExactly(2L, 3L).inOrder();
-    assertThat(copied(Map.of(KEY, held(3, FIRST)))).containsExactly(3L);
-    assertThat(copied(Map.of(KEY, held(2, SECOND)))).containsExactly(1L, 2L, 3L).inOrder();
-    assertThat(copied(Map.of(KEY, held(9, FIRST)))).containsExactly(1L, 2L, 3L).inOrder();
-    assertThat(replicas.logEndsOf("set", "")).containsExactly(KEY, held(3, FIRST));
+  void aPageHasOnlyWhatTheJoiningReplicaLacks() {
+    append(FIRST, 0, Epoch.NONE, 0, event(1, FIRST), event(2, FIRST), event(3, FIRST));
+    assertThat(pageFor(Map.of())).containsExactly(1L, 2L, 3L).inOrder();
+    assertThat(pageFor(Map.of(KEY, endAt(2, FIRST)))).containsExactly(2L, 3L).inOrder();
+    assertThat(pageFor(Map.of(KEY, endAt(3, FIRST)))).containsExactly(3L);
+    assertThat(pageFor(Map.of(KEY, endAt(2, SECOND)))).containsExactly(1L, 2L, 3L).inOrder();
+    assertThat(pageFor(Map.of(KEY, endAt(9, FIRST)))).containsExactly(1L, 2L, 3L).inOrder();
+    assertThat(replicas.logEndsOf(IsolatedReplicas.CONFIGURATION, ""))
+        .containsExactly(KEY, endAt(3, FIRST));
   }
 
   @Test
-  void aPartIsTakenOnlyBehindWhatItFollows() {
-    append(FIRST, 0, Epoch.NONE, 0, part(1, FIRST), part(2, FIRST));
-    var follows = new ReplicaSnapshot(KEY, FIRST, 2, true, List.of(part(2, FIRST), part(3, FIRST)));
-    var other = new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(part(3, SECOND), part(4, SECOND)));
-    var beyond = new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(part(5, FIRST), part(6, FIRST)));
+  void aPartialSnapshotIsTakenOnlyIfItFollowsOnTheLog() {
+    append(FIRST, 0, Epoch.NONE, 0, event(1, FIRST), event(2, FIRST));
+    var follows =
+        new ReplicaSnapshot(KEY, FIRST, 2, true, List.of(event(2, FIRST), event(3, FIRST)));
+    var other =
+        new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(event(3, SECOND), event(4, SECOND)));
+    var beyond =
+        new ReplicaSnapshot(KEY, FIRST, 3, true, List.of(event(5, FIRST), event(6, FIRST)));
     assertThat(replicas.merge(follows, () -> {})).isTrue();
     assertThat(replicas.merge(other, () -> {})).isFalse();
     assertThat(replicas.merge(beyond, () -> {})).isFalse();
-    assertThat(copied(Map.of())).containsExactly(1L, 2L, 3L).inOrder();
+    assertThat(pageFor(Map.of())).containsExactly(1L, 2L, 3L).inOrder();
   }
 
   /** Two connections from one leader may deliver out of order: the log must not fall back. */
@@ -198,52 +153,41 @@
     append(FIRST, 2, FIRST, 2, entry(3, FIRST));
     append(FIRST, 3, FIRST, 3);
     append(FIRST, 0, Epoch.NONE, 0, entry(1, FIRST), entry(2, FIRST));
-    assertThat(replicas.logEndsOf("set", "")).containsExactly(KEY, held(3, FIRST));
+    assertThat(replicas.logEndsOf(IsolatedReplicas.CONFIGURATION, ""))
+        .containsExactly(KEY, endAt(3, FIRST));
     assertThat(replicas.view(KEY).committedEntries()).hasSize(1);
   }
 
   @Test
-  void anOvertakenCopyDoesNotDropCommittedEntries() {
+  void anOvertakenSnapshotDoesNotDropCommittedEntries() {
     append(FIRST, 0, Epoch.NONE, 0, entry(1, FIRST), entry(2, FIRST));
     append(FIRST, 2, FIRST, 2, entry(3, FIRST));
     append(FIRST, 3, FIRST, 3);
     var older =
         new ReplicaSnapshot(KEY, FIRST, 2, false, List.of(entry(1, FIRST), entry(2, FIRST)));
     assertThat(replicas.merge(older, () -> {})).isTrue();
-    assertThat(replicas.logEndsOf("set", "")).containsExactly(KEY, held(3, FIRST));
-  }
-
-  private Message.Verdict tried(Epoch epoch) {
-    replicas.handleVoteRequest(
-        new Message.VoteRequest(KEY, epoch, 1, false, 0, true), epoch.node(), "");
-    return ((Message.VoteResponse) replied).verdict();
-  }
-
-  private void beat(Epoch epoch, boolean hearsMajority) {
-    replicas.handleAppendRequest(
-        new AppendRequest(KEY, epoch, 1, 1, 0, Epoch.NONE, 0, hearsMajority, List.of()),
-        epoch.node(),
-        "");
+    assertThat(replicas.logEndsOf(IsolatedReplicas.CONFIGURATION, ""))
+        .containsExactly(KEY, endAt(3, FIRST));
   }
 
   @Test
-  void aTrialChangesNothing() {
-    beat(FIRST, false);
-    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_GRANT);
+  void aPreVoteChangesNothing() {
+    node.heartbeat(FIRST, false);
+    assertThat(node.preVote(SECOND)).isEqualTo(Verdict.WOULD_GRANT);
     assertThat(replicas.view(KEY).promisedEpoch()).isEqualTo(FIRST);
   }
 
   @Test
-  void anOwnerThatHearsAMajorityKeepsClaimantsAway() {
-    beat(FIRST, true);
-    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.LEADER_ALIVE);
+  void aLeaderInContactWithAQuorumKeepsCandidatesAway() {
+    node.heartbeat(FIRST, true);
+    assertThat(node.preVote(SECOND)).isEqualTo(Verdict.LEADER_ALIVE);
   }
 
   @Test
-  void theBeatOfAnOwnerThatHearsNoMajorityDoesNotCount() {
-    beat(FIRST, true);
-    now += ReplicationConstants.LEADER_TIMEOUT_MS;
-    beat(FIRST, false);
-    assertThat(tried(SECOND)).isEqualTo(Message.Verdict.WOULD_GRANT);
+  void theHeartbeatOfALeaderWithoutQuorumContactDoesNotCount() {
+    node.heartbeat(FIRST, true);
+    environment.freeze(ReplicationConstants.LEADER_TIMEOUT_MS);
+    node.heartbeat(FIRST, false);
+    assertThat(node.preVote(SECOND)).isEqualTo(Verdict.WOULD_GRANT);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/SlowLinkElectionTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/SlowLinkElectionTest.java
@@ -2,18 +2,11 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import applespindle.corelogic.api.ApiError;
-import applespindle.corelogic.environment.Environment;
-import applespindle.corelogic.environment.Environment.ScheduledTask;
-import applespindle.corelogic.environment.Environment.WorkerCall;
-import applespindle.corelogic.environment.Environment.WorkerCallHandle;
-import applespindle.corelogic.environment.Environment.WorkerCallListener;
-import applespindle.corelogic.environment.Environment.WorkerLoad;
+import applespindle.corelogic.environment.FakeEnvironment;
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.log.LogRecord;
 import applespindle.corelogic.metadata.NodeAddress;
-import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.AppendRequest;
 import applespindle.corelogic.protocol.Message.AppendResponse;
@@ -21,16 +14,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
-import java.util.function.Consumer;
-import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /**
- * An edge behind a slow link claims a batch whose log has megabytes: the largest requests that a
- * deployment takes, and the largest outputs. All replicas send over the one link of the claimant.
+ * An edge behind a slow link is a candidate for a batch whose log has megabytes: the largest
+ * requests that a deployment takes, and the largest outputs. All replicas send over the one link of
+ * the candidate.
  */
 final class SlowLinkElectionTest {
   private static final String KEY = "batch/o-large";
@@ -39,109 +30,52 @@
   /** 21 Mbit/s. */
   private static final long SLOW_LINK_BYTES_PER_MS = 2_625;
 
+  /** What a message has besides its entries. */
+  private static final int MESSAGE_BYTES = 200;
+
   private static final int REPLICAS = 5;
   private static final int REQUEST_BYTES = 1_030_000;
   private static final int OUTPUTS = 25;
   private static final int OUTPUT_BYTES = 60_000;
 
-  /** What waits is run in the order of its time; ties in the order of being handed in. */
-  private record Task(long at, long order, Runnable task) implements Comparable<Task> {
-    @Override
-    public int compareTo(Task other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
-    }
-  }
-
-  private static final class World implements Environment {
+  /** All messages to the candidate share its one link. */
+  private static final class SlowLinkEnvironment extends FakeEnvironment {
     private static final long LATENCY_MS = 1;
     private static final long SYNC_MS = 5;
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>();
-    private long now;
-    private long order;
-    private long linkFreeAt;
-    private long linkBytes;
-
-    @Override
-    public long nowMs() {
-      return now;
-    }
+    private long linkFreeAtMs;
 
-    @Override
-    public ScheduledTask schedule(long millis, Runnable task) {
-      boolean[] cancelled = new boolean[1];
-      tasks.add(
-          new Task(
-              now + millis,
-              order++,
-              () -> {
-                if (!cancelled[0]) {
-                  task.run();
-                }
-              }));
-      return () -> cancelled[0] = true;
+    SlowLinkEnvironment() {
+      super(0);
     }
 
-    /** To the claimant, over its link. */
-    void overLink(long bytes, Runnable arrival) {
-      linkBytes += bytes;
-      linkFreeAt = Math.max(linkFreeAt, now) + bytes / SLOW_LINK_BYTES_PER_MS;
-      schedule(linkFreeAt - now + LATENCY_MS, arrival);
+    void sendOverLink(long bytes, Runnable arrival) {
+      linkFreeAtMs = Math.max(linkFreeAtMs, nowMs()) + bytes / SLOW_LINK_BYTES_PER_MS;
+      schedule(linkFreeAtMs - nowMs() + LATENCY_MS, arrival);
     }
 
-    void runUntil(long until) {
-      while (!tasks.isEmpty() && tasks.peek().at() <= until) {
-        Task next = tasks.poll();
-        now = next.at();
-        next.task().run();
-      }
-      now = until;
+    void runUntil(long untilMs) {
+      run(untilMs - nowMs());
     }
 
-    @Override
-    public void send(String peerAddress, Envelope envelope) {}
-
     @Override
     public void write(List<LogRecord> records, Runnable whenSynced) {
       schedule(SYNC_MS, whenSynced);
     }
-
-    @Override
-    public boolean acceptsWrites() {
-      return true;
-    }
-
-    @Override
-    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
-      return () -> {};
-    }
-
-    @Override
-    public void readLoad(
-        String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
-
-    @Override
-    public RandomGenerator random() {
-      return RandomGenerator.getDefault();
-    }
-
-    @Override
-    public void log(String part, String sentence) {}
   }
 
-  private final World world = new World();
+  private final SlowLinkEnvironment environment = new SlowLinkEnvironment();
   private final Map<String, LogReplicas> replicas = new LinkedHashMap<>();
   private final List<ElectionOutcome> outcomes = new ArrayList<>();
-  private final List<ReplicatedLogLeader> owned = new ArrayList<>();
+  private final List<ReplicatedLogLeader> elected = new ArrayList<>();
   private final List<LogEntry> log = new ArrayList<>();
-  private long ownedAt = Long.MAX_VALUE;
+  private long electedAtMs = Long.MAX_VALUE;
   private Elections elections;
 
-  /** Whom the claimant asked for parts of the log, in order. */
+  /** The replicas that were asked for parts of the log, in order. */
   private final List<String> sources = new ArrayList<>();
 
-  /** A replica that hears nothing any more. */
-  private String silent = "";
+  /** A replica that gets no message any more. */
+  private String stopped = "";
 
   private void givenALargeLog() {
     log.add(new LogEntry(1, FORMER, false, new byte[REQUEST_BYTES]));
@@ -150,144 +84,146 @@
             sequence -> log.add(new LogEntry(sequence, FORMER, false, new byte[OUTPUT_BYTES])));
     for (int number = 1; number <= REPLICAS; number++) {
       String id = "storage-" + number;
-      LogReplicas copy =
-          new LogReplicas(
-              world,
-              (address, to, message) -> world.overLink(sizeOf(message), () -> take(message, id)),
-              (key, entry) -> {},
-              key -> "set");
-      copy.handleAppendRequest(
+      LogReplicas replica =
+          new IsolatedReplicas(
+                  environment,
+                  KEY,
+                  message -> environment.sendOverLink(sizeOf(message), () -> deliver(message, id)))
+              .replicas();
+      replica.handleAppendRequest(
           new AppendRequest(KEY, FORMER, 1, 1, 0, Epoch.NONE, log.size(), true, List.copyOf(log)),
           FORMER.node(),
           FORMER.node());
-      replicas.put(id, copy);
+      replicas.put(id, replica);
     }
-    world.runUntil(3_000);
+    environment.runUntil(3_000);
   }
 
   private static long sizeOf(Message message) {
-    List<LogEntry> entries =
-        message instanceof Message.VoteResponse promised
-            ? promised.entries()
-            : message instanceof Message.LogFetchResponse part ? part.entries() : List.of();
-    return 200 + entries.stream().mapToLong(entry -> entry.event().length).sum();
+    return MESSAGE_BYTES
+        + entriesOf(message).stream().mapToLong(entry -> entry.event().length).sum();
+  }
+
+  private static List<LogEntry> entriesOf(Message message) {
+    if (message instanceof Message.VoteResponse vote) {
+      return vote.entries();
+    }
+    return message instanceof Message.LogFetchResponse part ? part.entries() : List.of();
   }
 
-  private void take(Message message, String fromId) {
+  private void deliver(Message message, String fromId) {
     if (elections == null) {
       return;
     }
-    if (message instanceof Message.VoteResponse promised) {
-      elections.handleVoteResponse(promised, fromId);
+    if (message instanceof Message.VoteResponse vote) {
+      elections.handleVoteResponse(vote, fromId);
     } else if (message instanceof Message.LogFetchResponse part) {
       elections.handleLogFetchResponse(part);
     } else if (message instanceof AppendResponse appended) {
-      ReplicatedLogLeader key = owned.isEmpty() ? elections.inProgress(KEY) : owned.get(0);
-      if (key != null) {
-        key.handleAppendResponse(appended, fromId);
+      ReplicatedLogLeader leader = elected.isEmpty() ? elections.inProgress(KEY) : elected.get(0);
+      if (leader != null) {
+        leader.handleAppendResponse(appended, fromId);
       }
     }
   }
 
-  private void claim() {
+  private void startElection() {
     ReplicaConfiguration replicaConfiguration =
         new ReplicaConfiguration(
             1, replicas.keySet().stream().map(id -> new NodeAddress(id, id)).toList(), List.of());
     elections =
         new Elections(
-            world,
+            environment,
             "edge",
-            (address, id, message) -> world.schedule(1, () -> atReplica(id, message)),
+            (address, id, message) -> environment.schedule(1, () -> handleAtReplica(id, message)),
             key -> replicaConfiguration,
-            owned::add);
+            elected::add);
     elections.elect(
         KEY,
         false,
         outcome -> {
           outcomes.add(outcome);
-          ownedAt = world.nowMs();
+          electedAtMs = environment.nowMs();
         });
   }
 
-  private void atReplica(String id, Message message) {
-    LogReplicas copy = replicas.get(id);
+  private void handleAtReplica(String id, Message message) {
+    LogReplicas replica = replicas.get(id);
     if (message instanceof Message.LogFetchRequest) {
       sources.add(id);
     }
-    if (id.equals(silent)) {
+    if (id.equals(stopped)) {
       return;
     }
-    if (message instanceof Message.VoteRequest promise) {
-      copy.handleVoteRequest(promise, "edge", "edge");
-    } else if (message instanceof Message.LogFetchRequest ask) {
-      copy.handleLogFetchRequest(ask, "edge", "edge");
+    if (message instanceof Message.VoteRequest vote) {
+      replica.handleVoteRequest(vote, "edge", "edge");
+    } else if (message instanceof Message.LogFetchRequest fetch) {
+      replica.handleLogFetchRequest(fetch, "edge", "edge");
     } else if (message instanceof AppendRequest append) {
-      copy.handleAppendRequest(append, "edge", "edge");
+      replica.handleAppendRequest(append, "edge", "edge");
     }
   }
 
   @Test
-  void aLogOfMegabytesIsTakenOverWhileAClientStillWaits() {
+  void aLogOfMegabytesIsAdoptedWhileAClientStillWaits() {
     givenALargeLog();
-    long askedAt = world.nowMs();
-    claim();
-    world.runUntil(askedAt + 20_000);
+    long startedAtMs = environment.nowMs();
+    startElection();
+    environment.runUntil(startedAtMs + 20_000);
     assertThat(outcomes.stream().map(ElectionOutcome::result).toList())
         .containsExactly(ElectionResult.ELECTED);
-    assertThat(owned.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
-    assertThat(ownedAt - askedAt).isLessThan(1_500L);
+    assertThat(elected.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
+    assertThat(electedAtMs - startedAtMs).isLessThan(1_500L);
   }
 
   @Test
-  void aSourceThatFallsSilentIsReplacedByAnother() {
+  void aSourceThatStopsAnsweringIsReplacedByAnother() {
     givenALargeLog();
-    claim();
-    world.runUntil(world.nowMs() + 500);
+    startElection();
+    environment.runUntil(environment.nowMs() + 500);
     assertThat(outcomes).isEmpty();
-    silent = sources.get(0);
-    world.runUntil(world.nowMs() + 3_000);
+    stopped = sources.get(0);
+    environment.runUntil(environment.nowMs() + 3_000);
     assertThat(outcomes.stream().map(ElectionOutcome::result).toList())
         .containsExactly(ElectionResult.ELECTED);
-    assertThat(owned.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
+    assertThat(elected.get(0).entries().subList(0, log.size())).containsExactlyElementsIn(log);
     assertThat(Set.copyOf(sources)).hasSize(2);
   }
 
   @Test
-  void aClaimThatIsOvertakenWhileItReadsEndsAndTakesNothingOver() {
+  void anElectionThatIsOvertakenWhileItFetchesTheLogFails() {
     givenALargeLog();
-    claim();
-    world.runUntil(world.nowMs() + 300);
+    startElection();
+    environment.runUntil(environment.nowMs() + 300);
     replicas
         .values()
         .forEach(
-            copy ->
-                copy.handleVoteRequest(
+            replica ->
+                replica.handleVoteRequest(
                     new Message.VoteRequest(KEY, new Epoch(99, "other"), 1, false, 1, false),
                     "other",
                     ""));
-    world.runUntil(world.nowMs() + 5_000);
+    environment.runUntil(environment.nowMs() + 5_000);
     assertThat(outcomes.stream().map(ElectionOutcome::result).toList())
         .containsExactly(ElectionResult.NO_QUORUM);
-    assertThat(owned).isEmpty();
+    assertThat(elected).isEmpty();
   }
 
   @Test
-  void aClaimantOfTheVersionBeforeGetsTheWholeLogWithThePromise() {
+  void aCandidateOfTheVersionBeforeGetsTheCompleteLogWithTheVote() {
     givenALargeLog();
-    List<Message> told = new ArrayList<>();
-    LogReplicas copy =
-        new LogReplicas(
-            world, (address, to, message) -> told.add(message), (key, entry) -> {}, key -> "set");
-    copy.handleAppendRequest(
+    IsolatedReplicas node = new IsolatedReplicas(environment, KEY);
+    LogReplicas replica = node.replicas();
+    replica.handleAppendRequest(
         new AppendRequest(KEY, FORMER, 1, 1, 0, Epoch.NONE, 0, true, List.copyOf(log)),
         "former",
         "former");
-    copy.handleVoteRequest(
+    replica.handleVoteRequest(
         new Message.VoteRequest(KEY, new Epoch(8, "former"), 1, false, Integer.MIN_VALUE, false),
         "",
         "");
-    world.runUntil(world.nowMs() + 100);
-    Message.VoteResponse last = (Message.VoteResponse) told.get(told.size() - 1);
+    environment.runUntil(environment.nowMs() + 100);
+    Message.VoteResponse last = (Message.VoteResponse) node.lastReply();
     assertThat(last.entries()).containsExactlyElementsIn(log).inOrder();
     assertThat(last.isCompleteLog()).isTrue();
   }
