--- a/core-logic/src/test/java/applespindle/corelogic/replication/InvariantViolation.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/InvariantViolation.java
@@ -8,9 +8,9 @@
   enum Invariant {
     /** At most one value is committed at a sequence number. */
     ONE_VALUE,
-    /** An acknowledged value is in the recoverable state of a majority of the set in force. */
+    /** An acknowledged value is in the recoverable state of a majority of the replicas in force. */
     ACKNOWLEDGED_KEPT,
-    /** A replica's promised epoch never falls, and a restart keeps what was told. */
+    /** A replica's promised epoch never falls, and a restart keeps what was sent to others. */
     PROMISE_KEPT,
     /** A confirmed read sees all that was acknowledged or read before it began. */
     READ_CURRENT,
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelBounds.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelBounds.java
@@ -9,7 +9,7 @@
  * are counted.
  *
  * @param start the state in which every run begins
- * @param claimants processes that claim and lead: 1 or 2
+ * @param candidates processes that are candidates and lead: 1 or 2
  * @param most how often an event may happen; never, if it isn't named
  * @param slowDisks whether a write stays unsynced until a step of its own
  * @param snapshotValues whether each value holds the whole state, so that what precedes it is
@@ -17,7 +17,7 @@
  */
 record ModelBounds(
     Start start,
-    int claimants,
+    int candidates,
     Map<ModelEvent, Integer> most,
     boolean slowDisks,
     boolean snapshotValues) {
@@ -26,37 +26,40 @@
   enum Start {
     /** Nothing has happened. */
     BLANK,
-    /** The first claimant leads, and one value is committed on all replicas. */
+    /** The first candidate leads, and one value is committed on all replicas. */
     LED,
     /** The same, and the leader has appended two more that reached the first replica only. */
     DIVERGED,
     /** The same as LED, and one more is committed that did not reach the first replica. */
     LAGGING,
     /**
-     * The same as LED, and a second claimant leads by the last two replicas, unknown to the first.
+     * The same as LED, and a second candidate leads by the last two replicas, unknown to the first.
      */
     SUPERSEDED,
-    /** The same as LED, and a newcomer has copied under a pending set that only it knows. */
-    COPIED
+    /**
+     * The same as LED, and a joining replica has caught up under a pending configuration that only
+     * it knows.
+     */
+    CAUGHT_UP
   }
 
-  static ModelBounds from(Start start, int claimants) {
-    return new ModelBounds(start, claimants, Map.of(), false, false);
+  static ModelBounds from(Start start, int candidates) {
+    return new ModelBounds(start, candidates, Map.of(), false, false);
   }
 
   ModelBounds with(ModelEvent event, int times) {
     Map<ModelEvent, Integer> more = new EnumMap<>(ModelEvent.class);
     more.putAll(most);
     more.put(event, times);
-    return new ModelBounds(start, claimants, more, slowDisks, snapshotValues);
+    return new ModelBounds(start, candidates, more, slowDisks, snapshotValues);
   }
 
   ModelBounds withSlowDisks() {
-    return new ModelBounds(start, claimants, most, true, snapshotValues);
+    return new ModelBounds(start, candidates, most, true, snapshotValues);
   }
 
   ModelBounds withSnapshotValues() {
-    return new ModelBounds(start, claimants, most, slowDisks, true);
+    return new ModelBounds(start, candidates, most, slowDisks, true);
   }
 
   int most(ModelEvent event) {
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelCandidate.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * One life of a process that claims the register, leads it and folds its log into a view, wired as
- * a batch's leader is.
+ * One life of a process that is a candidate for the register, leads it and applies its log to a
+ * view, wired as a batch's leader is.
  */
 final class ModelCandidate {
   private final ModelRuntime runtime;
@@ -20,9 +20,9 @@
   private final boolean snapshotValues;
   private final ModelHistory history;
   private final Elections elections;
-  private ReplicatedLogLeader led;
+  private ReplicatedLogLeader leader;
 
-  /** The entries folded by the leader of now, in the order of folding. */
+  /** The entries applied by the present leader, in the order of application. */
   private final List<LogEntry> view = new ArrayList<>();
 
   ModelCandidate(
@@ -30,7 +30,7 @@
       String id,
       String key,
       boolean snapshotValues,
-      Supplier<ReplicaConfiguration> sets,
+      Supplier<ReplicaConfiguration> configuration,
       ModelHistory history) {
     this.runtime = runtime;
     this.id = id;
@@ -44,7 +44,7 @@
             id,
             (address, toId, message) ->
                 network.accept(address, new Envelope(id, id, toId, message)),
-            unused -> sets.get(),
+            unused -> configuration.get(),
             this::startLeading);
   }
 
@@ -53,35 +53,35 @@
   }
 
   boolean leads() {
-    return led != null;
+    return leader != null;
   }
 
   boolean idle() {
-    return led == null && elections.inProgress(key) == null;
+    return leader == null && elections.inProgress(key) == null;
   }
 
-  /** Claims as one to whom the register is handed over: no replica keeps it away. */
+  /** Starts an election as one to whom the register was handed over: no live leader prevents it. */
   void elect() {
     elections.elect(key, true, outcome -> {});
   }
 
-  private void startLeading(ReplicatedLogLeader owned) {
-    led = owned;
+  private void startLeading(ReplicatedLogLeader elected) {
+    leader = elected;
     view.clear();
-    owned.onLeadershipLost(() -> led = null);
-    List.copyOf(owned.entries()).forEach(this::apply);
+    elected.onLeadershipLost(() -> leader = null);
+    List.copyOf(elected.entries()).forEach(this::apply);
   }
 
   private void apply(LogEntry entry) {
     if (!entry.isEpochStart()) {
-      history.applied(id, led.entries(), view, entry);
+      history.applied(id, leader.entries(), view, entry);
       view.add(entry);
     }
   }
 
   void append(byte[] value) {
-    LogEntry entry = new LogEntry(led.lastSequence() + 1, led.epoch(), snapshotValues, value);
-    led.append(
+    LogEntry entry = new LogEntry(leader.lastSequence() + 1, leader.epoch(), snapshotValues, value);
+    leader.append(
         snapshotValues,
         value,
         () -> apply(entry),
@@ -95,12 +95,12 @@
   void read() {
     long before = history.lastSeen();
     long last =
-        led.entries().stream()
+        leader.entries().stream()
             .filter(entry -> !entry.isEpochStart())
             .mapToLong(LogEntry::sequence)
             .max()
             .orElse(0);
-    led.confirmLeadership(
+    leader.confirmLeadership(
         error -> {
           if (error == null) {
             history.read(id, view, before, last);
@@ -108,25 +108,25 @@
         });
   }
 
-  /** Gives the register up, as a leader without work does. */
+  /** Resigns, as a leader without work does. */
   void resign() {
-    ReplicatedLogLeader former = led;
-    led = null;
+    ReplicatedLogLeader former = leader;
+    leader = null;
     former.resign();
   }
 
   void reconfigure(ReplicaConfiguration replicaConfiguration) {
-    if (led != null) {
-      led.reconfigure(replicaConfiguration);
+    if (leader != null) {
+      leader.reconfigure(replicaConfiguration);
     }
     elections.reconfigure();
   }
 
   void receive(Envelope envelope) {
-    if (envelope.message() instanceof VoteResponse promised) {
-      elections.handleVoteResponse(promised, envelope.fromId());
+    if (envelope.message() instanceof VoteResponse vote) {
+      elections.handleVoteResponse(vote, envelope.fromId());
     } else if (envelope.message() instanceof AppendResponse appended) {
-      ReplicatedLogLeader receiver = led != null ? led : elections.inProgress(key);
+      ReplicatedLogLeader receiver = leader != null ? leader : elections.inProgress(key);
       if (receiver != null) {
         receiver.handleAppendResponse(appended, envelope.fromId());
       }
@@ -134,7 +134,7 @@
   }
 
   void addTo(StateText text) {
-    text.add(elections).add(led).add(view);
+    text.add(elections).add(leader).add(view);
     runtime.addTo(text);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelDisk.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelDisk.java
@@ -13,21 +13,22 @@
   private record Pending(List<LogRecord> records, Runnable whenSynced) {}
 
   private final boolean slow;
-  private final String setName;
+  private final String configurationName;
   private final List<LogRecord> synced = new ArrayList<>();
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
 
   /** What a start would make of the synced records. */
   private LogReplicas recoverable;
 
-  ModelDisk(boolean slow, String setName) {
+  ModelDisk(boolean slow, String configurationName) {
     this.slow = slow;
-    this.setName = setName;
+    this.configurationName = configurationName;
     recoverable = emptyReplicas();
   }
 
   private LogReplicas emptyReplicas() {
-    return new LogReplicas(null, (address, id, message) -> {}, (key, entry) -> {}, key -> setName);
+    return new LogReplicas(
+        null, (address, id, message) -> {}, (key, entry) -> {}, key -> configurationName);
   }
 
   void write(List<LogRecord> records, Runnable whenSynced) {
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelEvent.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelEvent.java
@@ -2,7 +2,7 @@
 
 /** What the bounds of a model limit. All else may happen as often as it is possible. */
 enum ModelEvent {
-  /** A claimant begins to claim. */
+  /** A candidate starts an election. */
   ELECTION,
   /** A leader appends a value. */
   APPEND,
@@ -10,16 +10,16 @@
   READ,
   /** A timer fires. */
   TIMER,
-  /** A claimant's clock moves on past every deadline. */
+  /** A candidate's clock moves on past every deadline. */
   CLOCK_JUMP,
   /** A message is delivered and stays in flight. */
   DUPLICATE,
   /** A replica crashes and starts again. */
   REPLICA_CRASH,
-  /** A claimant crashes and starts again. */
+  /** A candidate crashes and starts again. */
   CANDIDATE_CRASH,
-  /** A leader gives the register up. */
+  /** A leader resigns. */
   RESIGNATION,
-  /** A step of the one change of membership: it becomes pending, then it ends. */
+  /** A step of the one change of the configuration: it becomes pending, then it ends. */
   RECONFIGURATION
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What was told and seen in a run so far, and the invariants that are judged as it happens. */
+/** What was sent and seen in a run so far, and the invariants that are checked as it happens. */
 final class ModelHistory {
   /** By sequence, the entry that some process called committed. */
   private final TreeMap<Long, LogEntry> committed = new TreeMap<>();
 
   private final TreeMap<Long, LogEntry> acknowledged = new TreeMap<>();
 
-  /** By replica, the highest epoch that it has told somebody it would stand by. */
-  private final Map<String, Epoch> told = new TreeMap<>();
+  /** By replica, the highest epoch that it has voted for or acknowledged to others. */
+  private final Map<String, Epoch> promisedToOthers = new TreeMap<>();
 
   /** The last sequence that was acknowledged or in the view of a confirmed read. */
   private long lastSeen;
@@ -35,8 +35,8 @@
     return acknowledged;
   }
 
-  Epoch promisedTo(String replica) {
-    return told.getOrDefault(replica, Epoch.NONE);
+  Epoch promisedToOthers(String replica) {
+    return promisedToOthers.getOrDefault(replica, Epoch.NONE);
   }
 
   static boolean same(LogEntry one, LogEntry other) {
@@ -59,11 +59,11 @@
   }
 
   void sent(Envelope envelope) {
-    if (envelope.message() instanceof VoteResponse promised && promised.verdict() == Verdict.OK) {
-      told.merge(envelope.fromId(), promised.requestedEpoch(), ModelHistory::higher);
+    if (envelope.message() instanceof VoteResponse vote && vote.verdict() == Verdict.OK) {
+      promisedToOthers.merge(envelope.fromId(), vote.requestedEpoch(), ModelHistory::higher);
     } else if (envelope.message() instanceof AppendResponse appended
         && appended.verdict() == Verdict.OK) {
-      told.merge(envelope.fromId(), appended.epoch(), ModelHistory::higher);
+      promisedToOthers.merge(envelope.fromId(), appended.epoch(), ModelHistory::higher);
     }
   }
 
@@ -77,7 +77,8 @@
     long last = lastOf(view);
     if (entry.sequence() <= last) {
       throw new InvariantViolation(
-          Invariant.VIEW_IS_LOG, leader + " folds " + describe(entry) + " after sequence " + last);
+          Invariant.VIEW_IS_LOG,
+          leader + " applies " + describe(entry) + " after sequence " + last);
     }
     if (entry.snapshot()) {
       return;
@@ -86,7 +87,7 @@
       if (!each.isEpochStart() && each.sequence() > last && each.sequence() < entry.sequence()) {
         throw new InvariantViolation(
             Invariant.VIEW_IS_LOG,
-            leader + " folds " + describe(entry) + " and has never folded " + describe(each));
+            leader + " applies " + describe(entry) + " and has never applied " + describe(each));
       }
     }
   }
@@ -116,7 +117,7 @@
   static String describe(LogEntry entry) {
     return entry.sequence()
         + "="
-        + (entry.isEpochStart() ? "takeover" : new String(entry.event(), UTF_8))
+        + (entry.isEpochStart() ? "start" : new String(entry.event(), UTF_8))
         + " of epoch "
         + entry.epoch().counter()
         + entry.epoch().node();
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
@@ -14,21 +14,25 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 
-/** One life of a replica's process: the replica's and the copier's own classes, nothing else. */
+/** One life of a replica's process: the replica's and the catch-up's own classes, nothing else. */
 final class ModelReplica extends Node implements StateText.Named {
   /** What a replica's messages are wired to; the rest of what a node does is not modelled. */
   private final LogReplicas replicas;
 
   private final ReplicaCatchUp catchUp;
   private final ModelRuntime runtime;
-  private boolean copied;
+  private boolean caughtUp;
 
   ModelReplica(
-      ModelRuntime runtime, String id, String setName, BiConsumer<String, LogEntry> whenCommitted) {
+      ModelRuntime runtime,
+      String id,
+      String configurationName,
+      BiConsumer<String, LogEntry> whenCommitted) {
     super(runtime, new NodeIdentity(id, 0, id, "", "", id, "", List.of()));
     this.runtime = runtime;
-    replicas = new LogReplicas(runtime, this::send, whenCommitted, key -> setName);
-    catchUp = new ReplicaCatchUp(runtime, this, replicas, new HashMap<>(), key -> setName);
+    replicas = new LogReplicas(runtime, this::send, whenCommitted, key -> configurationName);
+    catchUp =
+        new ReplicaCatchUp(runtime, this, replicas, new HashMap<>(), key -> configurationName);
   }
 
   LogReplicas replicas() {
@@ -39,23 +43,27 @@
     return runtime;
   }
 
-  /** Whether this life has told that its copy is whole. */
+  /** Whether this life has completed its catch-up. */
   boolean hasCaughtUp() {
-    return copied;
+    return caughtUp;
   }
 
-  /** Learns of the pending set that it is to join, and begins to copy. */
-  void join(String setName, long number, List<NodeAddress> sources, LongSupplier numberInForce) {
+  /** Learns of the pending configuration that it is to join, and begins to catch up. */
+  void join(
+      String configurationName,
+      long version,
+      List<NodeAddress> sources,
+      LongSupplier versionInForce) {
     replicas.adoptConfiguration(
-        setName,
-        number,
+        configurationName,
+        version,
         () ->
             catchUp.catchUp(
-                setName,
-                number,
+                configurationName,
+                version,
                 sources,
-                () -> numberInForce.getAsLong() == number,
-                () -> copied = true));
+                () -> versionInForce.getAsLong() == version,
+                () -> caughtUp = true));
   }
 
   void addTo(StateText text) {
@@ -72,8 +80,8 @@
   protected void handle(Message message, String fromId, String fromAddress) {
     if (message instanceof AppendRequest append) {
       replicas.handleAppendRequest(append, fromId, fromAddress);
-    } else if (message instanceof VoteRequest promise) {
-      replicas.handleVoteRequest(promise, fromId, fromAddress);
+    } else if (message instanceof VoteRequest vote) {
+      replicas.handleVoteRequest(vote, fromId, fromAddress);
     }
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelSearch.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelSearch.java
@@ -28,7 +28,7 @@
   }
 
   /** A broken invariant and the steps that lead to it. */
-  record Counterexample(InvariantViolation broken, List<String> steps) {}
+  record Counterexample(InvariantViolation violation, List<String> steps) {}
 
   /**
    * What a search has done.
@@ -40,10 +40,10 @@
   record Outcome(
       End end, long states, long steps, int depth, Optional<Counterexample> counterexample) {}
 
-  static final int STATES_LEAST = 100;
+  static final int MIN_STATES = 100;
 
   private final ModelBounds bounds;
-  private final long statesMost;
+  private final long maxStates;
   private final long endsAtNanos;
   private final int threads;
   private final StateHashes seen = new StateHashes();
@@ -53,16 +53,16 @@
    * Searches until the states or the time are used up; a slow machine reaches a few states whatever
    * the time.
    */
-  ModelSearch(ModelBounds bounds, long statesMost, Duration timeMost, int threads) {
+  ModelSearch(ModelBounds bounds, long maxStates, Duration maxTime, int threads) {
     this.bounds = bounds;
-    this.statesMost = statesMost;
-    this.endsAtNanos = System.nanoTime() + timeMost.toNanos();
+    this.maxStates = maxStates;
+    this.endsAtNanos = System.nanoTime() + maxTime.toNanos();
     this.threads = threads;
   }
 
   private boolean spent() {
     int states = seen.size();
-    return states >= statesMost || states >= STATES_LEAST && System.nanoTime() >= endsAtNanos;
+    return states >= maxStates || states >= MIN_STATES && System.nanoTime() >= endsAtNanos;
   }
 
   /** Reaches every state within the bounds, those of fewer steps first. */
@@ -113,7 +113,7 @@
     try {
       thread.join();
     } catch (InterruptedException interrupted) {
-      throw new IllegalStateException(interrupted);
+      throw new IllegalStateException("the search was interrupted", interrupted);
     }
   }
 
@@ -132,7 +132,7 @@
       longer[path.length] = (byte) choice;
       try {
         successor.take(successor.enabled().get(choice));
-      } catch (InvariantViolation broken) {
+      } catch (InvariantViolation violation) {
         brokenPath.compareAndSet(null, longer);
         return choice + 1;
       }
@@ -159,24 +159,25 @@
       labels.add(step.label().get());
       try {
         model.take(step);
-      } catch (InvariantViolation broken) {
+      } catch (InvariantViolation violation) {
         return new Outcome(
             End.BROKEN,
             seen.size(),
             steps,
             path.length,
-            Optional.of(new Counterexample(broken, labels)));
+            Optional.of(new Counterexample(violation, labels)));
       }
     }
-    throw new IllegalStateException("a run did not repeat itself");
+    throw new IllegalStateException(
+        "the same choices gave another run: the model depends on more than its steps");
   }
 
   /** Takes random runs until the limits are reached, each from a seed of its own. */
-  Outcome randomWalks(long firstSeed, int stepsMost) {
+  Outcome randomWalks(long firstSeed, int maxSteps) {
     long steps = 0;
     int depth = 0;
     for (long seed = firstSeed; !spent(); seed++) {
-      byte[] path = new byte[stepsMost];
+      byte[] path = new byte[maxSteps];
       int length = walk(new Random(seed), path);
       boolean broken = length < 0;
       steps += Math.abs(length);
@@ -193,17 +194,17 @@
   /** Fills in the choices taken; returns their number, negative if the last broke an invariant. */
   private int walk(Random random, byte[] path) {
     ReplicatedLogModel model = new ReplicatedLogModel(bounds);
-    WalkStrategy habit = new WalkStrategy(random);
+    WalkStrategy strategy = new WalkStrategy(random);
     for (int count = 0; count < path.length; count++) {
       List<Step> enabled = model.enabled();
       if (enabled.isEmpty()) {
         return count;
       }
-      int choice = habit.choose(enabled);
+      int choice = strategy.choose(enabled);
       path[count] = (byte) choice;
       try {
         model.take(enabled.get(choice));
-      } catch (InvariantViolation broken) {
+      } catch (InvariantViolation violation) {
         return -count - 1;
       }
       seen.add(model.stateHash());
@@ -241,8 +242,8 @@
       taken.add(label);
       try {
         model.take(step.get());
-      } catch (InvariantViolation broken) {
-        return Optional.of(new Counterexample(broken, taken));
+      } catch (InvariantViolation violation) {
+        return Optional.of(new Counterexample(violation, taken));
       }
     }
     return Optional.empty();
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
@@ -20,52 +20,52 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The leader's side of one key before three replicas that answer when the test lets them. */
+/** A leader of one key with three replicas that answer when the test lets them. */
 final class ReplicatedLogLeaderTest {
   private static final String KEY = "batch/one";
 
-  private final FakeEnvironment world = new FakeEnvironment(1_000) {};
+  private final FakeEnvironment environment = new FakeEnvironment(1_000) {};
   private final List<AppendRequest> unanswered = new ArrayList<>();
   private final List<String> applied = new ArrayList<>();
   private final List<ApiError> answers = new ArrayList<>();
-  private final List<VoteRequest> asked = new ArrayList<>();
-  private Verdict promiseVerdict = Verdict.OK;
+  private final List<VoteRequest> voteRequests = new ArrayList<>();
+  private Verdict voteVerdict = Verdict.OK;
   private ReplicatedLogLeader leader;
-  private ElectionResult claim;
+  private ElectionResult electionResult;
   private int timesLost;
 
   @BeforeEach
   void lead() {
     List<NodeAddress> replicas =
         Stream.of("a", "b", "c").map(id -> new NodeAddress(id, "address-" + id)).toList();
-    leader = claimFor(replicas);
+    leader = startElection(replicas);
     leader.onLeadershipLost(() -> timesLost++);
-    world.run(1);
+    environment.run(1);
     answerAppends();
-    world.run(1);
-    assertThat(claim).isEqualTo(ElectionResult.ELECTED);
+    environment.run(1);
+    assertThat(electionResult).isEqualTo(ElectionResult.ELECTED);
     unanswered.clear();
   }
 
-  private ReplicatedLogLeader claimFor(List<NodeAddress> replicas) {
+  private ReplicatedLogLeader startElection(List<NodeAddress> replicas) {
     return new ReplicatedLogLeader(
-        world,
+        environment,
         "leader",
-        (address, id, message) -> world.schedule(0, () -> delivered(id, message)),
+        (address, id, message) -> environment.schedule(0, () -> delivered(id, message)),
         KEY,
         new ReplicaConfiguration(1, replicas, List.of()),
         false,
         false,
-        outcome -> claim = outcome.result());
+        outcome -> electionResult = outcome.result());
   }
 
   private void delivered(String replica, Message message) {
-    if (message instanceof VoteRequest promise) {
-      asked.add(promise);
+    if (message instanceof VoteRequest vote) {
+      voteRequests.add(vote);
       Verdict verdict =
-          promise.preVote() && promiseVerdict == Verdict.OK ? Verdict.WOULD_GRANT : promiseVerdict;
+          vote.preVote() && voteVerdict == Verdict.OK ? Verdict.WOULD_GRANT : voteVerdict;
       leader.handleVoteResponse(
-          new VoteResponse(KEY, promise.epoch(), verdict, Epoch.NONE, "", "", 0, 0, List.of()),
+          new VoteResponse(KEY, vote.epoch(), verdict, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     } else if (message instanceof AppendRequest append) {
       unanswered.add(append);
@@ -94,13 +94,13 @@
   @Test
   void appliesAnEntryThatIsCommittedAfterItsCallerWasAnswered() {
     append("early");
-    world.run(
+    environment.run(
         ReplicationConstants.COMMIT_TIMEOUT_MS + ReplicationConstants.HEARTBEAT_INTERVAL_MS + 1);
     assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
     assertThat(applied).isEmpty();
 
     append("late");
-    world.run(1);
+    environment.run(1);
     answerAppends();
 
     assertThat(applied).containsExactly("early", "late").inOrder();
@@ -113,7 +113,7 @@
     List<List<String>> seen = new ArrayList<>();
     leader.confirmLeadership(error -> seen.add(List.copyOf(applied)));
     for (int round = 0; round < 3; round++) {
-      world.run(1);
+      environment.run(1);
       answerAppends();
     }
     assertThat(seen).containsExactly(List.of("written"));
@@ -122,7 +122,7 @@
   @Test
   void appliesNothingOnceTheLeadershipIsLost() {
     append("unacknowledged");
-    world.run(1);
+    environment.run(1);
     leader.resign();
     answerAppends();
     assertThat(applied).isEmpty();
@@ -130,7 +130,7 @@
   }
 
   /** One replica's answer to the newest append. */
-  private void answerBeatOf(String replica) {
+  private void answerHeartbeatOf(String replica) {
     AppendRequest newest = unanswered.get(unanswered.size() - 1);
     leader.handleAppendResponse(
         new AppendResponse(
@@ -138,22 +138,22 @@
         replica);
   }
 
-  private boolean saysThatItHearsAMajority() {
+  private boolean reportsQuorumContact() {
     return unanswered.get(unanswered.size() - 1).inContactWithQuorum();
   }
 
   @Test
-  void saysThatItHearsNoMajorityAndThenStepsDown() {
+  void reportsThatItHasNoQuorumContactAndThenStepsDown() {
     append("pending");
-    world.run(
+    environment.run(
         ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS
             - ReplicationConstants.HEARTBEAT_INTERVAL_MS);
-    assertThat(saysThatItHearsAMajority()).isTrue();
-    world.run(2 * ReplicationConstants.HEARTBEAT_INTERVAL_MS);
-    assertThat(saysThatItHearsAMajority()).isFalse();
+    assertThat(reportsQuorumContact()).isTrue();
+    environment.run(2 * ReplicationConstants.HEARTBEAT_INTERVAL_MS);
+    assertThat(reportsQuorumContact()).isFalse();
     assertThat(leader.isLeading()).isTrue();
 
-    world.run(ReplicationConstants.LEADER_STEP_DOWN_MS);
+    environment.run(ReplicationConstants.LEADER_STEP_DOWN_MS);
     assertThat(leader.state()).isEqualTo(ReplicatedLogLeader.LeadershipState.LOST);
     assertThat(timesLost).isEqualTo(1);
     assertThat(answers).containsExactly(new ApiError.OutcomeUnknown(KEY));
@@ -163,37 +163,37 @@
   }
 
   @Test
-  void oneReplicaOfThreeIsNoMajority() {
+  void oneReplicaOfThreeIsNoQuorum() {
     for (long ms = 0;
         ms <= ReplicationConstants.LEADER_STEP_DOWN_MS;
         ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
-      world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
+      environment.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
       if (leader.isLeading()) {
-        answerBeatOf("a");
+        answerHeartbeatOf("a");
       }
     }
     assertThat(timesLost).isEqualTo(1);
   }
 
   @Test
-  void answersOfAMajorityKeepItLeading() {
+  void answersOfAQuorumKeepItLeading() {
     for (long ms = 0;
         ms <= 2 * ReplicationConstants.LEADER_STEP_DOWN_MS;
         ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
-      world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
-      answerBeatOf("a");
-      answerBeatOf("c");
+      environment.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
+      answerHeartbeatOf("a");
+      answerHeartbeatOf("c");
       assertThat(leader.isInContactWithQuorum()).isTrue();
     }
     assertThat(timesLost).isEqualTo(0);
   }
 
   @Test
-  void otherSignsThatReplicasHearItCountToo() {
+  void otherContactOfReplicasCountsToo() {
     for (long ms = 0;
         ms <= 2 * ReplicationConstants.LEADER_STEP_DOWN_MS;
         ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
-      world.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
+      environment.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
       leader.noteContact("b");
       leader.noteContact("c");
     }
@@ -202,48 +202,50 @@
   }
 
   @Test
-  void aProcessThatStoodStillIsNotCutOff() {
-    world.freeze(20_000);
-    world.run(1);
+  void aProcessThatStoodStillStaysInContact() {
+    environment.freeze(20_000);
+    environment.run(1);
     assertThat(leader.isInContactWithQuorum()).isTrue();
     assertThat(timesLost).isEqualTo(0);
   }
 
   @Test
-  void asksByATrialBeforeItRaisesTheEpoch() {
-    assertThat(asked.subList(0, 3).stream().allMatch(VoteRequest::preVote)).isTrue();
-    VoteRequest first = asked.stream().filter(each -> !each.preVote()).findFirst().orElseThrow();
-    assertThat(asked.get(0).epoch().isBelow(first.epoch())).isTrue();
+  void sendsPreVotesBeforeItRaisesTheEpoch() {
+    assertThat(voteRequests.subList(0, 3).stream().allMatch(VoteRequest::preVote)).isTrue();
+    VoteRequest first =
+        voteRequests.stream().filter(each -> !each.preVote()).findFirst().orElseThrow();
+    assertThat(voteRequests.get(0).epoch().isBelow(first.epoch())).isTrue();
   }
 
   @Test
-  void raisesNoEpochWhileReplicasKeepTheKeyForItsOwner() {
-    asked.clear();
-    promiseVerdict = Verdict.LEADER_ALIVE;
+  void raisesNoEpochWhileReplicasProtectALiveLeader() {
+    voteRequests.clear();
+    voteVerdict = Verdict.LEADER_ALIVE;
     leader =
-        claimFor(
+        startElection(
             List.of(
                 new NodeAddress("a", "x"), new NodeAddress("b", "y"), new NodeAddress("c", "z")));
-    world.run(ReplicationConstants.ELECTION_TIMEOUT_MS);
-    assertThat(claim).isEqualTo(ElectionResult.LEADER_ALIVE);
-    assertThat(asked.stream().allMatch(VoteRequest::preVote)).isTrue();
+    environment.run(ReplicationConstants.ELECTION_TIMEOUT_MS);
+    assertThat(electionResult).isEqualTo(ElectionResult.LEADER_ALIVE);
+    assertThat(voteRequests.stream().allMatch(VoteRequest::preVote)).isTrue();
   }
 
-  /** An answer to an earlier trial of the same epoch is no promise. */
+  /** A response to an earlier pre-vote of the same epoch is no vote. */
   @Test
-  void countsNoTrialAnswerAsAPromise() {
-    promiseVerdict = Verdict.STALE_EPOCH;
+  void countsNoPreVoteResponseAsAVote() {
+    voteVerdict = Verdict.STALE_EPOCH;
     leader =
-        claimFor(
+        startElection(
             List.of(
                 new NodeAddress("a", "x"), new NodeAddress("b", "y"), new NodeAddress("c", "z")));
-    Epoch trialled = leader.epoch();
+    Epoch preVoteEpoch = leader.epoch();
     for (String replica : List.of("a", "b")) {
       leader.handleVoteResponse(
-          new VoteResponse(KEY, trialled, Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()),
+          new VoteResponse(
+              KEY, preVoteEpoch, Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()),
           replica);
     }
-    assertThat(trialled.isBelow(leader.epoch())).isTrue();
+    assertThat(preVoteEpoch.isBelow(leader.epoch())).isTrue();
     for (String replica : List.of("a", "b")) {
       leader.handleVoteResponse(
           new VoteResponse(
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -20,9 +20,9 @@
 import java.util.function.Supplier;
 
 /**
- * One run of the replicated register over the real classes: three replicas, one newcomer, two
- * claimants, the messages in flight. The run is a sequence of steps, each chosen from those that
- * are enabled; the same choices give the same run.
+ * One run of the replicated register over the real classes: three replicas, one joining replica,
+ * two candidates, the messages in flight. The run is a sequence of steps, each chosen from those
+ * that are enabled; the same choices give the same run.
  */
 final class ReplicatedLogModel implements StateText.Named {
   /**
@@ -30,27 +30,27 @@
    *
    * @param label the same whenever the same thing may happen
    * @param link where a message arrives from and to, or the disk that syncs; empty if the step
-   *     needs a client or trouble
+   *     needs a client or a failure
    */
   record Step(Supplier<String> label, String link, Runnable effect) {
-    /** Whether the step needs neither a client nor trouble. */
+    /** Whether the step needs neither a client nor a failure. */
     boolean usual() {
       return !link.isEmpty();
     }
   }
 
   private static final String KEY = "register";
-  private static final String SET = "set";
-  private static final long PENDING_SET = 2;
-  private static final String NEWCOMER = "r4";
-  private static final List<String> CLAIMANTS = List.of("a", "b");
+  private static final String CONFIGURATION = "set";
+  private static final long PENDING_VERSION = 2;
+  private static final String JOINING_REPLICA = "r4";
+  private static final List<String> CANDIDATES = List.of("a", "b");
   private static final ReplicaConfiguration FIRST =
       new ReplicaConfiguration(1, replicas("r1", "r2", "r3"), List.of());
   private static final ReplicaConfiguration PENDING =
-      new ReplicaConfiguration(PENDING_SET, FIRST.current(), replicas("r1", "r2", "r4"));
+      new ReplicaConfiguration(PENDING_VERSION, FIRST.current(), replicas("r1", "r2", "r4"));
   private static final ReplicaConfiguration CHANGED =
       new ReplicaConfiguration(3, PENDING.next(), List.of());
-  private static final ReplicaConfiguration CALLED_OFF =
+  private static final ReplicaConfiguration CANCELLED =
       new ReplicaConfiguration(3, FIRST.current(), List.of());
 
   private static final Predicate<InFlight> ALL = message -> true;
@@ -87,34 +87,37 @@
   private final ModelHistory history = new ModelHistory();
   private final Map<String, ModelDisk> disks = new TreeMap<>();
   private final Map<String, ModelReplica> replicas = new TreeMap<>();
-  private final Map<String, ModelCandidate> claimants = new TreeMap<>();
+  private final Map<String, ModelCandidate> candidates = new TreeMap<>();
   private final Map<String, Epoch> promisedBefore = new TreeMap<>();
   private final List<InFlight> inFlight = new ArrayList<>();
 
   /** By ordinal of the event, how often it has happened. */
   private final int[] taken = new int[ModelEvent.values().length];
 
-  /** The sets in force: what the control plane has committed. */
+  /** The configuration in force: what the control plane has committed. */
   private ReplicaConfiguration inForce = FIRST;
 
-  /** By claimant, the sets that it knows. Kept over its crashes, as it asks before it claims. */
+  /**
+   * By candidate, the configuration that it knows. Kept over its crashes, as it asks for it before
+   * an election.
+   */
   private final Map<String, ReplicaConfiguration> known = new TreeMap<>();
 
-  /** The lives of the newcomer that have begun to copy. */
-  private final Set<ModelReplica> copying = new HashSet<>();
+  /** The lives of the joining replica that have begun to catch up. */
+  private final Set<ModelReplica> startedJoining = new HashSet<>();
 
   ReplicatedLogModel(ModelBounds bounds) {
     this.bounds = bounds;
     for (NodeAddress replica : PENDING.allReplicas()) {
       boolean member = FIRST.current().contains(replica);
       if (member || bounds.most(ModelEvent.RECONFIGURATION) > 0) {
-        disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), SET));
+        disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), CONFIGURATION));
         startReplica(replica.id());
       }
     }
-    for (String claimant : CLAIMANTS.subList(0, bounds.claimants())) {
-      known.put(claimant, FIRST);
-      startClaimant(claimant);
+    for (String candidate : CANDIDATES.subList(0, bounds.candidates())) {
+      known.put(candidate, FIRST);
+      startCandidate(candidate);
     }
     begin(bounds.start());
   }
@@ -122,15 +125,15 @@
   private void startReplica(String id) {
     ModelRuntime runtime = new ModelRuntime(id, disks.get(id), this::send);
     ModelReplica replica =
-        new ModelReplica(runtime, id, SET, (key, entry) -> history.committed(id, entry));
+        new ModelReplica(runtime, id, CONFIGURATION, (key, entry) -> history.committed(id, entry));
     disks.get(id).synced().forEach(replica.replicas()::recover);
     replica.start();
     replicas.put(id, replica);
   }
 
-  private void startClaimant(String id) {
+  private void startCandidate(String id) {
     ModelRuntime runtime = new ModelRuntime(id, null, this::send);
-    claimants.put(
+    candidates.put(
         id,
         new ModelCandidate(
             runtime, id, KEY, bounds.snapshotValues(), () -> known.get(id), history));
@@ -140,7 +143,7 @@
     if (start == Start.BLANK) {
       return;
     }
-    ModelCandidate first = claimants.get(CLAIMANTS.get(0));
+    ModelCandidate first = candidates.get(CANDIDATES.get(0));
     act(first.runtime(), first::elect);
     settle(ALL);
     act(first.runtime(), () -> first.append(value(0)));
@@ -152,16 +155,16 @@
       }
       case LAGGING -> appendReaching(first, -1, NOT_TO_FIRST);
       case SUPERSEDED -> {
-        ModelCandidate second = claimants.get(CLAIMANTS.get(1));
+        ModelCandidate second = candidates.get(CANDIDATES.get(1));
         act(second.runtime(), second::elect);
         settle(message -> NOT_TO_FIRST.test(message) && !second.leads());
       }
-      case COPIED -> {
+      case CAUGHT_UP -> {
         inForce = PENDING;
-        copyIn();
+        startJoining();
         settle(ALL);
-        while (!replicas.get(NEWCOMER).hasCaughtUp()) {
-          endPauses(replicas.get(NEWCOMER).runtime());
+        while (!replicas.get(JOINING_REPLICA).hasCaughtUp()) {
+          endPauses(replicas.get(JOINING_REPLICA).runtime());
           settle(ALL);
         }
       }
@@ -216,11 +219,11 @@
 
   private void deliver(InFlight message) {
     ModelReplica replica = replicas.get(message.to);
-    ModelCandidate claimant = claimants.get(message.to);
+    ModelCandidate candidate = candidates.get(message.to);
     if (replica != null) {
       act(replica.runtime(), () -> replica.receive(message.envelope));
-    } else if (claimant != null) {
-      act(claimant.runtime(), () -> claimant.receive(message.envelope));
+    } else if (candidate != null) {
+      act(candidate.runtime(), () -> candidate.receive(message.envelope));
     }
   }
 
@@ -234,7 +237,7 @@
     addClients(steps);
     addTimers(steps);
     addCrashes(steps);
-    addSetChange(steps);
+    addReconfiguration(steps);
     return steps;
   }
 
@@ -283,12 +286,12 @@
   }
 
   private void addClients(List<Step> steps) {
-    claimants.forEach(
-        (id, claimant) -> {
-          if (claimant.idle() && left(ModelEvent.ELECTION)) {
-            steps.add(step("claim by " + id, ModelEvent.ELECTION, claimant, claimant::elect));
+    candidates.forEach(
+        (id, candidate) -> {
+          if (candidate.idle() && left(ModelEvent.ELECTION)) {
+            steps.add(step("election by " + id, ModelEvent.ELECTION, candidate, candidate::elect));
           }
-          if (!claimant.leads()) {
+          if (!candidate.leads()) {
             return;
           }
           if (left(ModelEvent.APPEND)) {
@@ -297,34 +300,35 @@
                 step(
                     "append by " + id,
                     ModelEvent.APPEND,
-                    claimant,
-                    () -> claimant.append(value(number))));
+                    candidate,
+                    () -> candidate.append(value(number))));
           }
           if (left(ModelEvent.READ)) {
-            steps.add(step("read by " + id, ModelEvent.READ, claimant, claimant::read));
+            steps.add(step("read by " + id, ModelEvent.READ, candidate, candidate::read));
           }
           if (left(ModelEvent.RESIGNATION)) {
-            steps.add(step("release by " + id, ModelEvent.RESIGNATION, claimant, claimant::resign));
+            steps.add(
+                step("resignation by " + id, ModelEvent.RESIGNATION, candidate, candidate::resign));
           }
         });
   }
 
-  private Step step(String label, ModelEvent event, ModelCandidate claimant, Runnable action) {
-    return new Step(() -> label, "", counting(event, () -> act(claimant.runtime(), action)));
+  private Step step(String label, ModelEvent event, ModelCandidate candidate, Runnable action) {
+    return new Step(() -> label, "", counting(event, () -> act(candidate.runtime(), action)));
   }
 
   private void addTimers(List<Step> steps) {
-    claimants.forEach((id, claimant) -> addTimers(steps, id, claimant.runtime()));
+    candidates.forEach((id, candidate) -> addTimers(steps, id, candidate.runtime()));
     replicas.forEach((id, replica) -> addTimers(steps, id, replica.runtime()));
-    claimants.forEach(
-        (id, claimant) -> {
-          if (!claimant.idle() && left(ModelEvent.CLOCK_JUMP)) {
+    candidates.forEach(
+        (id, candidate) -> {
+          if (!candidate.idle() && left(ModelEvent.CLOCK_JUMP)) {
             steps.add(
                 step(
                     "clock jump at " + id,
                     ModelEvent.CLOCK_JUMP,
-                    claimant,
-                    () -> claimant.runtime().jumpClock(ReplicationConstants.COMMIT_TIMEOUT_MS)));
+                    candidate,
+                    () -> candidate.runtime().jumpClock(ReplicationConstants.COMMIT_TIMEOUT_MS)));
           }
         });
   }
@@ -358,9 +362,9 @@
           });
     }
     if (left(ModelEvent.CANDIDATE_CRASH)) {
-      claimants.forEach(
-          (id, claimant) -> {
-            if (!claimant.idle()) {
+      candidates.forEach(
+          (id, candidate) -> {
+            if (!candidate.idle()) {
               steps.add(
                   new Step(
                       () -> "crash of " + id,
@@ -368,8 +372,8 @@
                       counting(
                           ModelEvent.CANDIDATE_CRASH,
                           () -> {
-                            claimant.runtime().end();
-                            startClaimant(id);
+                            candidate.runtime().end();
+                            startCandidate(id);
                           })));
             }
           });
@@ -383,32 +387,36 @@
     startReplica(id);
   }
 
-  private void addSetChange(List<Step> steps) {
+  private void addReconfiguration(List<Step> steps) {
     if (left(ModelEvent.RECONFIGURATION)) {
       if (inForce == FIRST) {
-        steps.add(change("pending set in force", PENDING));
+        steps.add(change("pending configuration in force", PENDING));
       } else if (inForce == PENDING) {
-        if (replicas.get(NEWCOMER).hasCaughtUp()) {
-          steps.add(change("new set in force", CHANGED));
+        if (replicas.get(JOINING_REPLICA).hasCaughtUp()) {
+          steps.add(change("new configuration in force", CHANGED));
         }
-        steps.add(change("change of set called off", CALLED_OFF));
+        steps.add(change("change of configuration cancelled", CANCELLED));
       }
     }
-    claimants.forEach(
-        (id, claimant) -> {
+    candidates.forEach(
+        (id, candidate) -> {
           if (known.get(id).version() < inForce.version()) {
             steps.add(
                 new Step(
-                    () -> id + " learns set " + inForce.version(),
+                    () -> id + " learns configuration " + inForce.version(),
                     "",
                     () -> {
                       known.put(id, inForce);
-                      act(claimant.runtime(), () -> claimant.reconfigure(inForce));
+                      act(candidate.runtime(), () -> candidate.reconfigure(inForce));
                     }));
           }
         });
-    if (inForce == PENDING && !newcomerKnows()) {
-      steps.add(new Step(() -> NEWCOMER + " learns set " + inForce.version(), "", this::copyIn));
+    if (inForce == PENDING && !hasJoiningReplicaStarted()) {
+      steps.add(
+          new Step(
+              () -> JOINING_REPLICA + " learns configuration " + inForce.version(),
+              "",
+              this::startJoining));
     }
   }
 
@@ -419,16 +427,18 @@
         counting(ModelEvent.RECONFIGURATION, () -> inForce = replicaConfiguration));
   }
 
-  private boolean newcomerKnows() {
-    return copying.contains(replicas.get(NEWCOMER));
+  private boolean hasJoiningReplicaStarted() {
+    return startedJoining.contains(replicas.get(JOINING_REPLICA));
   }
 
-  private void copyIn() {
-    ModelReplica newcomer = replicas.get(NEWCOMER);
-    copying.add(newcomer);
+  private void startJoining() {
+    ModelReplica joiningReplica = replicas.get(JOINING_REPLICA);
+    startedJoining.add(joiningReplica);
     act(
-        newcomer.runtime(),
-        () -> newcomer.join(SET, PENDING_SET, FIRST.current(), () -> inForce.version()));
+        joiningReplica.runtime(),
+        () ->
+            joiningReplica.join(
+                CONFIGURATION, PENDING_VERSION, FIRST.current(), () -> inForce.version()));
   }
 
   // ---- invariants and state
@@ -437,8 +447,8 @@
   void take(Step step) {
     try {
       step.effect().run();
-    } catch (InvariantViolation broken) {
-      throw broken;
+    } catch (InvariantViolation violation) {
+      throw violation;
     } catch (RuntimeException thrown) {
       throw new InvariantViolation(Invariant.NO_EXCEPTION, thrown.toString());
     }
@@ -458,10 +468,12 @@
     if (before != null && promised.isBelow(before)) {
       throw new InvariantViolation(Invariant.PROMISE_KEPT, id + " fell to " + promised);
     }
-    Epoch told = history.promisedTo(id);
-    if (promised.isBelow(told) || promised(disks.get(id).recoverable()).isBelow(told)) {
+    Epoch promisedToOthers = history.promisedToOthers(id);
+    if (promised.isBelow(promisedToOthers)
+        || promised(disks.get(id).recoverable()).isBelow(promisedToOthers)) {
       throw new InvariantViolation(
-          Invariant.PROMISE_KEPT, id + " has promised " + promised + " and told " + told);
+          Invariant.PROMISE_KEPT,
+          id + " has promised " + promised + " and has sent " + promisedToOthers);
     }
   }
 
@@ -471,20 +483,20 @@
   }
 
   private void checkKept(LogEntry entry) {
-    Set<String> holders = new HashSet<>();
+    Set<String> replicaIds = new HashSet<>();
     disks.forEach(
         (id, disk) -> {
           if (disk.recoverable()
               .holds(KEY, entry.sequence(), other -> ModelHistory.same(other, entry))) {
-            holders.add(id);
+            replicaIds.add(id);
           }
         });
     ReplicaConfiguration counted =
         new ReplicaConfiguration(inForce.version(), inForce.current(), List.of());
-    if (!counted.isQuorum(holders)) {
+    if (!counted.isQuorum(replicaIds)) {
       throw new InvariantViolation(
           Invariant.ACKNOWLEDGED_KEPT,
-          ModelHistory.describe(entry) + " is recoverable at " + holders + " only");
+          ModelHistory.describe(entry) + " is recoverable at " + replicaIds + " only");
     }
   }
 
@@ -497,9 +509,12 @@
     StateText text = new StateText();
     replicas.values().forEach(replica -> replica.addTo(text));
     disks.values().forEach(disk -> disk.addTo(text));
-    claimants.values().forEach(claimant -> claimant.addTo(text));
+    candidates.values().forEach(candidate -> candidate.addTo(text));
     text.add(inFlight.stream().map(InFlight::text).sorted().toList());
-    text.add(taken).add(inForce.version()).add(inForce.current()).add(newcomerPending());
+    text.add(taken)
+        .add(inForce.version())
+        .add(inForce.current())
+        .add(isJoiningUnderPendingChange());
     known.values().forEach(replicaConfiguration -> text.add(replicaConfiguration.version()));
     return text.add(history).add(promisedBefore);
   }
@@ -509,7 +524,7 @@
     return "model";
   }
 
-  private boolean newcomerPending() {
-    return inForce == PENDING && newcomerKnows();
+  private boolean isJoiningUnderPendingChange() {
+    return inForce == PENDING && hasJoiningReplicaStarted();
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelProgram.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelProgram.java
@@ -12,7 +12,7 @@
  * Ends with 1 if there is one.
  */
 final class ReplicatedLogModelProgram {
-  private static final int WALK_STEPS_MOST = 200;
+  private static final int MAX_WALK_STEPS = 200;
 
   private ReplicatedLogModelProgram() {}
 
@@ -26,7 +26,7 @@
     for (ModelPlan plan : plans(arguments[1])) {
       long begun = System.nanoTime();
       ModelSearch search = new ModelSearch(plan.bounds, states, time, threads);
-      Outcome outcome = walks ? search.randomWalks(seed, WALK_STEPS_MOST) : search.breadthFirst();
+      Outcome outcome = walks ? search.randomWalks(seed, MAX_WALK_STEPS) : search.breadthFirst();
       long millis = (System.nanoTime() - begun) / 1_000_000;
       System.out.println(line(plan, arguments[0], outcome) + " ms=" + millis);
       outcome.counterexample().ifPresent(found -> System.out.println(trace(found)));
@@ -56,6 +56,6 @@
   static String trace(ModelSearch.Counterexample found) {
     return found.steps().stream()
         .map(step -> "  " + step)
-        .collect(Collectors.joining("\n", "", "\n  broken: " + found.broken().getMessage()));
+        .collect(Collectors.joining("\n", "", "\n  broken: " + found.violation().getMessage()));
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelTest.java
@@ -12,32 +12,32 @@
  * searches are run by {@link ReplicatedLogModelProgram}.
  */
 final class ReplicatedLogModelTest {
-  private static final Duration TIME_MOST = Duration.ofMillis(500);
-  private static final long STATES_MOST = 20_000;
-  private static final int WALK_STEPS_MOST = 200;
+  private static final Duration MAX_TIME = Duration.ofMillis(500);
+  private static final long MAX_STATES = 20_000;
+  private static final int MAX_WALK_STEPS = 200;
   private static final long SEED = 1;
 
   private static ModelSearch search(ModelPlan plan) {
-    return new ModelSearch(plan.bounds, STATES_MOST, TIME_MOST, 1);
+    return new ModelSearch(plan.bounds, MAX_STATES, MAX_TIME, 1);
   }
 
-  private static void expectWhole(ModelPlan plan, String kind, Outcome outcome) {
+  private static void expectNoViolation(ModelPlan plan, String kind, Outcome outcome) {
     System.out.println(ReplicatedLogModelProgram.line(plan, kind, outcome));
     assertWithMessage(outcome.counterexample().map(ReplicatedLogModelProgram::trace).orElse(""))
         .that(outcome.counterexample().isPresent())
         .isFalse();
-    assertWithMessage("states reached").that(outcome.states()).isAtLeast(ModelSearch.STATES_LEAST);
+    assertWithMessage("states reached").that(outcome.states()).isAtLeast(ModelSearch.MIN_STATES);
   }
 
   @ParameterizedTest
   @EnumSource(ModelPlan.class)
   void breadthFirst(ModelPlan plan) {
-    expectWhole(plan, "breadth", search(plan).breadthFirst());
+    expectNoViolation(plan, "breadth", search(plan).breadthFirst());
   }
 
   @ParameterizedTest
   @EnumSource(ModelPlan.class)
   void randomWalks(ModelPlan plan) {
-    expectWhole(plan, "walks", search(plan).randomWalks(SEED, WALK_STEPS_MOST));
+    expectNoViolation(plan, "walks", search(plan).randomWalks(SEED, MAX_WALK_STEPS));
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/StateText.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/StateText.java
@@ -147,7 +147,7 @@
       try {
         write(field.get(value));
       } catch (IllegalAccessException denied) {
-        throw new IllegalStateException(denied);
+        throw new IllegalStateException("field " + field + " can't be read", denied);
       }
       text.append(',');
     }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/WalkStrategy.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/WalkStrategy.java
@@ -7,31 +7,31 @@
 
 /**
  * How one random walk chooses its steps. A run in which any step is as likely as any other seldom
- * comes far. So trouble is rare in some walks, messages arrive in order in some, and for phases of
- * random length some links and disks stand still, as in a partition.
+ * comes far. So failures are rare in some walks, messages arrive in order in some, and for phases
+ * of random length some links and disks stand still, as in a partition.
  */
 final class WalkStrategy {
-  private static final double PHASE_ENDS_MOST = 0.2;
+  private static final double MAX_PHASE_END_PROBABILITY = 0.2;
 
   private final Random random;
-  private final double usualPart;
-  private final double inOrderPart;
-  private final double blockedPart;
-  private final double phaseEnds;
+  private final double usualProbability;
+  private final double inOrderProbability;
+  private final double blockedProbability;
+  private final double phaseEndProbability;
   private int phase;
 
   WalkStrategy(Random random) {
     this.random = random;
-    usualPart = random.nextDouble();
-    inOrderPart = random.nextDouble();
-    blockedPart = random.nextDouble();
-    phaseEnds = random.nextDouble() * PHASE_ENDS_MOST;
+    usualProbability = random.nextDouble();
+    inOrderProbability = random.nextDouble();
+    blockedProbability = random.nextDouble();
+    phaseEndProbability = random.nextDouble() * MAX_PHASE_END_PROBABILITY;
     phase = random.nextInt();
   }
 
   /** The index of the step to take. */
   int choose(List<Step> enabled) {
-    if (random.nextDouble() < phaseEnds) {
+    if (random.nextDouble() < phaseEndProbability) {
       phase = random.nextInt();
     }
     int[] open =
@@ -41,10 +41,10 @@
       phase = random.nextInt();
       return random.nextInt(enabled.size());
     }
-    if (usual.length == 0 || random.nextDouble() >= usualPart) {
+    if (usual.length == 0 || random.nextDouble() >= usualProbability) {
       return open[random.nextInt(open.length)];
     }
-    boolean inOrder = random.nextDouble() < inOrderPart;
+    boolean inOrder = random.nextDouble() < inOrderProbability;
     return usual[inOrder ? 0 : random.nextInt(usual.length)];
   }
 
@@ -54,6 +54,6 @@
     }
     Random ofLink = new Random(step.link().hashCode() * 31L + phase);
     ofLink.nextInt();
-    return ofLink.nextDouble() >= blockedPart;
+    return ofLink.nextDouble() >= blockedProbability;
   }
 }
