--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -3,8 +3,6 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.constants.ReplicationConstants;
-import applespindle.corelogic.log.Epoch;
-import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.replication.InvariantViolation.Invariant;
@@ -53,43 +51,22 @@
   private static final ReplicaConfiguration CANCELLED =
       new ReplicaConfiguration(3, FIRST.current(), List.of());
 
-  private static final Predicate<InFlight> ALL = message -> true;
-  private static final Predicate<InFlight> NOT_TO_FIRST = message -> !message.to.equals("r1");
-  private static final Predicate<InFlight> TO_FIRST = message -> message.to.equals("r1");
+  private static final Predicate<InFlightMessage> ALL = message -> true;
+  private static final Predicate<InFlightMessage> NOT_TO_FIRST =
+      message -> !message.to.equals("r1");
+  private static final Predicate<InFlightMessage> TO_FIRST = message -> message.to.equals("r1");
 
   private static List<NodeAddress> replicas(String... ids) {
     return List.of(ids).stream().map(id -> new NodeAddress(id, id)).toList();
   }
 
-  /** A message on its way. */
-  private static final class InFlight {
-    final String to;
-    final Envelope envelope;
-    final String link;
-    private String text;
-
-    InFlight(String to, Envelope envelope) {
-      this.to = to;
-      this.envelope = envelope;
-      this.link = envelope.fromId() + '>' + to;
-    }
-
-    /** Two messages of the same text are the same; made when asked for, as it takes long. */
-    String text() {
-      if (text == null) {
-        text = to + " " + StateText.of(envelope);
-      }
-      return text;
-    }
-  }
-
   private final ModelBounds bounds;
   private final ModelHistory history = new ModelHistory();
   private final Map<String, ModelDisk> disks = new TreeMap<>();
   private final Map<String, ModelReplica> replicas = new TreeMap<>();
   private final Map<String, ModelCandidate> candidates = new TreeMap<>();
-  private final Map<String, Epoch> promisedBefore = new TreeMap<>();
-  private final List<InFlight> inFlight = new ArrayList<>();
+  private final ModelInvariants invariants = new ModelInvariants(KEY, history, disks, replicas);
+  private final List<InFlightMessage> inFlight = new ArrayList<>();
 
   /** By ordinal of the event, how often it has happened. */
   private final int[] taken = new int[ModelEvent.values().length];
@@ -173,7 +150,8 @@
     inFlight.removeIf(message -> replicas.containsKey(message.to));
   }
 
-  private void appendReaching(ModelCandidate leader, int number, Predicate<InFlight> reaching) {
+  private void appendReaching(
+      ModelCandidate leader, int number, Predicate<InFlightMessage> reaching) {
     act(leader.runtime(), () -> leader.append(value(number)));
     settle(reaching);
   }
@@ -185,15 +163,17 @@
   }
 
   /** Delivers, in order, all messages of this kind and what follows from them. */
-  private void settle(Predicate<InFlight> arriving) {
-    for (Optional<InFlight> next = first(arriving); next.isPresent(); next = first(arriving)) {
+  private void settle(Predicate<InFlightMessage> arriving) {
+    for (Optional<InFlightMessage> next = first(arriving);
+        next.isPresent();
+        next = first(arriving)) {
       inFlight.remove(next.get());
       deliver(next.get());
       disks.keySet().forEach(this::syncAll);
     }
   }
 
-  private Optional<InFlight> first(Predicate<InFlight> arriving) {
+  private Optional<InFlightMessage> first(Predicate<InFlightMessage> arriving) {
     return inFlight.stream().filter(arriving).findFirst();
   }
 
@@ -214,10 +194,10 @@
 
   private void send(String to, Envelope envelope) {
     history.sent(envelope);
-    inFlight.add(new InFlight(to, envelope));
+    inFlight.add(new InFlightMessage(to, envelope));
   }
 
-  private void deliver(InFlight message) {
+  private void deliver(InFlightMessage message) {
     ModelReplica replica = replicas.get(message.to);
     ModelCandidate candidate = candidates.get(message.to);
     if (replica != null) {
@@ -253,7 +233,7 @@
   }
 
   private void addMessages(List<Step> steps) {
-    for (InFlight message : inFlight) {
+    for (InFlightMessage message : inFlight) {
       steps.add(
           new Step(
               () -> "deliver to " + message.text(),
@@ -383,7 +363,7 @@
   private void crashReplica(String id, int kept) {
     replicas.get(id).runtime().end();
     disks.get(id).crash(kept);
-    promisedBefore.remove(id);
+    invariants.replicaRestarted(id);
     startReplica(id);
   }
 
@@ -452,52 +432,7 @@
     } catch (RuntimeException thrown) {
       throw new InvariantViolation(Invariant.NO_EXCEPTION, thrown.toString());
     }
-    check();
-  }
-
-  private void check() {
-    replicas.forEach(this::checkPromised);
-    for (LogEntry entry : history.acknowledged().values()) {
-      checkKept(entry);
-    }
-  }
-
-  private void checkPromised(String id, ModelReplica replica) {
-    Epoch promised = promised(replica.replicas());
-    Epoch before = promisedBefore.put(id, promised);
-    if (before != null && promised.isBelow(before)) {
-      throw new InvariantViolation(Invariant.PROMISE_KEPT, id + " fell to " + promised);
-    }
-    Epoch promisedToOthers = history.promisedToOthers(id);
-    if (promised.isBelow(promisedToOthers)
-        || promised(disks.get(id).recoverable()).isBelow(promisedToOthers)) {
-      throw new InvariantViolation(
-          Invariant.PROMISE_KEPT,
-          id + " has promised " + promised + " and has sent " + promisedToOthers);
-    }
-  }
-
-  private static Epoch promised(LogReplicas replicas) {
-    LogReplica replica = replicas.replicas().get(KEY);
-    return replica == null ? Epoch.NONE : replica.promisedEpoch;
-  }
-
-  private void checkKept(LogEntry entry) {
-    Set<String> replicaIds = new HashSet<>();
-    disks.forEach(
-        (id, disk) -> {
-          if (disk.recoverable()
-              .holds(KEY, entry.sequence(), other -> ModelHistory.same(other, entry))) {
-            replicaIds.add(id);
-          }
-        });
-    ReplicaConfiguration counted =
-        new ReplicaConfiguration(inForce.version(), inForce.current(), List.of());
-    if (!counted.isQuorum(replicaIds)) {
-      throw new InvariantViolation(
-          Invariant.ACKNOWLEDGED_KEPT,
-          ModelHistory.describe(entry) + " is recoverable at " + replicaIds + " only");
-    }
+    invariants.check(inForce);
   }
 
   /** A hash of all that may matter for what comes. */
@@ -510,13 +445,13 @@
     replicas.values().forEach(replica -> replica.addTo(text));
     disks.values().forEach(disk -> disk.addTo(text));
     candidates.values().forEach(candidate -> candidate.addTo(text));
-    text.add(inFlight.stream().map(InFlight::text).sorted().toList());
+    text.add(inFlight.stream().map(InFlightMessage::text).sorted().toList());
     text.add(taken)
         .add(inForce.version())
         .add(inForce.current())
         .add(isJoiningUnderPendingChange());
     known.values().forEach(replicaConfiguration -> text.add(replicaConfiguration.version()));
-    return text.add(history).add(promisedBefore);
+    return text.add(history).add(invariants.promisedBefore());
   }
 
   @Override
