--- a/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapAcceptance.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapAcceptance.java
@@ -44,7 +44,7 @@
   }
 
   static boolean isBootstrapRecord(LogRecord record) {
-    return record.kind() == Kind.ROSTER
+    return record.kind() == Kind.MEMBERSHIP
         && (record.key().equals(ACCEPTED_PROPOSAL_KEY) || record.key().equals(FIRST_START_KEY));
   }
 
@@ -93,12 +93,12 @@
   }
 
   private static LogRecord firstStartRecord() {
-    return new LogRecord(Kind.ROSTER, FIRST_START_KEY, Epoch.NONE, 0, true, new byte[0]);
+    return new LogRecord(Kind.MEMBERSHIP, FIRST_START_KEY, Epoch.NONE, 0, true, new byte[0]);
   }
 
   private static LogRecord acceptedRecord(QuorumMembership membership) {
     return new LogRecord(
-        Kind.ROSTER,
+        Kind.MEMBERSHIP,
         ACCEPTED_PROPOSAL_KEY,
         Epoch.NONE,
         membership.version(),
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -74,7 +74,7 @@
 
   @Override
   public void recover(LogRecord record) {
-    if (record.kind() == Kind.ONCE) {
+    if (record.kind() == Kind.ONCE_CLAIM) {
       onceClaims.recover(record);
     } else {
       replicas.recover(record);
@@ -99,7 +99,7 @@
   // ---- batches
 
   private void committed(String key, LogEntry entry) {
-    if (entry.isTakeover()) {
+    if (entry.isEpochStart()) {
       return;
     }
     String eventKind = BatchEvent.kindOf(entry.event());
@@ -151,7 +151,7 @@
     Map<NodeAddress, List<String>> leaderlessByEdge = new HashMap<>();
     for (String key : batches.unfinished()) {
       LogReplica replica = replicas.replica(key);
-      if (!replicas.isLeaderSilent(replica)) {
+      if (!replicas.isLeaderTimedOut(replica)) {
         continue;
       }
       NodeAddress successor = successorFor(key, replica.leaderId);
@@ -212,7 +212,7 @@
     }
     LogReplica replica = replicas.replicas().get(request.key());
     boolean present =
-        replica != null && replica.entries.stream().anyMatch(entry -> !entry.isTakeover());
+        replica != null && replica.entries.stream().anyMatch(entry -> !entry.isEpochStart());
     NodeAddress leader = present ? replicas.knownLeader(replica) : NodeAddress.NONE;
     respond(
         request,
