--- a/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
@@ -4,6 +4,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.log.Epoch;
 import applespindle.corelogic.log.LogRecord;
@@ -188,9 +189,9 @@
     assertThat(keyId).isEqualTo(StoredDataGenerator.KEY_ID);
     Map<String, String> keys = Map.of(keyId, operatorKey());
     byte[] signature = stored.get("signature").binaryValue();
-    assertThat(RoutingConfiguration.validate(bytes, keyId, signature, keys).error()).isNull();
+    assertThat(ConfigurationValidator.validate(bytes, keyId, signature, keys).error()).isNull();
     RoutingConfiguration configuration =
-        RoutingConfiguration.validate(bytes, keyId, signature, keys).configuration();
+        ConfigurationValidator.validate(bytes, keyId, signature, keys).configuration();
     assertThat(configuration.number()).isEqualTo(number);
     assertThat(configuration.pools()).containsKey("main");
     assertThat(configuration.rules().get(0).way().expiryMs()).isEqualTo(10_000);
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
@@ -55,7 +55,7 @@
         @Override
         public ParsedConfiguration parse(ObjectNode whole) {
           byte[] bytes = Json.bytes(whole);
-          return RoutingConfiguration.validate(bytes).error()
+          return ConfigurationValidator.validate(bytes).error()
                   instanceof ApiError.InvalidConfiguration invalid
               ? new ParsedConfiguration(null, invalid.fields())
               : new ParsedConfiguration(bytes, List.of());
--- /dev/null
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/CrossFieldChecker.java
@@ -0,0 +1,91 @@
+package applespindle.corelogic.configuration;
+
+import applespindle.corelogic.api.ApiError;
+import applespindle.corelogic.configuration.RoutingConfiguration.PoolWeight;
+import applespindle.corelogic.configuration.RoutingConfiguration.Route;
+import applespindle.corelogic.configuration.RoutingConfiguration.RoutingAction;
+import applespindle.corelogic.configuration.RoutingConfiguration.Rule;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+
+/**
+ * Checks what no single field of a configuration shows: that names refer to something, that routes
+ * don't overlap and that conditions compile. Expects a configuration whose fields satisfy their
+ * constraints. An instance checks one configuration, on one thread.
+ */
+final class CrossFieldChecker {
+  /** The error of a configuration that can't route any request. */
+  static final ApiError.Field NO_RULES_AND_NO_ROUTES =
+      new ApiError.Field("$.rules", "must not be empty where there are no routes");
+
+  private final RoutingConfiguration configuration;
+  private final List<ApiError.Field> errors = new ArrayList<>();
+
+  private CrossFieldChecker(RoutingConfiguration configuration) {
+    this.configuration = configuration;
+  }
+
+  /** Returns all errors, by the JSON path of the field at which each is reported; empty if none. */
+  static List<ApiError.Field> check(RoutingConfiguration configuration) {
+    CrossFieldChecker checker = new CrossFieldChecker(configuration);
+    if (configuration.rules().isEmpty() && configuration.routes().isEmpty()) {
+      checker.errors.add(NO_RULES_AND_NO_ROUTES);
+    }
+    checker.checkRoutes();
+    checker.checkRules();
+    checker.checkPool("$.limits.batch.pool", configuration.limits().batch().pool());
+    return checker.errors;
+  }
+
+  private void checkRoutes() {
+    Set<String> hostsAndPrefixes = new HashSet<>();
+    for (int index = 0; index < configuration.routes().size(); index++) {
+      Route route = configuration.routes().get(index);
+      String path = "$.routes[" + index + "]";
+      String host = route.host().toLowerCase(Locale.ROOT);
+      if (!hostsAndPrefixes.add(host + " " + route.pathPrefix())) {
+        reject(path + ".pathPrefix", "is the host and prefix of an earlier route too");
+      }
+      checkSplit(path + ".split", route.split());
+    }
+  }
+
+  private void checkSplit(String path, List<PoolWeight> split) {
+    if (split.stream().mapToLong(PoolWeight::weight).sum() == 0) {
+      reject(path, "has no weight");
+    }
+    for (PoolWeight share : split) {
+      if (!configuration.pools().containsKey(share.pool())) {
+        reject(path, "names no pool of this bundle: " + share.pool());
+      }
+    }
+  }
+
+  private void checkRules() {
+    for (int index = 0; index < configuration.rules().size(); index++) {
+      Rule rule = configuration.rules().get(index);
+      String path = "$.rules[" + index + "]";
+      if (rule.when() != null) {
+        RuleCondition.errorsOf(rule.when()).forEach(error -> reject(path + ".when", error));
+      }
+      RoutingAction action = rule.way();
+      checkPool(path + ".way.pool", action.pool());
+      if (!configuration.limits().classes().containsKey(action.trafficClass())) {
+        reject(path + ".way.trafficClass", "names no class of this bundle");
+      }
+    }
+  }
+
+  private void checkPool(String path, String pool) {
+    if (!configuration.pools().containsKey(pool)) {
+      reject(path, "names no pool of this bundle");
+    }
+  }
+
+  private void reject(String path, String reason) {
+    errors.add(new ApiError.Field(path, reason));
+  }
+}
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -1,12 +1,6 @@
 package applespindle.corelogic.configuration;
 
-import applespindle.corelogic.api.ApiError;
-import applespindle.corelogic.api.ConstraintChecker;
-import applespindle.corelogic.api.InputReader;
-import applespindle.corelogic.common.Json;
 import applespindle.corelogic.constants.BatchConstants;
-import applespindle.corelogic.constants.SizeLimits;
-import com.fasterxml.jackson.databind.JsonNode;
 import jakarta.validation.Valid;
 import jakarta.validation.constraints.DecimalMax;
 import jakarta.validation.constraints.DecimalMin;
@@ -17,19 +11,8 @@
 import jakarta.validation.constraints.NotNull;
 import jakarta.validation.constraints.Pattern;
 import jakarta.validation.constraints.Size;
-import java.io.IOException;
-import java.security.GeneralSecurityException;
-import java.security.KeyFactory;
-import java.security.Signature;
-import java.security.spec.X509EncodedKeySpec;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Base64;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
 
 /** The operators' routing configuration, as signed off under one number. */
 public record RoutingConfiguration(
@@ -161,162 +144,4 @@
       return retentionMs == null ? BatchConstants.DEFAULT_RETENTION_MS : retentionMs;
     }
   }
-
-  private static final ApiError.Field LEADS_NOWHERE =
-      new ApiError.Field("$.rules", "must not be empty where there are no routes");
-
-  /** What the checks in order came to: a bundle, or the one fault that ended them. */
-  public record ValidationResult(RoutingConfiguration configuration, ApiError error) {}
-
-  public static ValidationResult validate(
-      byte[] bytes, String signerKeyId, byte[] signature, Map<String, String> operatorKeys) {
-    if (bytes.length > SizeLimits.MAX_BODY_BYTES) {
-      return new ValidationResult(null, new ApiError.InputTooLarge(SizeLimits.MAX_BODY_BYTES));
-    }
-    String operatorKey = operatorKeys.get(signerKeyId);
-    if (operatorKey == null) {
-      return new ValidationResult(null, new ApiError.SignatureRejected("unknown signer key id"));
-    }
-    if (!signatureFits(bytes, signature, operatorKey)) {
-      return new ValidationResult(
-          null, new ApiError.SignatureRejected("the signature does not fit the bytes"));
-    }
-    return validate(bytes);
-  }
-
-  /** The checks without the signature: JSON, field rules, then what only the whole shows. */
-  public static ValidationResult validate(byte[] bytes) {
-    RoutingConfiguration written = writtenByThisProgram(bytes);
-    if (written != null && ConstraintChecker.passes(written)) {
-      return whole(new InputReader.Input<>(written, List.of()));
-    }
-    InputReader.Input<RoutingConfiguration> input =
-        InputReader.read(bytes, RoutingConfiguration.class);
-    if (input.good() || !leadsNowhere(bytes)) {
-      return whole(input);
-    }
-    List<ApiError.Field> faults = new ArrayList<>(input.faults());
-    faults.add(LEADS_NOWHERE);
-    return new ValidationResult(null, new ApiError.InvalidConfiguration(faults));
-  }
-
-  /**
-   * An empty list of rules and no routes; told beside the faults of single fields, so that all are
-   * named at once.
-   */
-  private static boolean leadsNowhere(byte[] bytes) {
-    try {
-      JsonNode tree = Json.JSON.readTree(bytes);
-      return tree.path("rules").isArray()
-          && tree.path("rules").isEmpty()
-          && tree.path("routes").isEmpty();
-    } catch (IOException unreadable) {
-      return false;
-    }
-  }
-
-  /**
-   * Of a bundle that the owner of its key has checked and committed: what another version of this
-   * program may not know. Every edge does this with each new bundle on a part of a processor, so
-   * one that can be read whole is compared with nothing field by field.
-   */
-  public static ValidationResult readCommitted(byte[] bytes) {
-    RoutingConfiguration configuration = readWhole(bytes);
-    return configuration == null
-        ? whole(InputReader.readKept(bytes, RoutingConfiguration.class))
-        : whole(new InputReader.Input<>(configuration, List.of()));
-  }
-
-  /**
-   * The bundle if the bytes are exactly what this program writes for it, as a door of its own does:
-   * then no field is missing, unknown or of another type. Else null.
-   */
-  private static RoutingConfiguration writtenByThisProgram(byte[] bytes) {
-    RoutingConfiguration configuration = readWhole(bytes);
-    return configuration != null && Arrays.equals(Json.bytes(configuration), bytes)
-        ? configuration
-        : null;
-  }
-
-  /** Null unless all that stands there is understood and all that a bundle must have is there. */
-  private static RoutingConfiguration readWhole(byte[] bytes) {
-    try {
-      RoutingConfiguration configuration = Json.JSON.readValue(bytes, RoutingConfiguration.class);
-      return configuration.pools == null
-              || configuration.rules == null
-              || configuration.limits == null
-          ? null
-          : configuration;
-    } catch (IOException notUnderstood) {
-      return null;
-    }
-  }
-
-  private static ValidationResult whole(InputReader.Input<RoutingConfiguration> input) {
-    List<ApiError.Field> faults = input.good() ? input.value().crossFieldErrors() : input.faults();
-    return faults.isEmpty()
-        ? new ValidationResult(input.value(), null)
-        : new ValidationResult(null, new ApiError.InvalidConfiguration(faults));
-  }
-
-  private static boolean signatureFits(byte[] bytes, byte[] signature, String operatorKey) {
-    try {
-      var publicKey =
-          KeyFactory.getInstance("Ed25519")
-              .generatePublic(new X509EncodedKeySpec(Base64.getDecoder().decode(operatorKey)));
-      Signature verifier = Signature.getInstance("Ed25519");
-      verifier.initVerify(publicKey);
-      verifier.update(bytes);
-      return verifier.verify(signature);
-    } catch (GeneralSecurityException | IllegalArgumentException fault) {
-      return false;
-    }
-  }
-
-  private List<ApiError.Field> crossFieldErrors() {
-    List<ApiError.Field> faults = new ArrayList<>();
-    if (rules.isEmpty() && routes().isEmpty()) {
-      faults.add(LEADS_NOWHERE);
-    }
-    Set<String> places = new HashSet<>();
-    for (int index = 0; index < routes().size(); index++) {
-      Route route = routes().get(index);
-      String path = "$.routes[" + index + "]";
-      if (!places.add(route.host().toLowerCase(Locale.ROOT) + " " + route.pathPrefix())) {
-        faults.add(
-            new ApiError.Field(
-                path + ".pathPrefix", "is the host and prefix of an earlier route too"));
-      }
-      if (route.split().stream().mapToLong(PoolWeight::weight).sum() == 0) {
-        faults.add(new ApiError.Field(path + ".split", "has no weight"));
-      }
-      for (PoolWeight share : route.split()) {
-        if (!pools.containsKey(share.pool())) {
-          faults.add(
-              new ApiError.Field(path + ".split", "names no pool of this bundle: " + share.pool()));
-        }
-      }
-    }
-    for (int index = 0; index < rules.size(); index++) {
-      RoutingAction way = rules.get(index).way();
-      if (rules.get(index).when() != null) {
-        String path = "$.rules[" + index + "].when";
-        RuleCondition.faults(rules.get(index).when())
-            .forEach(fault -> faults.add(new ApiError.Field(path, fault)));
-      }
-      if (!pools.containsKey(way.pool())) {
-        faults.add(
-            new ApiError.Field("$.rules[" + index + "].way.pool", "names no pool of this bundle"));
-      }
-      if (!limits.classes().containsKey(way.trafficClass())) {
-        faults.add(
-            new ApiError.Field(
-                "$.rules[" + index + "].way.trafficClass", "names no class of this bundle"));
-      }
-    }
-    if (!pools.containsKey(limits.batch().pool())) {
-      faults.add(new ApiError.Field("$.limits.batch.pool", "names no pool of this bundle"));
-    }
-    return faults;
-  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
@@ -48,7 +48,7 @@
   }
 
   /** The faults of an expression, each with its line and column; none if it is good. */
-  static List<String> faults(String text) {
+  static List<String> errorsOf(String text) {
     try {
       RUNTIME.createProgram(COMPILER.compile(text).getAst());
       return List.of();
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -8,6 +8,7 @@
 import applespindle.corelogic.configuration.ConfigurationFormat;
 import applespindle.corelogic.configuration.ConfigurationPatch;
 import applespindle.corelogic.configuration.ConfigurationPatchRequest;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.environment.NodeSettings;
 import applespindle.corelogic.metadata.AcceptedRevisions;
@@ -49,7 +50,7 @@
 
   /** Accepts a bundle and responds once it is in force, or refuses it. */
   void set(PeerRequest request, LedKey ledKey, SignedConfiguration sent) {
-    RoutingConfiguration.ValidationResult checked = check(sent);
+    ConfigurationValidator.ValidationResult checked = check(sent);
     if (checked.error() != null) {
       responder.reject(request, checked.error());
       return;
@@ -85,7 +86,7 @@
     var result =
         new SignedConfiguration(
             number, whole.configuration(), sent.keyId(), sent.signature(), sent.buildsOn());
-    RoutingConfiguration.ValidationResult checked = check(result);
+    ConfigurationValidator.ValidationResult checked = check(result);
     if (checked.error() != null) {
       responder.reject(request, checked.error());
       return;
@@ -106,10 +107,11 @@
         : format.parse(applied.configuration());
   }
 
-  private RoutingConfiguration.ValidationResult check(SignedConfiguration sent) {
+  private ConfigurationValidator.ValidationResult check(SignedConfiguration sent) {
     return settings.signedConfigurations()
-        ? RoutingConfiguration.validate(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
-        : RoutingConfiguration.validate(sent.bytes());
+        ? ConfigurationValidator.validate(
+            sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
+        : ConfigurationValidator.validate(sent.bytes());
   }
 
   /**
@@ -177,7 +179,7 @@
       return inForce.accepted();
     }
     RoutingConfiguration configuration =
-        RoutingConfiguration.validate(inForce.bytes()).configuration();
+        ConfigurationValidator.validate(inForce.bytes()).configuration();
     byte[] content = configuration == null ? inForce.bytes() : content(configuration, inForce);
     return AcceptedRevisions.startingWith(inForce.number(), content);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -6,6 +6,7 @@
 import applespindle.corelogic.changefeed.SharedMetadataDigest;
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.common.RendezvousHashing;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.constants.ChangeFeedConstants;
 import applespindle.corelogic.constants.LifecycleConstants;
@@ -521,8 +522,8 @@
       shards.put(key, Json.read(metadataRecord.value(), ShardAssignment.class));
     } else if (key.equals(MetadataKeys.CONFIGURATION)) {
       SignedConfiguration signed = Json.read(metadataRecord.value(), SignedConfiguration.class);
-      RoutingConfiguration.ValidationResult checked =
-          RoutingConfiguration.readCommitted(signed.bytes());
+      ConfigurationValidator.ValidationResult checked =
+          ConfigurationValidator.readCommitted(signed.bytes());
       if (checked.error() == null) {
         configuration = checked.configuration();
         environment.log(PART, "Bundle " + configuration.number() + " is in force.");
--- a/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
@@ -5,6 +5,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.controlplane.ConfigurationManager;
 import applespindle.corelogic.metadata.AcceptedRevisions;
@@ -54,7 +55,7 @@
   @Test
   void passesWhatTheValidatorPasses() {
     assertThat(ConstraintChecker.passes(bundle(ROUTES, "text"))).isTrue();
-    assertThat(RoutingConfiguration.validate(Json.bytes(bundle(ROUTES, "text"))).configuration())
+    assertThat(ConfigurationValidator.validate(Json.bytes(bundle(ROUTES, "text"))).configuration())
         .isEqualTo(bundle(ROUTES, "text"));
   }
 
@@ -87,7 +88,7 @@
           RoutingConfiguration read = Json.read(Json.bytes(tree), RoutingConfiguration.class);
           assertWithMessage(path).that(ConstraintChecker.passes(read)).isFalse();
           assertWithMessage(path)
-              .that(RoutingConfiguration.validate(Json.bytes(read)).error())
+              .that(ConfigurationValidator.validate(Json.bytes(read)).error())
               .isInstanceOf(ApiError.InvalidConfiguration.class);
         });
   }
@@ -110,7 +111,7 @@
             text.replaceFirst("\"sticky\":true", "\"sticky\":null"),
             text.replaceFirst("\\{", "{\"more\":1,"))) {
       assertWithMessage(faulty)
-          .that(RoutingConfiguration.validate(faulty.getBytes(UTF_8)).error())
+          .that(ConfigurationValidator.validate(faulty.getBytes(UTF_8)).error())
           .isInstanceOf(ApiError.InvalidConfiguration.class);
     }
   }
@@ -133,7 +134,7 @@
     SignedConfiguration read = Json.read(told, SignedConfiguration.class);
     assertThat(read.number()).isEqualTo(3);
     assertThat(read.accepted()).isNull();
-    assertThat(RoutingConfiguration.readCommitted(read.bytes()).configuration())
+    assertThat(ConfigurationValidator.readCommitted(read.bytes()).configuration())
         .isEqualTo(bundle(ROUTES, null));
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
@@ -23,8 +23,8 @@
                             "cancelForLive": true, "itemExpiryMs": 1000}}}
       """;
 
-  private static RoutingConfiguration.ValidationResult check(String text) {
-    return RoutingConfiguration.validate(text.getBytes(UTF_8));
+  private static ConfigurationValidator.ValidationResult check(String text) {
+    return ConfigurationValidator.validate(text.getBytes(UTF_8));
   }
 
   private static void rejects(String text, String... paths) {
@@ -71,7 +71,7 @@
   void anUnknownSignerAndAWrongSignatureAreRefusedBeforeAnythingIsRead() {
     byte[] bytes = "not json".getBytes(UTF_8);
     assertThat(
-            RoutingConfiguration.validate(bytes, "nobody", new byte[64], Map.of()).error().type())
+            ConfigurationValidator.validate(bytes, "nobody", new byte[64], Map.of()).error().type())
         .isEqualTo("SignatureRefused");
   }
 }
--- a/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
@@ -1,7 +1,7 @@
 package applespindle.operatortool;
 
 import applespindle.corelogic.api.ApiError;
-import applespindle.corelogic.configuration.RoutingConfiguration;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.failsafe.Failsafe;
 import dev.failsafe.RetryPolicy;
@@ -289,7 +289,7 @@
   }
 
   private static int checkBundle(byte[] bytes) {
-    RoutingConfiguration.ValidationResult checked = RoutingConfiguration.validate(bytes);
+    ConfigurationValidator.ValidationResult checked = ConfigurationValidator.validate(bytes);
     if (checked.error() == null) {
       System.out.println("bundle " + checked.configuration().number() + ": good");
       return 0;
