--- a/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
@@ -2,6 +2,7 @@
 
 import static applespindle.corelogic.common.Json.JSON;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -11,6 +12,7 @@
 import jakarta.validation.Validation;
 import jakarta.validation.Validator;
 import java.io.IOException;
+import java.lang.reflect.Method;
 import java.lang.reflect.ParameterizedType;
 import java.lang.reflect.RecordComponent;
 import java.lang.reflect.Type;
@@ -20,7 +22,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
+import org.hibernate.validator.HibernateValidator;
 import org.hibernate.validator.messageinterpolation.ParameterMessageInterpolator;
+import org.hibernate.validator.spi.nodenameprovider.JavaBeanProperty;
+import org.hibernate.validator.spi.nodenameprovider.Property;
 
 /**
  * Reads input from outside into a record and names every faulty field at once, each by its JSON
@@ -33,11 +38,28 @@
    */
   private static final class FieldRules {
     static final Validator VALIDATOR =
-        Validation.byDefaultProvider()
+        Validation.byProvider(HibernateValidator.class)
             .configure()
+            .propertyNodeNameProvider(FieldRules::jsonNameOf)
             .messageInterpolator(new ParameterMessageInterpolator())
             .buildValidatorFactory()
             .getValidator();
+
+    /** Violations are reported under the names that the input uses. */
+    private static String jsonNameOf(Property property) {
+      if (property instanceof JavaBeanProperty component) {
+        for (RecordComponent each : recordComponentsOf(component.getDeclaringClass())) {
+          if (each.getName().equals(component.getName())) {
+            return InputReader.jsonNameOf(each);
+          }
+        }
+      }
+      return property.getName();
+    }
+
+    private static RecordComponent[] recordComponentsOf(Class<?> type) {
+      return type.isRecord() ? type.getRecordComponents() : new RecordComponent[0];
+    }
   }
 
   /** Used only on trees whose faults are already named. */
@@ -190,7 +212,7 @@
     }
     RecordComponent[] components = type.getRecordComponents();
     Set<String> names =
-        Arrays.stream(components).map(RecordComponent::getName).collect(Collectors.toSet());
+        Arrays.stream(components).map(InputReader::jsonNameOf).collect(Collectors.toSet());
     for (String name : fieldNames(object)) {
       if (!names.contains(name)) {
         faults.add(new ApiError.Field(path + "." + name, "unknown field"));
@@ -198,7 +220,7 @@
       }
     }
     for (RecordComponent component : components) {
-      String name = component.getName();
+      String name = jsonNameOf(component);
       if (!compare(path + "." + name, object.path(name), component.getGenericType(), faults)) {
         object.remove(name);
       }
@@ -206,6 +228,16 @@
     return true;
   }
 
+  private static String jsonNameOf(RecordComponent component) {
+    return jsonNameOf(component.getAccessor());
+  }
+
+  /** The name of a record component in JSON, by its accessor. */
+  private static String jsonNameOf(Method accessor) {
+    JsonProperty renamed = accessor.getAnnotation(JsonProperty.class);
+    return renamed == null ? accessor.getName() : renamed.value();
+  }
+
   private static String wantedBut(JsonNode node, Class<?> type) {
     if (type == String.class) {
       return node.isTextual() ? null : "must be a string";
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -1,6 +1,7 @@
 package applespindle.corelogic.configuration;
 
 import applespindle.corelogic.constants.BatchConstants;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import jakarta.validation.Valid;
 import jakarta.validation.constraints.DecimalMax;
 import jakarta.validation.constraints.DecimalMin;
@@ -57,7 +58,7 @@
       @NotEmpty List<@Valid @NotNull PoolWeight> split,
       @Min(0) long completionTargetMs,
       @Min(0) long retentionMs,
-      @Min(0) long waitingTokensMost) {
+      @JsonProperty("waitingTokensMost") @Min(0) long waitingTokensMost) {
     public boolean sendsTo(String pool) {
       return split.stream().anyMatch(share -> share.pool().equals(pool) && share.weight() > 0);
     }
@@ -68,8 +69,8 @@
 
   /** What a client may send and how long it may take; 0 means the program's own limit. */
   public record ClientLimits(
-      @Min(0) int headBytesMost,
-      @Min(0) int bodyBytesMost,
+      @JsonProperty("headBytesMost") @Min(0) int headBytesMost,
+      @JsonProperty("bodyBytesMost") @Min(0) int bodyBytesMost,
       @Min(0) long headTimeoutMs,
       @Min(0) long idleTimeoutMs) {}
 
@@ -93,8 +94,8 @@
       @Min(1) @Max(64) int prefixBlocks,
       @DecimalMin("1.0") @DecimalMax("10.0") double loadFactor,
       @Min(0) Integer slots,
-      @Min(0) Integer connectionsMost,
-      @Min(0) Long keptTokensMost) {
+      @JsonProperty("connectionsMost") @Min(0) Integer connectionsMost,
+      @JsonProperty("keptTokensMost") @Min(0) Long keptTokensMost) {
     public Pool(int prefixBlockChars, int prefixBlocks, double loadFactor) {
       this(prefixBlockChars, prefixBlocks, loadFactor, null, null, null);
     }
@@ -105,16 +106,16 @@
       @NotBlank String name,
       @Valid Match match,
       @Size(max = RuleCondition.LENGTH_MOST) String when,
-      @NotNull @Valid RoutingAction way) {}
+      @JsonProperty("way") @NotNull @Valid RoutingAction way) {}
 
   /** Every field given must fit; a rule without a match and without a when fits all. */
   public record Match(
       String model,
-      String sender,
+      @JsonProperty("sender") String sender,
       String trafficClass,
       Map<String, String> headers,
-      @Min(0) Integer promptCharsMost,
-      @Min(0) Integer promptCharsLeast) {}
+      @JsonProperty("promptCharsMost") @Min(0) Integer promptCharsMost,
+      @JsonProperty("promptCharsLeast") @Min(0) Integer promptCharsLeast) {}
 
   /** Where matching requests go: pool, traffic class, deadline and retries. */
   public record RoutingAction(
@@ -129,13 +130,15 @@
       @NotNull @Valid BatchLimits batch) {}
 
   /** Classes with a lower rank are served first. */
-  public record ClassLimit(@Min(0) @Max(100) int rank, @Min(0) @Max(1_000_000) int queueMost) {}
+  public record ClassLimit(
+      @Min(0) @Max(100) int rank,
+      @JsonProperty("queueMost") @Min(0) @Max(1_000_000) int queueMost) {}
 
   /** Bounds on batch work; retentionMs is how long a finished batch stays readable. */
   public record BatchLimits(
       @NotBlank String pool,
-      @Min(0) long waitingItemsMost,
-      @Min(0) @Max(10_000) int perWorkerMost,
+      @JsonProperty("waitingItemsMost") @Min(0) long waitingItemsMost,
+      @JsonProperty("perWorkerMost") @Min(0) @Max(10_000) int perWorkerMost,
       @Min(0) @Max(10_000) int liveReserve,
       boolean cancelForLive,
       @Min(1) @Max(3_600_000) long itemExpiryMs,
--- a/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
@@ -6,6 +6,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.lang.reflect.Method;
 import java.lang.reflect.RecordComponent;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -67,7 +68,9 @@
 
   private static Object fieldOf(Object value, RecordComponent component) {
     try {
-      return component.getAccessor().invoke(value);
+      Method accessor = component.getAccessor();
+      accessor.setAccessible(true);
+      return accessor.invoke(value);
     } catch (ReflectiveOperationException fault) {
       throw new AssertionError(fault);
     }
--- a/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
@@ -23,6 +23,8 @@
                             "cancelForLive": true, "itemExpiryMs": 1000}}}
       """;
 
+  private static final String QUEUE_LIMIT = "$.limits.classes.note.queueMost";
+
   private static ConfigurationValidator.ValidationResult check(String text) {
     return ConfigurationValidator.validate(text.getBytes(UTF_8));
   }
@@ -57,6 +59,22 @@
     rejects(GOOD.replace("\"pool\": \"big\"", "\"pool\": \"none\""), "$.rules[0].way.pool");
   }
 
+  @Test
+  void reportsFieldsUnderTheirJsonNames() {
+    rejects(GOOD.replace("\"queueMost\": 5", "\"queueMost\": \"x\""), QUEUE_LIMIT);
+    rejects(
+        GOOD.replace("\"queueMost\": 5", "\"queueMost\": -1")
+            .replace("\"waitingItemsMost\": 10", "\"waitingItemsMost\": -1")
+            .replace("\"expiryMs\": 1000, \"retries\": 0}},", "\"expiryMs\": 0, \"retries\": 0}},"),
+        "$.limits.batch.waitingItemsMost",
+        "$.limits.classes[note].queueMost",
+        "$.rules[0].way.expiryMs");
+    rejects(
+        GOOD.replace("\"waitingItemsMost\"", "\"maxQueuedItems\""),
+        "$.limits.batch.maxQueuedItems",
+        "$.limits.batch.waitingItemsMost");
+  }
+
   @Test
   void namesThePositionOfAFaultyExpression() {
     ApiError error = check(GOOD.replace("promptChars > 100", "promptChars > 'x'")).error();
