--- a/adapters/src/main/java/applespindle/adapters/StartupOptions.java
+++ b/adapters/src/main/java/applespindle/adapters/StartupOptions.java
@@ -112,8 +112,8 @@
 
   static Read check(ObjectNode tree, boolean checkOnly) {
     InputReader.Input<StartupOptions> input = InputReader.read(tree, StartupOptions.class);
-    List<ApiError.Field> faults = new ArrayList<>(input.faults());
-    if (input.good() && !input.value().role().equals("edge") && input.value().data() == null) {
+    List<ApiError.Field> faults = new ArrayList<>(input.errors());
+    if (input.isValid() && !input.value().role().equals("edge") && input.value().data() == null) {
       faults.add(
           new ApiError.Field("$.data", "a " + input.value().role() + " needs a data folder"));
     }
--- a/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
@@ -194,8 +194,8 @@
         ConfigurationValidator.validate(bytes, keyId, signature, keys).configuration();
     assertThat(configuration.number()).isEqualTo(number);
     assertThat(configuration.pools()).containsKey("main");
-    assertThat(configuration.rules().get(0).way().expiryMs()).isEqualTo(10_000);
-    assertThat(configuration.routes().get(0).waitingTokensMost()).isEqualTo(30_000);
+    assertThat(configuration.rules().get(0).action().expiryMs()).isEqualTo(10_000);
+    assertThat(configuration.routes().get(0).maxQueuedTokens()).isEqualTo(30_000);
   }
 
   static String operatorKey() throws IOException {
--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
@@ -145,8 +145,8 @@
       object.put("id", call.parts().get("id"));
     }
     InputReader.Input<WorkerInput> input = InputReader.read(tree, WorkerInput.class);
-    if (!input.good()) {
-      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
+    if (!input.isValid()) {
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.errors()));
     }
     if (!input.value().id().equals(call.parts().get("id"))) {
       return HttpInterface.refuse(
@@ -175,8 +175,8 @@
    */
   private Promise<HttpResponse> putAll(HttpInterface http, Call call) {
     InputReader.Input<WorkerList> input = InputReader.read(call.body(), WorkerList.class);
-    if (!input.good()) {
-      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
+    if (!input.isValid()) {
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.errors()));
     }
     var check = JSON.createObjectNode().put("from", input.value().version());
     return http.ask(
--- a/core-logic/src/main/java/applespindle/corelogic/api/ApiError.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/ApiError.java
@@ -42,7 +42,7 @@
   /**
    * A configuration's revision is not above the one in force, or is the same with other content.
    */
-  record ConfigurationConflict(@JsonProperty("numberInForce") long numberInForce)
+  record ConfigurationConflict(@JsonProperty("numberInForce") long revisionInForce)
       implements ApiError {}
 
   /** The precondition of a change failed: the version that it names is no longer in force. */
@@ -67,11 +67,10 @@
   record BatchRejected(String batch) implements ApiError {}
 
   /** The batch alone exceeds the limit of queued batch work; it can never be accepted. */
-  record BatchTooLarge(int items, @JsonProperty("ceiling") long ceiling) implements ApiError {}
+  record BatchTooLarge(int items, @JsonProperty("ceiling") long limit) implements ApiError {}
 
   /** The batch does not fit under the limit of queued batch work at present. */
-  record CapacityExceeded(
-      @JsonProperty("waiting") long waiting, @JsonProperty("ceiling") long ceiling)
+  record CapacityExceeded(@JsonProperty("waiting") long queued, @JsonProperty("ceiling") long limit)
       implements ApiError {}
 
   /** The queue of this traffic class is full. */
@@ -90,7 +89,7 @@
   record NotReady(String reason) implements ApiError {}
 
   /** The node has not heard from the control plane for too long to trust its metadata. */
-  record NodeIsolated(@JsonProperty("feedAgeMs") long feedAgeMs) implements ApiError {}
+  record NodeIsolated(long feedAgeMs) implements ApiError {}
 
   /** The node is shutting down and accepts no new work. */
   record NodeStopping() implements ApiError {}
@@ -99,13 +98,13 @@
   record NotLeader(String key) implements ApiError {}
 
   /** The caller uses an older replica set than the receiver. */
-  record StaleReplicaConfiguration(@JsonProperty("setNumber") long setNumber) implements ApiError {}
+  record StaleReplicaConfiguration(long setNumber) implements ApiError {}
 
   /** No storage node of this id is known. */
   record NoSuchStorageNode(String node) implements ApiError {}
 
   /** The change would leave some shard with fewer than two replicas. */
-  record TooFewReplicas(@JsonProperty("copies") int copies) implements ApiError {}
+  record TooFewReplicas(@JsonProperty("copies") int replicas) implements ApiError {}
 
   /** The storage node was retired and cannot rejoin under this id. */
   record StorageNodeRetired(String node) implements ApiError {}
@@ -150,10 +149,10 @@
   record ItemNotExecutable() implements ApiError {}
 
   /** The receiving node runs a version that does not know this kind of request. */
-  record UnknownRequest(@JsonProperty("duty") String duty) implements ApiError {}
+  record UnknownRequest(@JsonProperty("duty") String requestType) implements ApiError {}
 
   /** A bounded queue of the node is full. */
-  record Overloaded(@JsonProperty("ring") String ring) implements ApiError {}
+  record Overloaded(@JsonProperty("ring") String queue) implements ApiError {}
 
   /** A defect in the node's own code. */
   record InternalError(String kind) implements ApiError {}
--- a/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
@@ -69,9 +69,9 @@
   private static final int FAULTS_MOST = 100;
 
   /** Either a value and no faults, or faults and no value. */
-  public record Input<T>(T value, List<ApiError.Field> faults) {
-    public boolean good() {
-      return faults.isEmpty();
+  public record Input<T>(T value, List<ApiError.Field> errors) {
+    public boolean isValid() {
+      return errors.isEmpty();
     }
   }
 
@@ -83,7 +83,7 @@
    * Of something whose field rules were checked before it was kept: only that this program
    * understands it whole.
    */
-  public static <T> Input<T> readKept(byte[] bytes, Class<T> type) {
+  public static <T> Input<T> readWithoutConstraints(byte[] bytes, Class<T> type) {
     return read(bytes, type, false);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
@@ -27,9 +27,9 @@
         public ParsedBatch parse(BatchSubmission submission) {
           InputReader.Input<ProxiedBatch> input =
               InputReader.read(submission.body(), ProxiedBatch.class);
-          return input.good()
+          return input.isValid()
               ? new ParsedBatch(input.value(), null)
-              : new ParsedBatch(null, new ApiError.InvalidInput(input.faults()));
+              : new ParsedBatch(null, new ApiError.InvalidInput(input.errors()));
         }
 
         @Override
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
@@ -46,7 +46,7 @@
   /** Reads and checks a batch; item ids must differ, as results are told apart by them. */
   public static InputReader.Input<BatchInput> read(byte[] bytes) {
     InputReader.Input<BatchInput> input = InputReader.read(bytes, BatchInput.class);
-    if (!input.good()) {
+    if (!input.isValid()) {
       return input;
     }
     List<ApiError.Field> faults = new ArrayList<>();
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
@@ -72,7 +72,7 @@
             route.name(),
             configuration.number(),
             route.attempts(),
-            route.waitingTokensMost());
+            route.maxQueuedTokens());
     long retentionMs =
         route.retentionMs() == 0 ? BatchConstants.DEFAULT_RETENTION_MS : route.retentionMs();
     return new Accepted(
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -72,7 +72,7 @@
     }
     int live = Math.max(worker.liveRunning(), (int) worker.peakLiveCalls);
     int left = worker.load.capacity() - limits.liveReserve() - live;
-    return Math.min(limits.perWorkerMost(), left) - worker.batchCalls;
+    return Math.min(limits.maxItemsPerWorker(), left) - worker.batchCalls;
   }
 
   private int freeSlots(WorkerState worker) {
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
@@ -9,13 +9,13 @@
 public final class CompiledRules {
   enum Operation {
     MODEL_IS,
-    SENDER_IS,
+    CLIENT_IS,
     CLASS_IS,
     HEADER_IS,
     PROMPT_AT_MOST,
     PROMPT_AT_LEAST,
     WHEN_HOLDS,
-    TAKE_WAY
+    TAKE_ACTION
   }
 
   /** Tests jump to elseGoTo when they do not fit; TAKE_WAY ends the program. */
@@ -31,7 +31,7 @@
   /** The properties of a live request that conditions of rules are evaluated against. */
   public record Subject(
       String model,
-      String sender,
+      String client,
       String trafficClass,
       Map<String, String> headers,
       int promptChars) {}
@@ -54,7 +54,7 @@
                       test.when(),
                       rule,
                       nextRule)));
-      compiled.program.add(new Instruction(Operation.TAKE_WAY, "", "", 0, null, rule, nextRule));
+      compiled.program.add(new Instruction(Operation.TAKE_ACTION, "", "", 0, null, rule, nextRule));
     }
     return compiled;
   }
@@ -71,15 +71,15 @@
       return tests;
     }
     text(tests, Operation.MODEL_IS, "", match.model());
-    text(tests, Operation.SENDER_IS, "", match.sender());
+    text(tests, Operation.CLIENT_IS, "", match.client());
     text(tests, Operation.CLASS_IS, "", match.trafficClass());
     if (match.headers() != null) {
       match
           .headers()
           .forEach((name, value) -> text(tests, Operation.HEADER_IS, name.toLowerCase(), value));
     }
-    number(tests, Operation.PROMPT_AT_MOST, match.promptCharsMost());
-    number(tests, Operation.PROMPT_AT_LEAST, match.promptCharsLeast());
+    number(tests, Operation.PROMPT_AT_MOST, match.maxPromptChars());
+    number(tests, Operation.PROMPT_AT_LEAST, match.minPromptChars());
     return tests;
   }
 
@@ -103,17 +103,17 @@
       boolean fits =
           switch (instruction.operation()) {
             case MODEL_IS -> Objects.equals(instruction.text(), subject.model());
-            case SENDER_IS -> Objects.equals(instruction.text(), subject.sender());
+            case CLIENT_IS -> Objects.equals(instruction.text(), subject.client());
             case CLASS_IS -> Objects.equals(instruction.text(), subject.trafficClass());
             case HEADER_IS ->
                 Objects.equals(instruction.text(), subject.headers().get(instruction.name()));
             case PROMPT_AT_MOST -> subject.promptChars() <= instruction.number();
             case PROMPT_AT_LEAST -> subject.promptChars() >= instruction.number();
             case WHEN_HOLDS -> instruction.when().holds(subject);
-            case TAKE_WAY -> true;
+            case TAKE_ACTION -> true;
           };
-      if (instruction.operation() == Operation.TAKE_WAY) {
-        return instruction.rule().way();
+      if (instruction.operation() == Operation.TAKE_ACTION) {
+        return instruction.rule().action();
       }
       at = fits ? at + 1 : instruction.elseGoTo();
     }
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationValidator.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationValidator.java
@@ -62,10 +62,10 @@
     }
     InputReader.Input<RoutingConfiguration> input =
         InputReader.read(bytes, RoutingConfiguration.class);
-    if (input.good()) {
+    if (input.isValid()) {
       return checkCrossFields(input.value());
     }
-    List<ApiError.Field> errors = new ArrayList<>(input.faults());
+    List<ApiError.Field> errors = new ArrayList<>(input.errors());
     if (hasNeitherRulesNorRoutes(bytes)) {
       errors.add(CrossFieldChecker.NO_RULES_AND_NO_ROUTES);
     }
@@ -83,10 +83,10 @@
       return checkCrossFields(configuration);
     }
     InputReader.Input<RoutingConfiguration> input =
-        InputReader.readKept(bytes, RoutingConfiguration.class);
-    return input.good()
+        InputReader.readWithoutConstraints(bytes, RoutingConfiguration.class);
+    return input.isValid()
         ? checkCrossFields(input.value())
-        : invalid(new ApiError.InvalidConfiguration(input.faults()));
+        : invalid(new ApiError.InvalidConfiguration(input.errors()));
   }
 
   /**
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/CrossFieldChecker.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/CrossFieldChecker.java
@@ -71,7 +71,7 @@
       if (rule.when() != null) {
         RuleCondition.errorsOf(rule.when()).forEach(error -> reject(path + ".when", error));
       }
-      RoutingAction action = rule.way();
+      RoutingAction action = rule.action();
       checkPool(path + ".way.pool", action.pool());
       if (!configuration.limits().classes().containsKey(action.trafficClass())) {
         reject(path + ".way.trafficClass", "names no class of this bundle");
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -41,7 +41,7 @@
    * first event; a batch's yes) is in time; gapTargetMs: the longest pause between events;
    * attempts: the most workers one try goes to (for batch items: runs that may fail); rank: 0 is
    * served first. For batches: completionTargetMs until results are due, retentionMs until items
-   * may be given up, waitingTokensMost over the fleet (0: no limit).
+   * may be given up, maxQueuedTokens over the fleet (0: no limit).
    */
   public record Route(
       @NotBlank String name,
@@ -58,7 +58,7 @@
       @NotEmpty List<@Valid @NotNull PoolWeight> split,
       @Min(0) long completionTargetMs,
       @Min(0) long retentionMs,
-      @JsonProperty("waitingTokensMost") @Min(0) long waitingTokensMost) {
+      @JsonProperty("waitingTokensMost") @Min(0) long maxQueuedTokens) {
     public boolean sendsTo(String pool) {
       return split.stream().anyMatch(share -> share.pool().equals(pool) && share.weight() > 0);
     }
@@ -69,8 +69,8 @@
 
   /** What a client may send and how long it may take; 0 means the program's own limit. */
   public record ClientLimits(
-      @JsonProperty("headBytesMost") @Min(0) int headBytesMost,
-      @JsonProperty("bodyBytesMost") @Min(0) int bodyBytesMost,
+      @JsonProperty("headBytesMost") @Min(0) int maxHeadBytes,
+      @JsonProperty("bodyBytesMost") @Min(0) int maxBodyBytes,
       @Min(0) long headTimeoutMs,
       @Min(0) long idleTimeoutMs) {}
 
@@ -86,7 +86,7 @@
 
   /**
    * A named set of workers; each worker names its pool when it is listed. Where known: slots, how
-   * many requests a worker works on at once; connectionsMost, from all callers together;
+   * many requests a worker works on at once; maxConnections, from all callers together;
    * cacheTokensPerWorker, its memory for prompts.
    */
   public record Pool(
@@ -94,8 +94,8 @@
       @Min(1) @Max(64) int prefixBlocks,
       @DecimalMin("1.0") @DecimalMax("10.0") double loadFactor,
       @Min(0) Integer slots,
-      @JsonProperty("connectionsMost") @Min(0) Integer connectionsMost,
-      @JsonProperty("keptTokensMost") @Min(0) Long keptTokensMost) {
+      @JsonProperty("connectionsMost") @Min(0) Integer maxConnections,
+      @JsonProperty("keptTokensMost") @Min(0) Long maxCachedTokens) {
     public Pool(int prefixBlockChars, int prefixBlocks, double loadFactor) {
       this(prefixBlockChars, prefixBlocks, loadFactor, null, null, null);
     }
@@ -106,16 +106,16 @@
       @NotBlank String name,
       @Valid Match match,
       @Size(max = RuleCondition.LENGTH_MOST) String when,
-      @JsonProperty("way") @NotNull @Valid RoutingAction way) {}
+      @JsonProperty("way") @NotNull @Valid RoutingAction action) {}
 
   /** Every field given must fit; a rule without a match and without a when fits all. */
   public record Match(
       String model,
-      @JsonProperty("sender") String sender,
+      @JsonProperty("sender") String client,
       String trafficClass,
       Map<String, String> headers,
-      @JsonProperty("promptCharsMost") @Min(0) Integer promptCharsMost,
-      @JsonProperty("promptCharsLeast") @Min(0) Integer promptCharsLeast) {}
+      @JsonProperty("promptCharsMost") @Min(0) Integer maxPromptChars,
+      @JsonProperty("promptCharsLeast") @Min(0) Integer minPromptChars) {}
 
   /** Where matching requests go: pool, traffic class, deadline and retries. */
   public record RoutingAction(
@@ -132,13 +132,13 @@
   /** Classes with a lower rank are served first. */
   public record ClassLimit(
       @Min(0) @Max(100) int rank,
-      @JsonProperty("queueMost") @Min(0) @Max(1_000_000) int queueMost) {}
+      @JsonProperty("queueMost") @Min(0) @Max(1_000_000) int maxQueuedRequests) {}
 
   /** Bounds on batch work; retentionMs is how long a finished batch stays readable. */
   public record BatchLimits(
       @NotBlank String pool,
-      @JsonProperty("waitingItemsMost") @Min(0) long waitingItemsMost,
-      @JsonProperty("perWorkerMost") @Min(0) @Max(10_000) int perWorkerMost,
+      @JsonProperty("waitingItemsMost") @Min(0) long maxQueuedItems,
+      @JsonProperty("perWorkerMost") @Min(0) @Max(10_000) int maxItemsPerWorker,
       @Min(0) @Max(10_000) int liveReserve,
       boolean cancelForLive,
       @Min(1) @Max(3_600_000) long itemExpiryMs,
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
@@ -88,7 +88,7 @@
                   "model",
                   subject.model() == null ? "" : subject.model(),
                   "sender",
-                  subject.sender(),
+                  subject.client(),
                   "trafficClass",
                   subject.trafficClass(),
                   "promptChars",
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -660,7 +660,7 @@
           .put("items", accepted.items().size())
           .put(
               "ceiling",
-              configuration == null ? 0 : configuration.limits().batch().waitingItemsMost());
+              configuration == null ? 0 : configuration.limits().batch().maxQueuedItems());
     }
     long tokens =
         accepted.items().stream()
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
@@ -185,7 +185,7 @@
   /** What can not start within its expiry hears so now, not at the end of it. */
   private ApiError refusalAtOnce(AdmittedRequest admitted) {
     ArrayDeque<AdmittedRequest> queue = queue(admitted);
-    if (queue.size() >= admitted.classLimit.queueMost()
+    if (queue.size() >= admitted.classLimit.maxQueuedRequests()
         && (queue.size() > 0 || select(admitted) == null)) {
       return new ApiError.QueueFull(admitted.way.trafficClass());
     }
--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
@@ -103,7 +103,7 @@
     }
 
     private WorkerSelection.Demand demand(RoutingConfiguration.Pool limits) {
-      Long keptTokensMost = limits == null ? null : limits.keptTokensMost();
+      Long keptTokensMost = limits == null ? null : limits.maxCachedTokens();
       return new WorkerSelection.Demand(
           pool,
           targetMs,
--- a/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
@@ -297,9 +297,9 @@
   private String headFault() {
     RoutingConfiguration.ClientLimits known = limits.get();
     int most =
-        known == null || known.headBytesMost() == 0
+        known == null || known.maxHeadBytes() == 0
             ? ProxyEndpoint.HEAD_BYTES_MOST
-            : known.headBytesMost();
+            : known.maxHeadBytes();
     byte[] array = headBytes.array();
     for (int index = headBytes.head() + headSize; index < headBytes.tail(); index++) {
       byte each = array[index];
--- a/data-plane/src/main/java/applespindle/dataplane/EdgeHttpInterface.java
+++ b/data-plane/src/main/java/applespindle/dataplane/EdgeHttpInterface.java
@@ -79,8 +79,8 @@
                       "must have 1 to " + KEY_LENGTH_MOST + " characters"))));
     }
     InputReader.Input<BatchInput> input = BatchInput.read(call.body());
-    if (!input.good()) {
-      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
+    if (!input.isValid()) {
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.errors()));
     }
     return http.ask(then -> edge.submit(sender(call), key, input.value(), then));
   }
@@ -122,8 +122,8 @@
 
   private Promise<HttpResponse> complete(Call call) {
     InputReader.Input<Completion> input = InputReader.read(call.body(), Completion.class);
-    if (!input.good()) {
-      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
+    if (!input.isValid()) {
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.errors()));
     }
     Completion completion = input.value();
     boolean streams = Boolean.TRUE.equals(completion.stream());
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
@@ -227,16 +227,16 @@
 
   private int bodyBytesMost() {
     RoutingConfiguration.ClientLimits known = limits;
-    return known == null || known.bodyBytesMost() == 0
+    return known == null || known.maxBodyBytes() == 0
         ? SizeLimits.MAX_BODY_BYTES
-        : known.bodyBytesMost();
+        : known.maxBodyBytes();
   }
 
   /** What makes a head ambiguous or too large; such a request goes no further. */
   private ApiError headFault(HttpRequest request) {
     RoutingConfiguration.ClientLimits known = limits;
     int headBytesMost =
-        known == null || known.headBytesMost() == 0 ? HEAD_BYTES_MOST : known.headBytesMost();
+        known == null || known.maxHeadBytes() == 0 ? HEAD_BYTES_MOST : known.maxHeadBytes();
     int bytes = request.getPathAndQuery().length();
     int lengths = 0;
     int hosts = 0;
