--- a/core-logic/src/main/java/applespindle/corelogic/constants/ClientConnectionConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/ClientConnectionConstants.java
@@ -1,22 +1,22 @@
 package applespindle.corelogic.constants;
 
-/** Clients' connections to an edge. Times are monotonic milliseconds. */
+/** Timeouts of clients' connections to an edge. Times are monotonic milliseconds. */
 public final class ClientConnectionConstants {
   /**
-   * A client's head must come within this unless the bundle says otherwise: several lost packets
-   * long.
+   * Time within which a client must have sent the head of a request, unless the configuration
+   * states another: long enough for several lost packets.
    */
   public static final long HEAD_TIMEOUT_MS = 10_000;
 
   /**
-   * A client may be silent in the middle of a body, or on a connection of no use so far, for this
-   * long.
+   * Time for which a client may send nothing in the middle of a body, or on a connection that has
+   * not been used yet.
    */
   public static final long IDLE_TIMEOUT_MS = 60_000;
 
   /**
-   * A connection of a client whose time is up is looked at once more after this: what came while
-   * the process stood still lies unread until then.
+   * Delay after which a connection that has timed out is read once more before it is closed: data
+   * that arrived while the process was suspended is still unread at the timeout.
    */
   public static final long FINAL_READ_DELAY_MS = 50;
 
--- a/core-logic/src/main/java/applespindle/corelogic/constants/ConfigurationConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/ConfigurationConstants.java
@@ -1,10 +1,10 @@
 package applespindle.corelogic.constants;
 
-/** Changes of the routing configuration. */
+/** Bounds on changes of the routing configuration. */
 public final class ConfigurationConstants {
   /**
-   * Accepted configurations that are remembered, 16 bytes each: more than are accepted while a
-   * sender that heard nothing still tries. Of older ones the outcome is not known.
+   * Number of accepted revisions that are remembered, of 16 bytes each: more than are accepted
+   * while a client without a response still retries. The outcome of older ones is unknown.
    */
   public static final int MAX_REMEMBERED_REVISIONS = 400;
 
--- a/core-logic/src/main/java/applespindle/corelogic/constants/MembershipConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/MembershipConstants.java
@@ -1,74 +1,87 @@
 package applespindle.corelogic.constants;
 
 /**
- * Leases of nodes, the control plane's quorum, and the list of edges. Times are monotonic
+ * Leases of nodes, the quorum of the control plane, and the list of edges. Times are monotonic
  * milliseconds.
  */
 public final class MembershipConstants {
   /**
-   * How often a node renews its grant: four tries fit in one grant, so one lost message costs
-   * nothing.
+   * Interval at which a node renews its lease: four attempts fit into {@link #LEASE_DURATION_MS},
+   * so one lost message has no effect.
    */
   public static final long LEASE_RENEWAL_INTERVAL_MS = 500;
 
   /**
-   * Length of a member's grant: bounds how long a dead edge keeps its duties in the others' view.
+   * Duration of a member's lease: bounds how long a failed edge counts as responsible for its work
+   * to the other nodes.
    */
   public static final long LEASE_DURATION_MS = 2_000;
 
-  /** How often core nodes greet each other: several fit into {@link #QUORUM_PEER_TIMEOUT_MS}. */
+  /**
+   * Interval between heartbeats of control plane nodes: five fit into {@link
+   * #QUORUM_PEER_TIMEOUT_MS}.
+   */
   public static final long QUORUM_HEARTBEAT_INTERVAL_MS = 200;
 
   /**
-   * A core node that looks at its members' grants this long after it last did has stood still:
-   * three looks.
+   * A control plane node whose last check of its members' leases is longer ago than this assumes
+   * that it was suspended itself: three checks.
    */
   public static final long SUSPENSION_THRESHOLD_MS = 600;
 
-  /** A core node unheard for this long is left out of the agreed order: five lost greetings. */
+  /**
+   * Time without a heartbeat after which a control plane node is left out of the order in which
+   * nodes become leader: five lost heartbeats.
+   */
   public static final long QUORUM_PEER_TIMEOUT_MS = 1_000;
 
   /**
-   * A core member that is out of the agreed order for this long is replaced if a candidate is
-   * there: together longer than a quick restart, and short enough that with the copying a lost
-   * member is made good before the next may be lost.
+   * Time for which a control plane node must be left out of that order before it is replaced by a
+   * candidate. Together with the timeout this is longer than a quick restart; with the catch-up of
+   * the replacement it is short enough that a lost member is replaced before the next is likely to
+   * fail.
    */
   public static final long QUORUM_MEMBER_REPLACEMENT_DELAY_MS = 1_500;
 
   /**
-   * The first seed proposes members once no new blank voter came for this long: machines of all
-   * zones shall be among them.
+   * Time without a new voter after which the first seed proposes the initial quorum, so that nodes
+   * of all zones can be members.
    */
   public static final long BOOTSTRAP_SETTLE_MS = 1_000;
 
   /**
-   * With fewer voters than wanted for this long, the most there are found the core: longer than
-   * slow machines start apart.
+   * Time after which the initial quorum is formed by fewer voters than configured: longer than the
+   * start times of slow machines differ.
    */
   public static final long BOOTSTRAP_REDUCED_QUORUM_DELAY_MS = 8_000;
 
   /**
-   * How often a process asks for the core while it hears nothing of it: short beside a start, and
-   * no load on seeds.
+   * Interval at which a process without contact to the control plane tries to find it: short
+   * compared with a start, and no load on the seeds.
    */
   public static final long QUORUM_DISCOVERY_INTERVAL_MS = 500;
 
-  /** At how many of these a member tells seeds that are no members where the core is. */
+  /**
+   * In one in this many discovery intervals, a member tells the seeds that are no members where the
+   * control plane is.
+   */
   public static final int SEED_NOTIFICATION_ONE_IN = 4;
 
   /**
-   * The first list of edges is made once no new one has joined for this long: machines start within
-   * a second or so.
+   * Time without a new edge after which the first list of edges is made: machines of a deployment
+   * start within about a second of each other.
    */
   public static final long EDGE_LIST_SETTLE_MS = 1_000;
 
   /**
-   * Least time between two changes of the list of edges: longer than a core node may lag before it
-   * calls itself stale.
+   * Least time between two changes of the list of edges: longer than a control plane node may lag
+   * behind before it considers itself stale.
    */
   public static final long EDGE_LIST_CHANGE_INTERVAL_MS = 2_000;
 
-  /** An edge without a grant for this long is struck from the list: longer than a restart takes. */
+  /**
+   * Time without a lease after which an edge is removed from the list: longer than a restart takes.
+   */
   public static final long EDGE_REMOVAL_DELAY_MS = 10_000;
 
   private MembershipConstants() {}
--- a/core-logic/src/main/java/applespindle/corelogic/constants/PeerConnectionConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/PeerConnectionConstants.java
@@ -1,57 +1,62 @@
 package applespindle.corelogic.constants;
 
-/** Connections between processes. Times are monotonic milliseconds, where not said otherwise. */
+/**
+ * Connections between the processes of a fleet. Times are monotonic milliseconds unless a name ends
+ * otherwise.
+ */
 public final class PeerConnectionConstants {
-  /**
-   * A connection that does not come up in this time is given up: several ways there and back
-   * between regions.
-   */
+  /** Timeout of establishing a connection: several round trips between regions. */
   public static final long CONNECT_TIMEOUT_MS = 500;
 
   /**
-   * Least time between two tries to connect: what is sent meanwhile is lost, and a restart is
-   * noticed soon.
+   * Least time between two attempts to connect: messages in between are lost, but the restart of a
+   * peer is noticed soon.
    */
   public static final long RECONNECT_DELAY_MS = 200;
 
   /**
-   * Nothing heard for this long after something was written: a sign of life is asked for, and
-   * awaited as long again.
+   * Time without data after a write at which a probe is sent to the peer; the connection is closed
+   * after as long again without a response.
    */
   public static final long SILENCE_TIMEOUT_MS = 1_000;
 
   /**
-   * Frames of at least this size go by a connection of their own: half a millisecond at a gigabit,
-   * 25 ms at 21 Mbit/s.
+   * Size, in bytes, from which frames use a connection of their own, so that they don't delay
+   * others: sending one takes half a millisecond at a gigabit a second, 25 ms at 21 Mbit/s.
    */
   public static final int LARGE_FRAME_BYTES = 64 << 10;
 
   /**
-   * Bytes handed to a connection at once; the JDK keeps a copy of that size outside the heap for
-   * each thread.
+   * Bytes written to a connection at once; the JDK retains a buffer of that size outside the heap
+   * for each thread.
    */
   public static final int MAX_WRITE_BYTES = 64 << 10;
 
-  /** Frames between processes from this size on are deflated: below it little is won. */
+  /** Size, in bytes, from which frames are compressed: compressing smaller ones saves little. */
   public static final int MIN_DEFLATE_BYTES = 1 << 10;
 
-  /** No deflated byte stands for more than this many; deflate itself allows no more than 1032. */
+  /**
+   * Largest ratio of decompressed to compressed bytes that is accepted; the deflate format permits
+   * no more than 1032.
+   */
   public static final int MAX_INFLATE_RATIO = 1_100;
 
   /**
-   * Bytes that wait for one connection, unless a single frame is larger: a peer that takes less is
-   * as good as silent.
+   * Bytes that may be queued for one connection, unless a single frame is larger: a peer that
+   * receives more slowly counts as failed.
    */
   public static final int MAX_QUEUED_BYTES = 4 << 20;
 
   /**
-   * The kernel's probes of silent connections, in seconds and their number: a lost peer's are gone
-   * after four seconds.
+   * Idle time, in seconds, after which the kernel probes a connection. With the interval and number
+   * of probes, the connections of a lost peer are closed after four seconds.
    */
   public static final int KEEPALIVE_IDLE_S = 2;
 
+  /** Interval between the kernel's probes, in seconds. */
   public static final int KEEPALIVE_INTERVAL_S = 1;
 
+  /** Number of the kernel's probes without a response after which a connection is closed. */
   public static final int KEEPALIVE_PROBES = 2;
 
   private PeerConnectionConstants() {}
--- a/core-logic/src/main/java/applespindle/corelogic/constants/ReplicationConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/ReplicationConstants.java
@@ -2,99 +2,117 @@
 
 /** Replicated logs: leaders, elections and catch-up. Times are monotonic milliseconds. */
 public final class ReplicationConstants {
-  /** How often an owner repeats itself to its replicas; also resends what a replica lacks. */
+  /**
+   * Interval between a leader's heartbeats to its replicas; a heartbeat also resends the entries
+   * that a replica lacks.
+   */
   public static final long HEARTBEAT_INTERVAL_MS = 250;
 
   /**
-   * An append that carries this much is not sent again to a replica so soon: it may still be on its
-   * way there, together with those to the other replicas.
+   * Size, in bytes, from which an append is large: it is not resent to a replica before {@link
+   * #LARGE_APPEND_MIN_MS}, as it may still be in transit together with those to the other replicas.
    */
   public static final int LARGE_APPEND_BYTES = 16 << 10;
 
+  /** Least time before a large append is resent. */
   public static final long LARGE_APPEND_MIN_MS = 600;
 
-  /** What a slow machine's link surely carries: somewhat over half of 21 Mbit/s. */
+  /**
+   * Transfer rate, in bytes a millisecond, that the link of a slow machine sustains: somewhat over
+   * half of 21 Mbit/s.
+   */
   public static final long SLOW_LINK_BYTES_PER_MS = 1_500;
 
   /**
-   * A core key's replica that lacks nothing gets each so-manieth beat: greetings tell that the
-   * owner lives.
+   * A replica of a control plane log that lacks nothing is sent only one in this many heartbeats:
+   * the quorum heartbeats already show that the leader is alive.
    */
   public static final int IDLE_HEARTBEAT_ONE_IN = 16;
 
   /**
-   * A replica turns a claimant away while it heard another owner this recently. Only liveness rests
-   * on it.
+   * A replica refuses its vote while it has heard from another leader this recently. Only liveness
+   * depends on it, not safety.
    */
   public static final long LEADER_TIMEOUT_MS = 1_000;
 
   /**
-   * An owner that no majority answered for this long tells its replicas so, and they let others
-   * claim the key. As long as a replica bears silence of an owner: the two ways of a cut end alike.
+   * A leader without contact to a majority for this long tells its replicas so, and they vote for
+   * other candidates. The same time as {@link #LEADER_TIMEOUT_MS}, so that both sides of a
+   * partition react alike.
    */
   public static final long QUORUM_CONTACT_TIMEOUT_MS = LEADER_TIMEOUT_MS;
 
   /**
-   * An owner that no majority answered for this long steps down. Longer than its commands wait:
-   * disks that stall for a moment, or one large append, cost no ownership.
+   * A leader without contact to a majority for this long steps down. Longer than its commands wait:
+   * disks that stall for a moment, or one large append, cause no change of leader.
    */
   public static final long LEADER_STEP_DOWN_MS = 3_000;
 
-  /** How long a claimant waits for promises before it tries again under a higher epoch. */
+  /** How long a candidate waits for votes before it starts another round under a higher epoch. */
   public static final long ELECTION_ROUND_TIMEOUT_MS = 600;
 
   /**
-   * Of a log longer than this a promise brings only the last entries: every replica promises, and
-   * the claimant needs one log.
+   * Of a log longer than this, in bytes, a vote carries only the last entries: every replica votes,
+   * but the candidate needs one complete log.
    */
   public static final int MAX_VOTE_TAIL_BYTES = 16 << 10;
 
-  /** Entries of a log that a claimant gets at once, unless a single one is larger. */
+  /**
+   * Size, in bytes, of the part of a log that a candidate fetches at once, unless a single entry is
+   * larger.
+   */
   public static final int MAX_LOG_FETCH_BYTES = 256 << 10;
 
   /**
-   * A part of a log that has not come after this is asked for elsewhere too, later ones after twice
-   * as long each: one entry may have a megabyte, which takes 400 ms on an idle link of 21 Mbit/s.
+   * Timeout after which a part of a log is requested from another replica as well, doubled for each
+   * later request: one entry may have a megabyte, which takes 400 ms on an idle link of 21 Mbit/s.
    */
   public static final long LOG_FETCH_TIMEOUT_MS = 1_000;
 
-  /** A claimant that got no part of the log for this long gives its claim up. */
+  /** A candidate that has received no part of the log for this long gives its candidacy up. */
   public static final long LOG_TRANSFER_TIMEOUT_MS = 6_000;
 
-  /** Random wait after a refused claim, at most: keeps two claimants from meeting again at once. */
+  /**
+   * Upper limit of the random delay after a lost election: keeps two candidates from colliding
+   * again at once.
+   */
   public static final long MAX_ELECTION_BACKOFF_MS = 200;
 
   /**
-   * How long a command may wait for its majority before its sender hears that the outcome is
+   * How long a command may wait for its majority before its caller is told that the outcome is
    * unknown.
    */
   public static final long COMMIT_TIMEOUT_MS = 2_500;
 
   /**
-   * An owner of a log with deltas writes a whole-state entry this often, so that logs stay short.
+   * Number of entries after which the leader of a log of deltas writes a snapshot, so that logs
+   * stay short.
    */
   public static final int SNAPSHOT_INTERVAL_ENTRIES = 64;
 
   /**
-   * A claim that has not got its majority in this time is given up; the caller hears of no
-   * majority.
+   * Timeout after which an election without a majority is given up and the caller gets a no-quorum
+   * error.
    */
   public static final long ELECTION_TIMEOUT_MS = 2_500;
 
   /**
-   * Size of a page of copied keys, and the pause between two: at most some 12 MB a second for each
-   * shard that is copied.
+   * Size, in bytes, of a page of keys that a new replica copies. With {@link
+   * #CATCH_UP_PAGE_DELAY_MS} this limits catch-up to some 12 MB a second for each shard.
    */
   public static final int MAX_CATCH_UP_PAGE_BYTES = 256 << 10;
 
+  /** Delay between two pages of catch-up. */
   public static final long CATCH_UP_PAGE_DELAY_MS = 20;
 
-  /** How often a newcomer says again that it has copied, until the core has taken it in. */
+  /**
+   * Interval at which a new replica repeats that it has caught up, until the control plane has
+   * added it.
+   */
   public static final long CATCH_UP_REPORT_INTERVAL_MS = 1_000;
 
   /**
-   * A newcomer goes on to the next source after this long at the latest; most sets are copied in
-   * less.
+   * Longest time before a new replica goes on to copy from the next source; most copies take less.
    */
   public static final long CATCH_UP_NEXT_SOURCE_DELAY_MS = 300;
 
--- a/core-logic/src/main/java/applespindle/corelogic/constants/WorkerConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/WorkerConstants.java
@@ -1,117 +1,123 @@
 package applespindle.corelogic.constants;
 
-/** What an edge knows of workers and how it chooses one. Times are monotonic milliseconds. */
+/**
+ * What an edge knows about workers and how it selects one for a request. Times are monotonic
+ * milliseconds.
+ */
 public final class WorkerConstants {
-  /** How often a worker's load is read, with a tenth of jitter either way. */
+  /** Interval at which a worker's load is polled, with a jitter of a tenth in both directions. */
   public static final long LOAD_POLL_INTERVAL_MS = 200;
 
-  /** A load report older than this leaves the worker out of selection. */
+  /** Age of a load report from which its worker is not selected. */
   public static final long LOAD_STALE_AFTER_MS = 1_500;
 
   /**
-   * A worker's remembered peak of live runs falls by half in this time, so that a crowd is not
-   * waited for long.
+   * Half-life of the remembered peak of a worker's live runs, so that slots are not reserved for
+   * long after a burst.
    */
   public static final long LIVE_PEAK_HALF_LIFE_MS = 1_000;
 
   /**
-   * A worker that faulted rests this long, doubled with each further fault up to the limit below.
+   * Time for which a worker is ejected from selection after a failure, doubled with each further
+   * failure up to {@link #MAX_EJECTION_MS}.
    */
   public static final long BASE_EJECTION_MS = 500;
 
+  /** Longest time for which a worker is ejected from selection. */
   public static final long MAX_EJECTION_MS = 4_000;
 
   /**
-   * What a response told of others' runs counts for a third after this: about the length of a few
-   * requests.
+   * Time in which the weight of the load that a response reported of other callers' runs decays to
+   * a third: about the duration of a few requests.
    */
   public static final long LOAD_REPORT_DECAY_MS = 1_000;
 
   /**
-   * A worker's past faults count for a third after this: as long as a machine in trouble usually
-   * needs.
+   * Time in which the weight of a worker's past failures decays to a third: as long as a machine in
+   * trouble usually needs to recover.
    */
   public static final long FAILURE_DECAY_MS = 5_000;
 
   /**
-   * Weight of the latest outcome or time among a worker's earlier ones: some ten runs make the
-   * picture.
+   * Weight of the latest outcome or duration in the moving average of a worker: it follows the last
+   * ten or so runs.
    */
   public static final double MOVING_AVERAGE_WEIGHT = 0.1;
 
-  /** How long a run takes at a worker of which nothing is known yet. */
+  /** Assumed duration of a run at a worker of which nothing has been measured yet. */
   public static final double INITIAL_SERVICE_TIME_MS = 300;
 
   /**
-   * A worker that is new or was at rest gets its full part only after this long, and this part of
-   * it at first.
+   * Time over which a worker that is new, or was ejected, ramps up to its full share of requests.
    */
   public static final long SLOW_START_MS = 2_000;
 
+  /** Share of its requests that such a worker starts with. */
   public static final double MIN_SLOW_START_WEIGHT = 0.2;
 
   /**
-   * Prompt tokens a worker reads in a millisecond, for weighing unread parts against load: the
-   * order of one accelerator.
+   * Prompt tokens that a worker processes in a millisecond, for weighing uncached prompt parts
+   * against load: the order of one accelerator.
    */
   public static final double PREFILL_TOKENS_PER_MS = 10;
 
-  /**
-   * Reading pace is measured on prompts of at least this size, and this much of the earlier measure
-   * stays with each.
-   */
+  /** Least size, in tokens, of the prompts on which the prefill rate is measured. */
   public static final double INITIAL_PREFILL_SAMPLE_TOKENS = 400;
 
+  /** Weight that the earlier measurements of the prefill rate retain at each new one. */
   public static final double PREFILL_RATE_RETENTION = 0.95;
 
   /**
-   * What is taken for it before: rather too fast, as a worker that is thought slow would not be
-   * tried and measured.
+   * Assumed prefill rate before the first measurement, in tokens a millisecond: rather too high, as
+   * a worker that is thought slow would not be selected and measured.
    */
   public static final double INITIAL_PREFILL_TOKENS_PER_MS = 50;
 
   /**
-   * Prompts to read at a worker may make a pause of this part of the longest between events; beyond
-   * it weighs this much.
+   * Part of the longest permitted pause between events that the prompts queued at a worker may
+   * take; beyond it {@link #STREAM_PAUSE_WEIGHT} applies.
    */
   public static final double MAX_STREAM_PAUSE_SHARE = 0.5;
 
+  /** Weight of the part of a pause beyond {@link #MAX_STREAM_PAUSE_SHARE} in a worker's cost. */
   public static final double STREAM_PAUSE_WEIGHT = 4;
 
   /**
-   * What was sent to workers is told to the zone's other edges after this time for each of them:
-   * 200 messages a second.
+   * Delay, for each other edge of the zone, before an edge reports to them what it has sent to
+   * workers: 200 messages a second.
    */
   public static final long PEER_LOAD_REPORT_DELAY_MS = 10;
 
-  /** What a fellow told is forgotten after this. */
+  /** Age at which a peer edge's load report is discarded. */
   public static final long PEER_LOAD_EXPIRY_MS = 3_000;
 
   /**
-   * Weight, in the route's target time, of another zone (bytes between zones cost money) and of a
-   * worker in doubt.
+   * Weight, in the route's target time, of a worker in another zone: traffic between zones costs
+   * money.
    */
   public static final double REMOTE_ZONE_WEIGHT = 0.15;
 
+  /** Weight, in the route's target time, of a worker that is suspected to be failing. */
   public static final double OUTLIER_WEIGHT = 4;
 
   /**
-   * Random part of a worker's cost, so that edges that know nothing of each other do not all take
+   * Random part of a worker's cost, so that edges without knowledge of each other do not all select
    * the same worker.
    */
   public static final double JITTER_WEIGHT = 0.05;
 
-  /** A route that names no target is weighed as if it had this one. */
+  /** Target time that is assumed for a route that states none. */
   public static final long DEFAULT_LATENCY_TARGET_MS = 500;
 
   /**
-   * Prompt parts remembered for each worker: what a worker itself keeps is some hundreds of parts.
+   * Prompt parts that are remembered for each worker: more than the some hundreds of parts that a
+   * worker itself caches.
    */
   public static final int MAX_PREFIX_CACHE_PARTS = 2_000;
 
   /**
-   * The rest of a refusal must come within this: nobody waits for it, and until then its connection
-   * can not be used.
+   * Time within which the rest of a worker's rejection must arrive: no request waits for it, but
+   * its connection cannot be reused until then.
    */
   public static final long REJECTION_BACKOFF_MS = 1_000;
 
