--- a/core-logic/src/main/java/applespindle/corelogic/api/ApiError.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/ApiError.java
@@ -165,7 +165,7 @@
    * @param retryable whether the same request may succeed later
    * @param message one sentence for a human reader, without details of the occurrence
    * @param retryAfterSeconds after how long to retry where the caller has no better estimate; 0:
-   *     not told
+   *     none
    */
   record Description(
       String type, int status, boolean retryable, String message, int retryAfterSeconds) {
--- a/core-logic/src/main/java/applespindle/corelogic/api/ConstraintChecker.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/ConstraintChecker.java
@@ -30,8 +30,8 @@
  *
  * <p>It stands beside the Bean Validation provider because of the provider's start-up cost: its
  * first use takes about 0.7 s of processor time, which is several seconds on a node with a fraction
- * of a processor. A control plane node that is unresponsive for so long loses its leases. Values
- * that this program wrote itself therefore pass here and never start the provider.
+ * of a processor. A control plane node that is unresponsive for so long is replaced. Values that
+ * this program wrote itself therefore pass here and never start the provider.
  *
  * <p>The check is conservative: a constraint, container or type that is not known here counts as
  * violated. {@link InputReader} then decides by the provider, and reports the violations. Records
--- a/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/InputReader.java
@@ -3,6 +3,7 @@
 import static applespindle.corelogic.common.Json.JSON;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -28,19 +29,29 @@
 import org.hibernate.validator.spi.nodenameprovider.Property;
 
 /**
- * Reads input from outside into a record and names every faulty field at once, each by its JSON
+ * Reads JSON from outside into a record and reports every invalid field at once, each by its JSON
  * path.
+ *
+ * <p>It stands beside Bean Validation, which it uses for the constraints on values, because two
+ * kinds of errors arise before there is a value to validate: Jackson stops at the first field that
+ * is unknown or of a wrong type, and fills in missing primitive fields without notice. The tree is
+ * therefore compared with the record's components first; fields that don't fit are reported and
+ * removed, so that the rest can be converted and validated as well.
+ *
+ * <p>Supports records whose components are strings, booleans, numbers, enums, trees, other records,
+ * and lists and string-keyed maps of these. Invalid input is an expected result and never an
+ * exception. Safe for use by any thread.
  */
 public final class InputReader {
   /**
-   * Made at its first use: that takes long on a slow processor, and most processes never take
-   * outside input.
+   * The Bean Validation provider. It is created at its first use, as this takes about 0.7 s of
+   * processor time and most processes never read input from outside; see {@link ConstraintChecker}.
    */
-  private static final class FieldRules {
+  private static final class BeanValidation {
     static final Validator VALIDATOR =
         Validation.byProvider(HibernateValidator.class)
             .configure()
-            .propertyNodeNameProvider(FieldRules::jsonNameOf)
+            .propertyNodeNameProvider(BeanValidation::jsonNameOf)
             .messageInterpolator(new ParameterMessageInterpolator())
             .buildValidatorFactory()
             .getValidator();
@@ -62,136 +73,158 @@
     }
   }
 
-  /** Used only on trees whose faults are already named. */
+  /** Converts trees whose errors are already reported, and whose invalid fields are missing. */
   private static final ObjectMapper LENIENT =
       JSON.copy().disable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES);
 
-  private static final int FAULTS_MOST = 100;
+  /** Number of errors that are reported at most: bounds the size of the response. */
+  private static final int MAX_ERRORS = 100;
 
-  /** Either a value and no faults, or faults and no value. */
+  /** Either a valid value and no errors, or null and at least one error. */
   public record Input<T>(T value, List<ApiError.Field> errors) {
+    /** Whether there is a value. */
     public boolean isValid() {
       return errors.isEmpty();
     }
   }
 
+  /** Parses JSON and validates it as a record of this type. */
   public static <T> Input<T> read(byte[] bytes, Class<T> type) {
     return read(bytes, type, true);
   }
 
   /**
-   * Of something whose field rules were checked before it was kept: only that this program
-   * understands it whole.
+   * Parses a document that was validated before it was stored. It is compared with the type, but
+   * the constraints of its fields aren't checked again.
    */
   public static <T> Input<T> readWithoutConstraints(byte[] bytes, Class<T> type) {
     return read(bytes, type, false);
   }
 
-  private static <T> Input<T> read(byte[] bytes, Class<T> type, boolean fieldRules) {
+  private static <T> Input<T> read(byte[] bytes, Class<T> type, boolean checkConstraints) {
     JsonNode tree;
     try {
       tree = JSON.readTree(bytes);
-    } catch (JsonProcessingException fault) {
-      String place =
-          fault.getLocation() == null
-              ? ""
-              : " (line "
-                  + fault.getLocation().getLineNr()
-                  + ", column "
-                  + fault.getLocation().getColumnNr()
-                  + ")";
-      return new Input<>(null, List.of(new ApiError.Field("$", "not well-formed JSON" + place)));
-    } catch (IOException fault) {
+    } catch (JsonProcessingException malformed) {
+      String reason = "not well-formed JSON" + describe(malformed.getLocation());
+      return new Input<>(null, List.of(new ApiError.Field("$", reason)));
+    } catch (IOException unreadable) {
       return new Input<>(null, List.of(new ApiError.Field("$", "not readable")));
     }
-    return read(tree, type, fieldRules);
+    return read(tree, type, checkConstraints);
   }
 
+  private static String describe(JsonLocation location) {
+    return location == null
+        ? ""
+        : " (line " + location.getLineNr() + ", column " + location.getColumnNr() + ")";
+  }
+
+  /** Validates a tree, which is not modified, as a record of this type. */
   public static <T> Input<T> read(JsonNode tree, Class<T> type) {
     return read(tree, type, true);
   }
 
-  private static <T> Input<T> read(JsonNode tree, Class<T> type, boolean fieldRules) {
-    List<ApiError.Field> faults = new ArrayList<>();
-    JsonNode sound = tree.deepCopy();
-    if (!compare("$", sound, type, faults)) {
-      return new Input<>(null, faults);
+  private static <T> Input<T> read(JsonNode tree, Class<T> type, boolean checkConstraints) {
+    List<ApiError.Field> errors = new ArrayList<>();
+    JsonNode fitting = tree.deepCopy();
+    if (!compare("$", fitting, type, errors)) {
+      return new Input<>(null, errors);
     }
     T value;
     try {
-      value = LENIENT.treeToValue(sound, type);
-    } catch (JsonProcessingException | IllegalArgumentException fault) {
+      value = LENIENT.treeToValue(fitting, type);
+    } catch (JsonProcessingException | IllegalArgumentException unreadable) {
       return new Input<>(
-          null, faults.isEmpty() ? List.of(new ApiError.Field("$", "can not be read")) : faults);
-    }
-    if (fieldRules) {
-      Set<String> named = faults.stream().map(ApiError.Field::path).collect(Collectors.toSet());
-      FieldRules.VALIDATOR.validate(value).stream()
-          .map(each -> new ApiError.Field("$." + each.getPropertyPath(), each.getMessage()))
-          .filter(each -> !named.contains(each.path()))
-          .forEach(faults::add);
+          null, errors.isEmpty() ? List.of(new ApiError.Field("$", "can not be read")) : errors);
     }
-    if (faults.isEmpty()) {
-      return new Input<>(value, List.of());
+    if (checkConstraints) {
+      addViolations(value, errors);
     }
-    return new Input<>(
-        null,
-        faults.stream()
-            .sorted(Comparator.comparing(ApiError.Field::path))
-            .limit(FAULTS_MOST)
-            .toList());
+    return errors.isEmpty() ? new Input<>(value, List.of()) : new Input<>(null, reported(errors));
+  }
+
+  /** Adds the violated constraints, except on fields that an error is reported for already. */
+  private static void addViolations(Object value, List<ApiError.Field> errors) {
+    Set<String> reportedPaths =
+        errors.stream().map(ApiError.Field::path).collect(Collectors.toSet());
+    BeanValidation.VALIDATOR.validate(value).stream()
+        .map(each -> new ApiError.Field("$." + each.getPropertyPath(), each.getMessage()))
+        .filter(each -> !reportedPaths.contains(each.path()))
+        .forEach(errors::add);
+  }
+
+  private static List<ApiError.Field> reported(List<ApiError.Field> errors) {
+    return errors.stream()
+        .sorted(Comparator.comparing(ApiError.Field::path))
+        .limit(MAX_ERRORS)
+        .toList();
   }
 
   /**
-   * True if the node fits; what does not fit inside it is named and taken out, so that the rest can
-   * be checked too.
+   * Returns whether the node fits the type. Parts of the node that don't fit are reported and
+   * removed from it; what remains can be converted.
    */
   private static boolean compare(
-      String path, JsonNode node, Type type, List<ApiError.Field> faults) {
+      String path, JsonNode node, Type type, List<ApiError.Field> errors) {
     if (type == JsonNode.class) {
       return true;
     }
     if (node == null || node.isMissingNode() || node.isNull()) {
-      boolean wanted = path.equals("$") || type instanceof Class<?> simple && simple.isPrimitive();
-      if (wanted) {
-        faults.add(new ApiError.Field(path, "must not be null"));
-      }
-      return !path.equals("$");
+      return compareNull(path, type, errors);
     }
     if (type instanceof ParameterizedType generic) {
-      return compareGeneric(path, node, generic, faults);
+      return compareGeneric(path, node, generic, errors);
     }
     if (type instanceof Class<?> simple && simple.isRecord()) {
-      return compareRecord(path, node, simple, faults);
+      return compareRecord(path, node, simple, errors);
+    }
+    String mismatch = mismatch(node, (Class<?>) type);
+    if (mismatch != null) {
+      errors.add(new ApiError.Field(path, mismatch));
     }
-    String wanted = wantedBut(node, (Class<?>) type);
-    if (wanted != null) {
-      faults.add(new ApiError.Field(path, wanted));
+    return mismatch == null;
+  }
+
+  /** A missing value fits as null, except for the document itself; a primitive needs a value. */
+  private static boolean compareNull(String path, Type type, List<ApiError.Field> errors) {
+    boolean isDocument = path.equals("$");
+    if (isDocument || type instanceof Class<?> simple && simple.isPrimitive()) {
+      errors.add(new ApiError.Field(path, "must not be null"));
     }
-    return wanted == null;
+    return !isDocument;
   }
 
   private static boolean compareGeneric(
-      String path, JsonNode node, ParameterizedType type, List<ApiError.Field> faults) {
-    if (type.getRawType() == List.class) {
-      if (!(node instanceof ArrayNode list)) {
-        faults.add(new ApiError.Field(path, "must be a list"));
-        return false;
-      }
-      for (int index = 0; index < list.size(); index++) {
-        if (!compare(
-            path + "[" + index + "]", list.get(index), type.getActualTypeArguments()[0], faults)) {
-          list.setNull(index);
-        }
+      String path, JsonNode node, ParameterizedType type, List<ApiError.Field> errors) {
+    Type[] arguments = type.getActualTypeArguments();
+    return type.getRawType() == List.class
+        ? compareList(path, node, arguments[0], errors)
+        : compareMap(path, node, arguments[1], errors);
+  }
+
+  private static boolean compareList(
+      String path, JsonNode node, Type elementType, List<ApiError.Field> errors) {
+    if (!(node instanceof ArrayNode list)) {
+      errors.add(new ApiError.Field(path, "must be a list"));
+      return false;
+    }
+    for (int index = 0; index < list.size(); index++) {
+      if (!compare(path + "[" + index + "]", list.get(index), elementType, errors)) {
+        list.setNull(index);
       }
-      return true;
     }
+    return true;
+  }
+
+  private static boolean compareMap(
+      String path, JsonNode node, Type valueType, List<ApiError.Field> errors) {
     if (!(node instanceof ObjectNode object)) {
-      faults.add(new ApiError.Field(path, "must be an object"));
+      errors.add(new ApiError.Field(path, "must be an object"));
       return false;
     }
     for (String name : fieldNames(object)) {
-      if (!compare(path + "." + name, object.get(name), type.getActualTypeArguments()[1], faults)) {
+      if (!compare(path + "." + name, object.get(name), valueType, errors)) {
         object.remove(name);
       }
     }
@@ -205,9 +238,9 @@
   }
 
   private static boolean compareRecord(
-      String path, JsonNode node, Class<?> type, List<ApiError.Field> faults) {
+      String path, JsonNode node, Class<?> type, List<ApiError.Field> errors) {
     if (!(node instanceof ObjectNode object)) {
-      faults.add(new ApiError.Field(path, "must be an object"));
+      errors.add(new ApiError.Field(path, "must be an object"));
       return false;
     }
     RecordComponent[] components = type.getRecordComponents();
@@ -215,13 +248,13 @@
         Arrays.stream(components).map(InputReader::jsonNameOf).collect(Collectors.toSet());
     for (String name : fieldNames(object)) {
       if (!names.contains(name)) {
-        faults.add(new ApiError.Field(path + "." + name, "unknown field"));
+        errors.add(new ApiError.Field(path + "." + name, "unknown field"));
         object.remove(name);
       }
     }
     for (RecordComponent component : components) {
       String name = jsonNameOf(component);
-      if (!compare(path + "." + name, object.path(name), component.getGenericType(), faults)) {
+      if (!compare(path + "." + name, object.path(name), component.getGenericType(), errors)) {
         object.remove(name);
       }
     }
@@ -238,7 +271,8 @@
     return renamed == null ? accessor.getName() : renamed.value();
   }
 
-  private static String wantedBut(JsonNode node, Class<?> type) {
+  /** What the type requires that the node is not; null if it fits. */
+  private static String mismatch(JsonNode node, Class<?> type) {
     if (type == String.class) {
       return node.isTextual() ? null : "must be a string";
     }
--- a/core-logic/src/main/java/applespindle/corelogic/common/JsonSizeObserver.java
+++ b/core-logic/src/main/java/applespindle/corelogic/common/JsonSizeObserver.java
@@ -3,17 +3,19 @@
 import java.util.function.IntConsumer;
 
 /**
- * Tells an observer the size of every JSON document that its own thread reads or writes with {@link
- * Json}, so that a simulation can charge processor time for it. Nothing is observed unless a thread
- * asks for it. Conversions between objects and trees, and what uses the mapper directly, are not
- * seen.
+ * Reports the size of every JSON document that a thread reads or writes through {@link Json} to the
+ * observer of that thread, so that a simulation can account for the processor time. Threads without
+ * an observer report nothing. Conversions between objects and trees, and direct uses of the mapper,
+ * are not observed.
  */
 public final class JsonSizeObserver {
   private static final ThreadLocal<IntConsumer> OBSERVER = new ThreadLocal<>();
 
   /**
-   * Runs a task; the observer hears, in bytes, of each document that the task reads or writes on
-   * this thread. Not to be nested.
+   * Runs a task and reports the size of each document that it reads or writes on this thread. The
+   * observer is removed when the task ends or throws. Calls must not be nested.
+   *
+   * @param observer receives sizes in bytes
    */
   public static void observe(IntConsumer observer, Runnable task) {
     OBSERVER.set(observer);
@@ -24,6 +26,7 @@
     }
   }
 
+  /** Reports a document of this size to the observer of this thread, if there is one. */
   static void passed(int bytes) {
     IntConsumer observer = OBSERVER.get();
     if (observer != null) {
--- a/core-logic/src/main/java/applespindle/corelogic/common/RendezvousHashing.java
+++ b/core-logic/src/main/java/applespindle/corelogic/common/RendezvousHashing.java
@@ -6,12 +6,19 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The agreed order of nodes for a key: highest random weight first. */
+/**
+ * Rendezvous hashing (highest random weight): all processes derive the same order of nodes for a
+ * key without communication, and adding or removing a node leaves the order of the others as it is.
+ * The hash functions (FNV-1a with the MurmurHash3 finalizer) must not change, as processes of
+ * different versions have to agree. Stateless.
+ */
 public final class RendezvousHashing {
+  /** Returns the nodes in their order for the key; independent of the order of the argument. */
   public static List<String> order(String key, Collection<String> nodes) {
     return weighted(key, nodes).sorted(HEAVIEST_FIRST).map(Weighted::node).toList();
   }
 
+  /** Returns the first node in the order for the key, or null if there are no nodes. */
   public static String first(String key, Collection<String> nodes) {
     return weighted(key, nodes).min(HEAVIEST_FIRST).map(Weighted::node).orElse(null);
   }
@@ -26,6 +33,7 @@
     return nodes.stream().map(node -> new Weighted(node, mix(keyHash ^ mix(hash(node)))));
   }
 
+  /** Returns a 64-bit hash of the text; not suitable for cryptography. */
   public static long hash(String text) {
     long hash = 0xcbf29ce484222325L;
     for (byte one : text.getBytes(StandardCharsets.UTF_8)) {
@@ -34,6 +42,7 @@
     return mix(hash);
   }
 
+  /** Distributes each bit of the value over the whole result; a bijection. */
   public static long mix(long value) {
     value = (value ^ (value >>> 33)) * 0xff51afd7ed558ccdL;
     value = (value ^ (value >>> 33)) * 0xc4ceb9fe1a85ec53L;
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/CompiledRules.java
@@ -1,34 +1,96 @@
 package applespindle.corelogic.configuration;
 
+import applespindle.corelogic.configuration.RoutingConfiguration.Match;
+import applespindle.corelogic.configuration.RoutingConfiguration.RoutingAction;
+import applespindle.corelogic.configuration.RoutingConfiguration.Rule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
 
-/** A bundle's rules as a short program, and the small interpreter that runs it for each request. */
+/**
+ * The rules of a configuration, compiled into a linear program that is interpreted for each live
+ * request: the tests of the first rule, its action, the tests of the second rule, and so on. A test
+ * that fails jumps to the next rule; an action ends the program.
+ *
+ * <p>Immutable, safe for use by any thread.
+ */
 public final class CompiledRules {
-  enum Operation {
+  private enum Operation {
     MODEL_IS,
     CLIENT_IS,
     CLASS_IS,
     HEADER_IS,
     PROMPT_AT_MOST,
     PROMPT_AT_LEAST,
-    WHEN_HOLDS,
+    CONDITION_HOLDS,
     TAKE_ACTION
   }
 
-  /** Tests jump to elseGoTo when they do not fit; TAKE_WAY ends the program. */
-  record Instruction(
+  /**
+   * One test of a rule, or its action.
+   *
+   * @param headerName the header that HEADER_IS compares, in lower case
+   * @param text the operand of the operations that compare texts
+   * @param number the operand of the operations that compare numbers
+   * @param condition the operand of CONDITION_HOLDS
+   * @param action the result of TAKE_ACTION
+   * @param nextRule where the program goes on if the test fails
+   */
+  private record Instruction(
       Operation operation,
-      String name,
+      String headerName,
       String text,
       int number,
-      RuleCondition when,
-      RoutingConfiguration.Rule rule,
-      int elseGoTo) {}
+      RuleCondition condition,
+      RoutingAction action,
+      int nextRule) {
+    private static final int UNKNOWN = -1;
 
-  /** The properties of a live request that conditions of rules are evaluated against. */
+    static Instruction compareText(Operation operation, String text) {
+      return new Instruction(operation, null, text, 0, null, null, UNKNOWN);
+    }
+
+    static Instruction compareHeader(String headerName, String value) {
+      return new Instruction(Operation.HEADER_IS, headerName, value, 0, null, null, UNKNOWN);
+    }
+
+    static Instruction compareNumber(Operation operation, int number) {
+      return new Instruction(operation, null, null, number, null, null, UNKNOWN);
+    }
+
+    static Instruction evaluate(RuleCondition condition) {
+      return new Instruction(Operation.CONDITION_HOLDS, null, null, 0, condition, null, UNKNOWN);
+    }
+
+    static Instruction takeAction(RoutingAction action) {
+      return new Instruction(Operation.TAKE_ACTION, null, null, 0, null, action, UNKNOWN);
+    }
+
+    Instruction withNextRule(int position) {
+      return new Instruction(operation, headerName, text, number, condition, action, position);
+    }
+
+    boolean passes(Subject subject) {
+      return switch (operation) {
+        case MODEL_IS -> Objects.equals(text, subject.model());
+        case CLIENT_IS -> Objects.equals(text, subject.client());
+        case CLASS_IS -> Objects.equals(text, subject.trafficClass());
+        case HEADER_IS -> Objects.equals(text, subject.headers().get(headerName));
+        case PROMPT_AT_MOST -> subject.promptChars() <= number;
+        case PROMPT_AT_LEAST -> subject.promptChars() >= number;
+        case CONDITION_HOLDS -> condition.holds(subject);
+        case TAKE_ACTION -> true;
+      };
+    }
+  }
+
+  /**
+   * The properties of a live request that rules are evaluated against.
+   *
+   * @param model null if the request names none
+   * @param headers by name in lower case
+   */
   public record Subject(
       String model,
       String client,
@@ -36,89 +98,78 @@
       Map<String, String> headers,
       int promptChars) {}
 
-  private final List<Instruction> program = new ArrayList<>();
+  private final List<Instruction> program;
+
+  private CompiledRules(List<Instruction> program) {
+    this.program = program;
+  }
 
+  /**
+   * Compiles the rules of a valid configuration.
+   *
+   * @throws IllegalStateException if a condition doesn't compile, which validation rules out
+   */
   public static CompiledRules compile(RoutingConfiguration configuration) {
-    CompiledRules compiled = new CompiledRules();
-    for (RoutingConfiguration.Rule rule : configuration.rules()) {
-      List<Instruction> tests = compiled.tests(rule);
-      int nextRule = compiled.program.size() + tests.size() + 1;
-      tests.forEach(
-          test ->
-              compiled.program.add(
-                  new Instruction(
-                      test.operation(),
-                      test.name(),
-                      test.text(),
-                      test.number(),
-                      test.when(),
-                      rule,
-                      nextRule)));
-      compiled.program.add(new Instruction(Operation.TAKE_ACTION, "", "", 0, null, rule, nextRule));
+    List<Instruction> program = new ArrayList<>();
+    for (Rule rule : configuration.rules()) {
+      List<Instruction> instructions = testsOf(rule);
+      instructions.add(Instruction.takeAction(rule.action()));
+      int nextRule = program.size() + instructions.size();
+      instructions.forEach(instruction -> program.add(instruction.withNextRule(nextRule)));
     }
-    return compiled;
+    return new CompiledRules(List.copyOf(program));
   }
 
-  private List<Instruction> tests(RoutingConfiguration.Rule rule) {
+  private static List<Instruction> testsOf(Rule rule) {
     List<Instruction> tests = new ArrayList<>();
     if (rule.when() != null) {
-      tests.add(
-          new Instruction(
-              Operation.WHEN_HOLDS, "", "", 0, RuleCondition.compile(rule.when()), null, 0));
+      tests.add(Instruction.evaluate(RuleCondition.compile(rule.when())));
     }
-    RoutingConfiguration.Match match = rule.match();
-    if (match == null) {
-      return tests;
+    if (rule.match() != null) {
+      addTests(tests, rule.match());
     }
-    text(tests, Operation.MODEL_IS, "", match.model());
-    text(tests, Operation.CLIENT_IS, "", match.client());
-    text(tests, Operation.CLASS_IS, "", match.trafficClass());
+    return tests;
+  }
+
+  private static void addTests(List<Instruction> tests, Match match) {
+    addTextTest(tests, Operation.MODEL_IS, match.model());
+    addTextTest(tests, Operation.CLIENT_IS, match.client());
+    addTextTest(tests, Operation.CLASS_IS, match.trafficClass());
     if (match.headers() != null) {
-      match
-          .headers()
-          .forEach((name, value) -> text(tests, Operation.HEADER_IS, name.toLowerCase(), value));
+      match.headers().forEach((name, value) -> addHeaderTest(tests, name, value));
     }
-    number(tests, Operation.PROMPT_AT_MOST, match.maxPromptChars());
-    number(tests, Operation.PROMPT_AT_LEAST, match.minPromptChars());
-    return tests;
+    addNumberTest(tests, Operation.PROMPT_AT_MOST, match.maxPromptChars());
+    addNumberTest(tests, Operation.PROMPT_AT_LEAST, match.minPromptChars());
   }
 
-  private static void text(List<Instruction> tests, Operation operation, String name, String text) {
+  private static void addTextTest(List<Instruction> tests, Operation operation, String text) {
     if (text != null) {
-      tests.add(new Instruction(operation, name, text, 0, null, null, 0));
+      tests.add(Instruction.compareText(operation, text));
+    }
+  }
+
+  private static void addHeaderTest(List<Instruction> tests, String name, String value) {
+    if (value != null) {
+      tests.add(Instruction.compareHeader(name.toLowerCase(), value));
     }
   }
 
-  private static void number(List<Instruction> tests, Operation operation, Integer number) {
+  private static void addNumberTest(List<Instruction> tests, Operation operation, Integer number) {
     if (number != null) {
-      tests.add(new Instruction(operation, "", "", number, null, null, 0));
+      tests.add(Instruction.compareNumber(operation, number));
     }
   }
 
-  /** The way of the first rule that fits, or null. */
-  public RoutingConfiguration.RoutingAction run(Subject subject) {
-    int at = 0;
-    while (at < program.size()) {
-      Instruction instruction = program.get(at);
-      boolean fits =
-          switch (instruction.operation()) {
-            case MODEL_IS -> Objects.equals(instruction.text(), subject.model());
-            case CLIENT_IS -> Objects.equals(instruction.text(), subject.client());
-            case CLASS_IS -> Objects.equals(instruction.text(), subject.trafficClass());
-            case HEADER_IS ->
-                Objects.equals(instruction.text(), subject.headers().get(instruction.name()));
-            case PROMPT_AT_MOST -> subject.promptChars() <= instruction.number();
-            case PROMPT_AT_LEAST -> subject.promptChars() >= instruction.number();
-            case WHEN_HOLDS -> instruction.when().holds(subject);
-            case TAKE_ACTION -> true;
-          };
+  /** Returns the action of the first rule that matches, or null if none does. */
+  public RoutingAction run(Subject subject) {
+    int position = 0;
+    while (position < program.size()) {
+      Instruction instruction = program.get(position);
       if (instruction.operation() == Operation.TAKE_ACTION) {
-        return instruction.rule().action();
+        return instruction.action();
       }
-      at = fits ? at + 1 : instruction.elseGoTo();
+      position = instruction.passes(subject) ? position + 1 : instruction.nextRule();
     }
     return null;
   }
-
-  private CompiledRules() {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationFormat.java
@@ -6,7 +6,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** How operators of a deployment write a configuration, as far as changing it by names needs it. */
+/**
+ * The document format in which the operators of a deployment write a configuration, as far as a
+ * {@link ConfigurationPatch} needs it. A deployment may have a format of its own that is translated
+ * into a {@link RoutingConfiguration}. Implementations are stateless.
+ */
 public interface ConfigurationFormat {
   /** How a collection of named items is written: as a list, or as an object by name. */
   enum Collection {
@@ -14,26 +18,26 @@
     BY_NAME
   }
 
-  /** Either the bytes of the bundle that a configuration stands for, or what is wrong with it. */
+  /** Either the bytes of a valid configuration and no errors, or null and what is wrong with it. */
   record ParsedConfiguration(byte[] configuration, List<ApiError.Field> errors) {}
 
-  /** The field that holds the revision. */
+  /** The name of the field that holds the revision. */
   String revisionField();
 
-  /** The collections of named items, by field. */
+  /** The collections of named items, by the name of their field. */
   Map<String, Collection> collections();
 
   /**
-   * The configuration as its operator wrote it; null if the bundle does not tell.
+   * Returns the document that a configuration was made from; null if it doesn't contain it.
    *
    * @param configuration the exact bytes that are in force
    */
-  ObjectNode sourceOf(byte[] bundle);
+  ObjectNode sourceOf(byte[] configuration);
 
-  /** Reads and checks a configuration whole. */
-  ParsedConfiguration parse(ObjectNode whole);
+  /** Parses and validates a complete document. */
+  ParsedConfiguration parse(ObjectNode document);
 
-  /** The product's own: a {@link RoutingConfiguration} as JSON. */
+  /** The format of the product itself: a {@link RoutingConfiguration} as JSON. */
   ConfigurationFormat OWN =
       new ConfigurationFormat() {
         @Override
@@ -48,13 +52,13 @@
         }
 
         @Override
-        public ObjectNode sourceOf(byte[] bundle) {
-          return (ObjectNode) Json.tree(bundle);
+        public ObjectNode sourceOf(byte[] configuration) {
+          return (ObjectNode) Json.tree(configuration);
         }
 
         @Override
-        public ParsedConfiguration parse(ObjectNode whole) {
-          byte[] bytes = Json.bytes(whole);
+        public ParsedConfiguration parse(ObjectNode document) {
+          byte[] bytes = Json.bytes(document);
           return ConfigurationValidator.validate(bytes).error()
                   instanceof ApiError.InvalidConfiguration invalid
               ? new ParsedConfiguration(null, invalid.fields())
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationPatch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/ConfigurationPatch.java
@@ -15,53 +15,56 @@
 
 /**
  * A change of a configuration by the names of its items: {@code upsert} holds items to add or to
- * replace, {@code remove} the names of items to take out. Replaced items keep their place, added
- * ones follow behind the last. Fields that are not known are passed over, as in a whole
- * configuration.
+ * replace, {@code remove} the names of items to remove. Replaced items keep their position, added
+ * ones are appended. Unknown fields at the top level are ignored.
+ *
+ * <p>An instance is well-formed, but need not fit the configuration that it is applied to. Invalid
+ * patches are expected results and never exceptions. Not modified once parsed; safe for use by any
+ * thread.
  */
 public final class ConfigurationPatch {
   private static final String UPSERT = "upsert";
   private static final String REMOVE = "remove";
   private static final String NAME = "name";
 
-  /** Either a patch and no faults, or faults and no patch. */
+  /** Either a patch and no errors, or null and the errors. */
   public record ParsedPatch(ConfigurationPatch patch, List<ApiError.Field> errors) {}
 
-  /** Either the whole configuration that results and no faults, or faults and no configuration. */
+  /** Either the complete document that results and no errors, or null and the errors. */
   public record PatchResult(ObjectNode configuration, List<ApiError.Field> errors) {}
 
   private final ConfigurationFormat format;
   private final JsonNode tree;
-  private final List<ApiError.Field> faults = new ArrayList<>();
+  private final List<ApiError.Field> errors = new ArrayList<>();
 
   private ConfigurationPatch(ConfigurationFormat format, JsonNode tree) {
     this.format = format;
     this.tree = tree;
   }
 
-  /** Reads a patch and names all that is wrong with it by itself, by JSON path. */
+  /** Parses a patch; reports all that is wrong with the patch by itself. */
   public static ParsedPatch parse(ConfigurationFormat format, byte[] bytes) {
     JsonNode tree;
     try {
       tree = Json.JSON.readTree(bytes);
-    } catch (IOException unreadable) {
-      return refused("$", "not well-formed JSON");
+    } catch (IOException malformed) {
+      return rejected("$", "not well-formed JSON");
     }
     if (tree == null || !tree.isObject()) {
-      return refused("$", "must be an object");
+      return rejected("$", "must be an object");
     }
     ConfigurationPatch patch = new ConfigurationPatch(format, tree);
     patch.check();
-    return patch.faults.isEmpty()
+    return patch.errors.isEmpty()
         ? new ParsedPatch(patch, List.of())
-        : new ParsedPatch(null, List.copyOf(patch.faults));
+        : new ParsedPatch(null, List.copyOf(patch.errors));
   }
 
-  private static ParsedPatch refused(String path, String reason) {
+  private static ParsedPatch rejected(String path, String reason) {
     return new ParsedPatch(null, List.of(new ApiError.Field(path, reason)));
   }
 
-  /** The revision that the configuration gets by this patch. */
+  /** The revision of the configuration that results. */
   public long revision() {
     return tree.path(format.revisionField()).asLong();
   }
@@ -69,7 +72,7 @@
   private void check() {
     JsonNode revision = tree.path(format.revisionField());
     if (!revision.isIntegralNumber() || !revision.canConvertToLong() || revision.asLong() < 1) {
-      fault("$." + format.revisionField(), "must be a whole number from 1");
+      reject("$." + format.revisionField(), "must be a whole number from 1");
     }
     checkUpserts();
     checkRemovals();
@@ -80,9 +83,9 @@
       String path = "$." + UPSERT + "." + change.getKey();
       Collection collection = format.collections().get(change.getKey());
       if (collection == null) {
-        fault(path, "is no list of named items");
+        reject(path, "is no list of named items");
       } else if (collection == Collection.BY_NAME && !change.getValue().isObject()) {
-        fault(path, "must be an object of items by name");
+        reject(path, "must be an object of items by name");
       } else if (collection == Collection.LIST) {
         checkItems(path, change.getValue());
       }
@@ -91,7 +94,7 @@
 
   private void checkItems(String path, JsonNode items) {
     if (!items.isArray()) {
-      fault(path, "must be a list of items");
+      reject(path, "must be a list of items");
       return;
     }
     Set<String> names = new HashSet<>();
@@ -99,9 +102,9 @@
       JsonNode name = items.get(index).path(NAME);
       String namePath = path + "[" + index + "]." + NAME;
       if (!name.isTextual() || name.asText().isBlank()) {
-        fault(namePath, "must be a text");
+        reject(namePath, "must be a text");
       } else if (!names.add(name.asText())) {
-        fault(namePath, "stands twice");
+        reject(namePath, "stands twice");
       }
     }
   }
@@ -110,9 +113,9 @@
     for (Map.Entry<String, JsonNode> change : changes(REMOVE)) {
       String path = "$." + REMOVE + "." + change.getKey();
       if (!format.collections().containsKey(change.getKey())) {
-        fault(path, "is no list of named items");
+        reject(path, "is no list of named items");
       } else if (!change.getValue().isArray()) {
-        fault(path, "must be a list of names");
+        reject(path, "must be a list of names");
       } else {
         checkNames(path, change.getValue(), upsertedNames(change.getKey()));
       }
@@ -125,11 +128,11 @@
       JsonNode name = names.get(index);
       String namePath = path + "[" + index + "]";
       if (!name.isTextual()) {
-        fault(namePath, "must be a text");
+        reject(namePath, "must be a text");
       } else if (!seen.add(name.asText())) {
-        fault(namePath, "stands twice");
+        reject(namePath, "stands twice");
       } else if (upserted.contains(name.asText())) {
-        fault(namePath, "is upserted as well");
+        reject(namePath, "is upserted as well");
       }
     }
   }
@@ -145,43 +148,54 @@
     return names;
   }
 
-  /** The collections under one kind of change; none where the field is left out or null. */
+  /**
+   * The collections under {@code upsert} or {@code remove}; none if the field is missing or null.
+   */
   private Iterable<Map.Entry<String, JsonNode>> changes(String kind) {
     JsonNode changes = tree.path(kind);
     if (!changes.isMissingNode() && !changes.isNull() && !changes.isObject()) {
-      fault("$." + kind, "must be an object");
+      reject("$." + kind, "must be an object");
     }
     return changes.properties();
   }
 
-  private void fault(String path, String reason) {
-    faults.add(new ApiError.Field(path, reason));
+  private void reject(String path, String reason) {
+    errors.add(new ApiError.Field(path, reason));
   }
 
   /**
-   * The configuration that results. Whether it is valid as a whole is not looked at.
+   * Applies the patch. Whether the result is a valid configuration is not checked.
    *
-   * @param present the configuration that the patch builds on, left as it is; empty before the
-   *     first one
+   * @param base the document that the patch builds on, which is not modified; empty before the
+   *     first configuration
    */
-  public PatchResult applyTo(ObjectNode present) {
-    ObjectNode whole = present.deepCopy();
+  public PatchResult applyTo(ObjectNode base) {
+    ObjectNode document = base.deepCopy();
+    document.set(format.revisionField(), tree.get(format.revisionField()));
+    List<ApiError.Field> missing = removeFrom(document);
+    if (!missing.isEmpty()) {
+      return new PatchResult(null, missing);
+    }
+    for (Map.Entry<String, JsonNode> change : changes(UPSERT)) {
+      upsert(document, change.getKey(), change.getValue());
+    }
+    return new PatchResult(document, List.of());
+  }
+
+  /** Removes the named items from the document; returns an error for each that is not there. */
+  private List<ApiError.Field> removeFrom(ObjectNode document) {
     List<ApiError.Field> missing = new ArrayList<>();
-    whole.set(format.revisionField(), tree.get(format.revisionField()));
     for (Map.Entry<String, JsonNode> change : changes(REMOVE)) {
       String collection = change.getKey();
       for (int index = 0; index < change.getValue().size(); index++) {
         String name = change.getValue().get(index).asText();
-        if (!remove(whole.path(collection), name)) {
+        if (!remove(document.path(collection), name)) {
           String path = "$." + REMOVE + "." + collection + "[" + index + "]";
           missing.add(new ApiError.Field(path, "names nothing that is there: " + name));
         }
       }
     }
-    for (Map.Entry<String, JsonNode> change : changes(UPSERT)) {
-      upsert(whole, change.getKey(), change.getValue());
-    }
-    return missing.isEmpty() ? new PatchResult(whole, List.of()) : new PatchResult(null, missing);
+    return missing;
   }
 
   private static boolean remove(JsonNode items, String name) {
@@ -196,15 +210,19 @@
     return true;
   }
 
-  private void upsert(ObjectNode whole, String collection, JsonNode items) {
+  private void upsert(ObjectNode document, String collection, JsonNode items) {
     if (format.collections().get(collection) == Collection.BY_NAME) {
       ObjectNode byName =
-          whole.get(collection) instanceof ObjectNode there ? there : whole.putObject(collection);
+          document.get(collection) instanceof ObjectNode present
+              ? present
+              : document.putObject(collection);
       items.properties().forEach(item -> byName.set(item.getKey(), item.getValue()));
       return;
     }
     ArrayNode list =
-        whole.get(collection) instanceof ArrayNode there ? there : whole.putArray(collection);
+        document.get(collection) instanceof ArrayNode present
+            ? present
+            : document.putArray(collection);
     for (JsonNode item : items) {
       int index = indexOf(list, item.path(NAME).asText());
       if (index < 0) {
@@ -215,6 +233,7 @@
     }
   }
 
+  /** The index of the item with this name in a list, or -1. */
   private static int indexOf(JsonNode items, String name) {
     for (int index = 0; index < items.size(); index++) {
       if (name.equals(items.get(index).path(NAME).asText(null))) {
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -15,7 +15,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** The operators' routing configuration, as signed off under one number. */
+/**
+ * The routing configuration that operators write, one revision of it. It consists of values only;
+ * {@link ConfigurationValidator} reads and validates it.
+ *
+ * <p>Immutable. The JSON form is stored, signed and exchanged between nodes: a renamed component
+ * keeps its name there. Components whose type is not primitive may be null unless a constraint
+ * rules it out.
+ *
+ * @param number the revision; each one in force has a higher number than the last
+ * @param pools the pools of workers, by name
+ * @param rules the rules for live requests, in the order in which they are tried
+ * @param limits bounds on queued live requests and on batch work
+ * @param routes the routes of proxied requests; never null when read
+ * @param clients bounds on what clients send; null: the defaults of the program
+ * @param origin the document that the configuration was translated from, where the deployment has a
+ *     {@link ConfigurationFormat} of its own; nodes don't interpret it
+ */
 public record RoutingConfiguration(
     @Min(1) long number,
     @NotEmpty Map<String, @Valid @NotNull Pool> pools,
@@ -25,23 +41,36 @@
     @Valid ClientLimits clients,
     String origin) {
 
-  /**
-   * How opaque requests of a route may be run: again after any failure; at most once; as an event
-   * stream; as batch items.
-   */
+  /** How the proxied requests of a route are run. */
   public enum RouteType {
+    /** Idempotent: may be retried after any failure. */
     REPEATABLE,
+    /** Must run at most once. */
     ONCE,
+    /** The response is a stream of events. */
     STREAM,
+    /** Requests are the items of batches. */
     BATCH
   }
 
   /**
-   * Where opaque requests of a host and path prefix go. targetMs: the time a response (a stream's
-   * first event; a batch's yes) is in time; gapTargetMs: the longest pause between events;
-   * attempts: the most workers one try goes to (for batch items: runs that may fail); rank: 0 is
-   * served first. For batches: completionTargetMs until results are due, retentionMs until items
-   * may be given up, maxQueuedTokens over the fleet (0: no limit).
+   * Where the proxied requests of a host and path prefix are sent.
+   *
+   * @param timeoutMs time that a request may run, in milliseconds
+   * @param targetMs the target time until the response, in milliseconds: of a stream until its
+   *     first event, of a batch until it is accepted; 0: none
+   * @param gapTargetMs the longest pause between the events of a stream, in milliseconds; 0: none
+   * @param attempts the workers that one request is sent to at most; of batch items, the runs that
+   *     may fail
+   * @param rank the priority; 0 is served first
+   * @param sticky whether requests with the same prompt prefix prefer the same worker even if the
+   *     prefix is a single part
+   * @param resumable whether an interrupted stream may be continued by another worker
+   * @param split the pools that requests are distributed over
+   * @param completionTargetMs of batches: the time until results are due, in milliseconds
+   * @param retentionMs of batches: the time until results may be deleted, in milliseconds; 0: the
+   *     default
+   * @param maxQueuedTokens of batches: the limit of queued tokens over the fleet; 0: none
    */
   public record Route(
       @NotBlank String name,
@@ -59,35 +88,48 @@
       @Min(0) long completionTargetMs,
       @Min(0) long retentionMs,
       @JsonProperty("waitingTokensMost") @Min(0) long maxQueuedTokens) {
+    /** Returns whether a share of the requests goes to the pool. */
     public boolean sendsTo(String pool) {
       return split.stream().anyMatch(share -> share.pool().equals(pool) && share.weight() > 0);
     }
   }
 
-  /** A pool's part of a route's requests. */
+  /** The share of a route's requests that goes to a pool: its part of the sum of all weights. */
   public record PoolWeight(@NotBlank String pool, @Min(0) @Max(1_000_000) int weight) {}
 
-  /** What a client may send and how long it may take; 0 means the program's own limit. */
+  /**
+   * Bounds on the size of a client's request, in bytes, and on the time it may take to send it, in
+   * milliseconds; 0: the default of the program.
+   */
   public record ClientLimits(
       @JsonProperty("headBytesMost") @Min(0) int maxHeadBytes,
       @JsonProperty("bodyBytesMost") @Min(0) int maxBodyBytes,
       @Min(0) long headTimeoutMs,
       @Min(0) long idleTimeoutMs) {}
 
-  /** A bundle of rules alone. */
+  /** A configuration of rules only. */
   public RoutingConfiguration(
       long number, Map<String, Pool> pools, List<Rule> rules, Limits limits) {
     this(number, pools, rules, limits, null, null, null);
   }
 
+  /** The routes of proxied requests; empty if there are none. */
   public List<Route> routes() {
     return routes == null ? List.of() : routes;
   }
 
   /**
-   * A named set of workers; each worker names its pool when it is listed. Where known: slots, how
-   * many requests a worker works on at once; maxConnections, from all callers together;
-   * cacheTokensPerWorker, its memory for prompts.
+   * A set of workers; the list of workers names the pool of each. The last three components are
+   * null where they are not known.
+   *
+   * @param prefixBlockChars length of the blocks of a prompt, in characters, whose prefix selects a
+   *     worker
+   * @param prefixBlocks the number of blocks in such a prefix at most
+   * @param loadFactor how far the load of a worker may exceed the average before another is
+   *     selected
+   * @param slots requests that a worker runs at a time
+   * @param maxConnections connections that a worker accepts from all edges together
+   * @param maxCachedTokens a worker's memory for prompts, in tokens
    */
   public record Pool(
       @Min(16) @Max(100_000) int prefixBlockChars,
@@ -101,14 +143,23 @@
     }
   }
 
-  /** The first rule that matches a live request decides its way. */
+  /**
+   * A rule for live requests; the action of the first one that matches applies.
+   *
+   * @param match null: matches each request
+   * @param when a condition in CEL that must hold as well; null: none
+   */
   public record Rule(
       @NotBlank String name,
       @Valid Match match,
-      @Size(max = RuleCondition.LENGTH_MOST) String when,
+      @Size(max = RuleCondition.MAX_LENGTH) String when,
       @JsonProperty("way") @NotNull @Valid RoutingAction action) {}
 
-  /** Every field given must fit; a rule without a match and without a when fits all. */
+  /**
+   * The properties that a request must have; a null matches any value.
+   *
+   * @param headers required values by header name, in any case
+   */
   public record Match(
       String model,
       @JsonProperty("sender") String client,
@@ -117,24 +168,37 @@
       @JsonProperty("promptCharsMost") @Min(0) Integer maxPromptChars,
       @JsonProperty("promptCharsLeast") @Min(0) Integer minPromptChars) {}
 
-  /** Where matching requests go: pool, traffic class, deadline and retries. */
+  /**
+   * How matching requests are run.
+   *
+   * @param expiryMs time within which a request must start, in milliseconds
+   * @param retries attempts after the first one
+   */
   public record RoutingAction(
       @NotBlank String pool,
       @NotBlank String trafficClass,
       @Min(1) @Max(600_000) long expiryMs,
       @Min(0) @Max(10) int retries) {}
 
-  /** Bounds on queued live requests by class, and on batch work. */
+  /** Bounds on queued live requests, by traffic class, and on batch work. */
   public record Limits(
       @NotEmpty Map<String, @Valid @NotNull ClassLimit> classes,
       @NotNull @Valid BatchLimits batch) {}
 
-  /** Classes with a lower rank are served first. */
+  /** The priority of a traffic class, where lower ranks are served first, and its queue limit. */
   public record ClassLimit(
       @Min(0) @Max(100) int rank,
       @JsonProperty("queueMost") @Min(0) @Max(1_000_000) int maxQueuedRequests) {}
 
-  /** Bounds on batch work; retentionMs is how long a finished batch stays readable. */
+  /**
+   * Bounds on batch work.
+   *
+   * @param pool the pool whose workers run batch items
+   * @param liveReserve slots of each worker that batch items leave free
+   * @param cancelForLive whether running items are cancelled when live requests need their slots
+   * @param itemExpiryMs time that one item may run, in milliseconds
+   * @param retentionMs how long a finished batch can be read, in milliseconds; null: the default
+   */
   public record BatchLimits(
       @NotBlank String pool,
       @JsonProperty("waitingItemsMost") @Min(0) long maxQueuedItems,
@@ -143,6 +207,7 @@
       boolean cancelForLive,
       @Min(1) @Max(3_600_000) long itemExpiryMs,
       @Min(1_000) Long retentionMs) {
+    /** How long a finished batch can be read, in milliseconds. */
     public long effectiveRetentionMs() {
       return retentionMs == null ? BatchConstants.DEFAULT_RETENTION_MS : retentionMs;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RuleCondition.java
@@ -1,5 +1,6 @@
 package applespindle.corelogic.configuration;
 
+import dev.cel.common.CelIssue;
 import dev.cel.common.CelOptions;
 import dev.cel.common.CelValidationException;
 import dev.cel.common.types.MapType;
@@ -14,17 +15,23 @@
 import java.util.Map;
 
 /**
- * A rule's condition in CEL, checked for its types when the bundle is checked. Only the has()
- * macro: no loops.
+ * The condition of a rule: an expression in CEL (Common Expression Language) over the properties of
+ * a live request. Types are checked when the configuration is validated. Of the macros only has()
+ * is available, so that an expression can't loop and its evaluation time is bounded by its length.
+ *
+ * <p>Immutable, safe for use by any thread.
  */
 final class RuleCondition {
-  static final int LENGTH_MOST = 500;
-  private static final int DEPTH_MOST = 32;
+  /** Length of the longest expression, in characters. */
+  static final int MAX_LENGTH = 500;
+
+  /** Nesting depth of the deepest expression: bounds the parser's stack. */
+  private static final int MAX_DEPTH = 32;
 
   private static final CelOptions OPTIONS =
       CelOptions.current()
-          .maxExpressionCodePointSize(LENGTH_MOST)
-          .maxParseRecursionDepth(DEPTH_MOST)
+          .maxExpressionCodePointSize(MAX_LENGTH)
+          .maxParseRecursionDepth(MAX_DEPTH)
           .comprehensionMaxIterations(0)
           .build();
   private static final CelCompiler COMPILER =
@@ -47,38 +54,40 @@
     this.program = program;
   }
 
-  /** The faults of an expression, each with its line and column; none if it is good. */
+  /** Returns the errors of an expression, each with its line and column; empty if it is valid. */
   static List<String> errorsOf(String text) {
     try {
       RUNTIME.createProgram(COMPILER.compile(text).getAst());
       return List.of();
-    } catch (CelValidationException fault) {
-      return fault.getErrors().stream()
-          .map(
-              each ->
-                  "line "
-                      + each.getSourceLocation().getLine()
-                      + ", column "
-                      + (each.getSourceLocation().getColumn() + 1)
-                      + ": "
-                      + each.getMessage())
-          .toList();
-    } catch (CelEvaluationException fault) {
+    } catch (CelValidationException invalid) {
+      return invalid.getErrors().stream().map(RuleCondition::describe).toList();
+    } catch (CelEvaluationException invalid) {
       return List.of("can not be evaluated");
     }
   }
 
+  private static String describe(CelIssue issue) {
+    int line = issue.getSourceLocation().getLine();
+    int column = issue.getSourceLocation().getColumn() + 1;
+    return "line " + line + ", column " + column + ": " + issue.getMessage();
+  }
+
+  /**
+   * Compiles an expression that {@link #errorsOf} found valid.
+   *
+   * @throws IllegalStateException if it is not valid
+   */
   static RuleCondition compile(String text) {
     try {
       return new RuleCondition(RUNTIME.createProgram(COMPILER.compile(text).getAst()));
-    } catch (CelValidationException | CelEvaluationException fault) {
-      throw new IllegalStateException("an unchecked expression", fault);
+    } catch (CelValidationException | CelEvaluationException invalid) {
+      throw new IllegalStateException("condition was not validated: " + text, invalid);
     }
   }
 
   /**
-   * An expression that fails on a request, such as by a header that is not there, does not hold for
-   * it.
+   * Returns whether the condition holds for a request. If its evaluation fails, for example as it
+   * reads a header that the request lacks, the condition does not hold.
    */
   boolean holds(CompiledRules.Subject subject) {
     try {
@@ -95,7 +104,7 @@
                   (long) subject.promptChars(),
                   "headers",
                   subject.headers())));
-    } catch (CelEvaluationException fault) {
+    } catch (CelEvaluationException failed) {
       return false;
     }
   }
