--- a/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ConstraintCheckerTest.java
@@ -16,11 +16,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The quick way to a checked bundle says yes only where the validator does. */
+/** {@link ConstraintChecker} passes only what the Bean Validation provider passes. */
 class ConstraintCheckerTest {
   private static final int ROUTES = 513;
 
-  static RoutingConfiguration bundle(int routes, String origin) {
+  static RoutingConfiguration configuration(int routes, String origin) {
     return new RoutingConfiguration(
         3,
         Map.of("main", new RoutingConfiguration.Pool(64, 4, 1.5, 8, 590, 357_257L)),
@@ -53,15 +53,17 @@
   }
 
   @Test
-  void passesWhatTheValidatorPasses() {
-    assertThat(ConstraintChecker.passes(bundle(ROUTES, "text"))).isTrue();
-    assertThat(ConfigurationValidator.validate(Json.bytes(bundle(ROUTES, "text"))).configuration())
-        .isEqualTo(bundle(ROUTES, "text"));
+  void passesAValidConfiguration() {
+    assertThat(ConstraintChecker.passes(configuration(ROUTES, "text"))).isTrue();
+    assertThat(
+            ConfigurationValidator.validate(Json.bytes(configuration(ROUTES, "text")))
+                .configuration())
+        .isEqualTo(configuration(ROUTES, "text"));
   }
 
   @Test
-  void eachBrokenConstraintIsLeftToTheValidatorAndNamed() {
-    Map<String, Object> broken =
+  void fallsBackToTheProviderForEachViolation() {
+    Map<String, Object> violations =
         Map.ofEntries(
             Map.entry("/number", 0),
             Map.entry("/pools", Map.of()),
@@ -79,9 +81,9 @@
             Map.entry("/limits/classes", Map.of()),
             Map.entry("/limits/batch/itemExpiryMs", 0),
             Map.entry("/clients/headBytesMost", -1));
-    broken.forEach(
+    violations.forEach(
         (path, value) -> {
-          ObjectNode tree = (ObjectNode) Json.tree(Json.bytes(bundle(2, null)));
+          ObjectNode tree = (ObjectNode) Json.tree(Json.bytes(configuration(2, null)));
           int at = path.lastIndexOf('/');
           var parent = tree.at(path.substring(0, at));
           ((ObjectNode) parent).set(path.substring(at + 1), Json.JSON.valueToTree(value));
@@ -94,53 +96,53 @@
   }
 
   @Test
-  void aNullInAListIsNoGoodElement() {
-    ObjectNode tree = (ObjectNode) Json.tree(Json.bytes(bundle(2, null)));
+  void rejectsANullElement() {
+    ObjectNode tree = (ObjectNode) Json.tree(Json.bytes(configuration(2, null)));
     tree.withArray("routes").setNull(1);
     assertThat(ConstraintChecker.passes(Json.read(Json.bytes(tree), RoutingConfiguration.class)))
         .isFalse();
   }
 
   @Test
-  void whatThisProgramWouldNotWriteIsReadFieldByField() {
-    String text = new String(Json.bytes(bundle(2, null)), UTF_8);
-    for (String faulty :
+  void comparesOtherEncodingsFieldByField() {
+    String text = new String(Json.bytes(configuration(2, null)), UTF_8);
+    for (String otherEncoding :
         List.of(
             text.replaceFirst("\"number\":3", "\"number\":3.0"),
             text.replaceFirst("\"attempts\":1,", ""),
             text.replaceFirst("\"sticky\":true", "\"sticky\":null"),
             text.replaceFirst("\\{", "{\"more\":1,"))) {
-      assertWithMessage(faulty)
-          .that(ConfigurationValidator.validate(faulty.getBytes(UTF_8)).error())
+      assertWithMessage(otherEncoding)
+          .that(ConfigurationValidator.validate(otherEncoding.getBytes(UTF_8)).error())
           .isInstanceOf(ApiError.InvalidConfiguration.class);
     }
   }
 
-  /** The text that an unsigned bundle was made from is as long as the bundle; no edge needs it. */
+  /** The origin of an unsigned configuration is as long as the rest, and no edge needs it. */
   @Test
-  void theFeedCarriesAnUnsignedBundleWithoutItsText() {
+  void theFeedOmitsTheOriginOfAnUnsignedConfiguration() {
     String origin = "x".repeat(150_000);
     byte[] event =
         Json.bytes(
             new SignedConfiguration(
                 3,
-                Json.bytes(bundle(ROUTES, origin)),
+                Json.bytes(configuration(ROUTES, origin)),
                 "",
                 new byte[0],
                 2L,
                 AcceptedRevisions.NONE.with(2, new byte[] {1})));
-    byte[] told = ConfigurationManager.forFeed(event);
-    assertThat(told.length).isLessThan(event.length / 2 + 8_000);
-    SignedConfiguration read = Json.read(told, SignedConfiguration.class);
+    byte[] distributed = ConfigurationManager.forFeed(event);
+    assertThat(distributed.length).isLessThan(event.length / 2 + 8_000);
+    SignedConfiguration read = Json.read(distributed, SignedConfiguration.class);
     assertThat(read.number()).isEqualTo(3);
     assertThat(read.accepted()).isNull();
     assertThat(ConfigurationValidator.readCommitted(read.bytes()).configuration())
-        .isEqualTo(bundle(ROUTES, null));
+        .isEqualTo(configuration(ROUTES, null));
   }
 
   @Test
-  void aSignedBundleStaysAsItWasSigned() {
-    byte[] bytes = Json.bytes(bundle(2, "text"));
+  void theFeedDoesNotModifyASignedConfiguration() {
+    byte[] bytes = Json.bytes(configuration(2, "text"));
     byte[] event = Json.bytes(new SignedConfiguration(3, bytes, "operator", new byte[64]));
     assertThat(Json.read(ConfigurationManager.forFeed(event), SignedConfiguration.class).bytes())
         .isEqualTo(bytes);
--- a/core-logic/src/test/java/applespindle/corelogic/api/ResponseTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/api/ResponseTest.java
@@ -8,11 +8,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
+/** Responses whose body is encoded, and their comparison with decoded ones. */
 class ResponseTest {
   private static final byte[] ENCODED = "{ \"total\": 1 }".getBytes(UTF_8);
 
   @Test
-  void anEncodedBodyIsPassedOnAsItCame() {
+  void forwardsAnEncodedBodyUnchanged() {
     Response response = Response.encoded(200, ENCODED, 7);
     assertThat(response.encodedBody()).isSameInstanceAs(ENCODED);
     assertThat(response.withStatus(412).withRetryAfterMs(0).encodedBody())
@@ -20,14 +21,14 @@
   }
 
   @Test
-  void aBodyThatWasLookedIntoIsEncodedAnew() {
+  void encodesABodyAgainAfterAccess() {
     Response response = Response.encoded(200, ENCODED, 0);
     ((ObjectNode) response.body()).put("total", 2);
     assertThat(Json.tree(response.encodedBody()).path("total").asInt()).isEqualTo(2);
   }
 
   @Test
-  void equalityIsThatOfTheDecodedBodies() {
+  void comparesDecodedBodies() {
     Response decoded = Response.of(200, JSON.createObjectNode().put("total", 1));
     assertThat(Response.encoded(200, ENCODED, 0)).isEqualTo(decoded);
     assertThat(Response.encoded(200, ENCODED, 0).hashCode()).isEqualTo(decoded.hashCode());
@@ -36,9 +37,9 @@
   }
 
   @Test
-  void theTypeOfAnEncodedFaultIsKnown() {
-    Response refusal = Response.of(new ApiError.NoConfiguration());
-    Response passedOn = Response.encoded(refusal.status(), refusal.encodedBody(), 0);
-    assertThat(passedOn.errorType()).isEqualTo("NoBundle");
+  void readsTheErrorTypeOfAnEncodedBody() {
+    Response rejection = Response.of(new ApiError.NoConfiguration());
+    Response forwarded = Response.encoded(rejection.status(), rejection.encodedBody(), 0);
+    assertThat(forwarded.errorType()).isEqualTo("NoBundle");
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
@@ -43,7 +43,7 @@
         });
   }
 
-  /** Compares field by field, as equality of records doesn't look into byte arrays. */
+  /** Compares field by field, as the equality of records compares byte arrays by identity. */
   public static void assertSame(String where, Object actual, Object expected) {
     if (expected instanceof Record) {
       assertWithMessage(where).that(actual).isNotNull();
@@ -71,8 +71,8 @@
       Method accessor = component.getAccessor();
       accessor.setAccessible(true);
       return accessor.invoke(value);
-    } catch (ReflectiveOperationException fault) {
-      throw new AssertionError(fault);
+    } catch (ReflectiveOperationException inaccessible) {
+      throw new AssertionError(inaccessible);
     }
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/common/JsonSizeObserverTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonSizeObserverTest.java
@@ -8,11 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which documents an observer is told of. */
 class JsonSizeObserverTest {
   private final List<Integer> sizes = new ArrayList<>();
 
   @Test
-  void hearsOfDocumentsReadAndWritten() {
+  void reportsDocumentsReadAndWritten() {
     JsonSizeObserver.observe(
         sizes::add,
         () -> {
@@ -23,14 +24,14 @@
   }
 
   @Test
-  void hearsNothingAfterTheTask() {
+  void reportsNothingAfterTheTask() {
     JsonSizeObserver.observe(sizes::add, () -> {});
     Json.bytes(List.of(1, 2));
     assertThat(sizes).isEmpty();
   }
 
   @Test
-  void hearsNothingAfterATaskThatFails() {
+  void reportsNothingAfterATaskThatThrows() {
     Runnable failing =
         () -> {
           throw new IllegalStateException("fails");
@@ -41,7 +42,7 @@
   }
 
   @Test
-  void hearsNothingOfOtherThreads() {
+  void reportsNothingOfOtherThreads() {
     Thread other = new Thread(() -> Json.bytes(List.of(1, 2)));
     JsonSizeObserver.observe(
         sizes::add,
--- a/core-logic/src/test/java/applespindle/corelogic/configuration/RouteTableTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RouteTableTest.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** How routes are looked up by host and path. */
 final class RouteTableTest {
   private static Route route(String name, String host, String prefix) {
     return new Route(
@@ -30,7 +31,7 @@
   }
 
   @Test
-  void theLongestPrefixOfTheHostIsTheRoute() {
+  void findsTheRouteWithTheLongestPrefix() {
     RouteTable table =
         RouteTable.compile(
             new RoutingConfiguration(
--- a/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/configuration/RoutingConfigurationTest.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Validation of a configuration, and the rules that are compiled from it. */
 class RoutingConfigurationTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       {"number": 3,
        "pools": {"main": {"prefixBlockChars": 64, "prefixBlocks": 4, "loadFactor": 1.5},
@@ -23,70 +24,73 @@
                             "cancelForLive": true, "itemExpiryMs": 1000}}}
       """;
 
-  private static final String QUEUE_LIMIT = "$.limits.classes.note.queueMost";
-
-  private static ConfigurationValidator.ValidationResult check(String text) {
+  private static ConfigurationValidator.ValidationResult validate(String text) {
     return ConfigurationValidator.validate(text.getBytes(UTF_8));
   }
 
-  private static void rejects(String text, String... paths) {
-    ApiError error = check(text).error();
+  private static void assertRejects(String text, String... paths) {
+    ApiError error = validate(text).error();
     assertThat(error).isInstanceOf(ApiError.InvalidConfiguration.class);
     assertThat(((ApiError.InvalidConfiguration) error).fields().stream().map(ApiError.Field::path))
         .containsExactlyElementsIn(List.of(paths));
   }
 
   @Test
-  void rulesRunInOrder() {
-    CompiledRules rules = CompiledRules.compile(check(GOOD).configuration());
-    var longOne = new CompiledRules.Subject(null, "authority", "", Map.of(), 101);
-    var shortOne = new CompiledRules.Subject(null, "authority", "", Map.of("x-kind", "short"), 100);
-    var neither = new CompiledRules.Subject(null, "other", "", Map.of(), 101);
-    assertThat(rules.run(longOne).pool()).isEqualTo("big");
-    assertThat(rules.run(shortOne).pool()).isEqualTo("main");
-    assertThat(rules.run(neither)).isNull();
+  void appliesTheFirstRuleThatMatches() {
+    CompiledRules rules = CompiledRules.compile(validate(VALID).configuration());
+    var longPrompt = new CompiledRules.Subject(null, "authority", "", Map.of(), 101);
+    var shortPrompt =
+        new CompiledRules.Subject(null, "authority", "", Map.of("x-kind", "short"), 100);
+    var unmatched = new CompiledRules.Subject(null, "other", "", Map.of(), 101);
+    assertThat(rules.run(longPrompt).pool()).isEqualTo("big");
+    assertThat(rules.run(shortPrompt).pool()).isEqualTo("main");
+    assertThat(rules.run(unmatched)).isNull();
   }
 
   @Test
-  void namesEveryFaultAtOnce() {
-    rejects("{", "$");
-    rejects(
-        GOOD.replace("\"number\": 3", "\"number\": 0, \"more\": 1")
+  void reportsEveryInvalidFieldAtOnce() {
+    assertRejects("{", "$");
+    assertRejects(
+        VALID
+            .replace("\"number\": 3", "\"number\": 0, \"more\": 1")
             .replace("\"retries\": 0}},", "\"retries\": \"x\"}},"),
         "$.more",
         "$.number",
         "$.rules[0].way.retries");
-    rejects(GOOD.replace("\"pool\": \"big\"", "\"pool\": \"none\""), "$.rules[0].way.pool");
+    assertRejects(VALID.replace("\"pool\": \"big\"", "\"pool\": \"none\""), "$.rules[0].way.pool");
   }
 
   @Test
   void reportsFieldsUnderTheirJsonNames() {
-    rejects(GOOD.replace("\"queueMost\": 5", "\"queueMost\": \"x\""), QUEUE_LIMIT);
-    rejects(
-        GOOD.replace("\"queueMost\": 5", "\"queueMost\": -1")
+    assertRejects(
+        VALID.replace("\"queueMost\": 5", "\"queueMost\": \"x\""),
+        "$.limits.classes.note.queueMost");
+    assertRejects(
+        VALID
+            .replace("\"queueMost\": 5", "\"queueMost\": -1")
             .replace("\"waitingItemsMost\": 10", "\"waitingItemsMost\": -1")
             .replace("\"expiryMs\": 1000, \"retries\": 0}},", "\"expiryMs\": 0, \"retries\": 0}},"),
         "$.limits.batch.waitingItemsMost",
         "$.limits.classes[note].queueMost",
         "$.rules[0].way.expiryMs");
-    rejects(
-        GOOD.replace("\"waitingItemsMost\"", "\"maxQueuedItems\""),
+    assertRejects(
+        VALID.replace("\"waitingItemsMost\"", "\"maxQueuedItems\""),
         "$.limits.batch.maxQueuedItems",
         "$.limits.batch.waitingItemsMost");
   }
 
   @Test
-  void namesThePositionOfAFaultyExpression() {
-    ApiError error = check(GOOD.replace("promptChars > 100", "promptChars > 'x'")).error();
+  void reportsThePositionOfAnErrorInACondition() {
+    ApiError error = validate(VALID.replace("promptChars > 100", "promptChars > 'x'")).error();
     ApiError.Field field = ((ApiError.InvalidConfiguration) error).fields().get(0);
     assertThat(field.path()).isEqualTo("$.rules[0].when");
     assertThat(field.reason()).startsWith("line 1, column 13: ");
-    assertThat(check(GOOD.replace("promptChars > 100", "[1].exists(x, x > 0)")).error().type())
+    assertThat(validate(VALID.replace("promptChars > 100", "[1].exists(x, x > 0)")).error().type())
         .isEqualTo("InvalidBundle");
   }
 
   @Test
-  void anUnknownSignerAndAWrongSignatureAreRefusedBeforeAnythingIsRead() {
+  void rejectsAnUnknownSignerBeforeParsing() {
     byte[] bytes = "not json".getBytes(UTF_8);
     assertThat(
             ConfigurationValidator.validate(bytes, "nobody", new byte[64], Map.of()).error().type())
