--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/FollowedMetadata.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/FollowedMetadata.java
@@ -2,6 +2,7 @@
 
 import applespindle.corelogic.changefeed.SharedMetadataDigest;
 import applespindle.corelogic.common.Json;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.metadata.EdgeList;
@@ -107,8 +108,8 @@
 
   /** A configuration that this version can't read leaves the present one in force. */
   private void updateConfiguration(SignedConfiguration signed) {
-    RoutingConfiguration.ValidationResult validated =
-        RoutingConfiguration.readCommitted(signed.bytes());
+    ConfigurationValidator.ValidationResult validated =
+        ConfigurationValidator.readCommitted(signed.bytes());
     if (validated.error() != null) {
       environment.log(
           LOG_PART,
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
@@ -184,7 +184,7 @@
           .put("items", accepted.items().size())
           .put(
               "ceiling",
-              configuration == null ? 0 : configuration.limits().batch().waitingItemsMost());
+              configuration == null ? 0 : configuration.limits().batch().maxQueuedItems());
     }
     long tokens =
         accepted.items().stream()
