--- a/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
@@ -36,7 +36,7 @@
     /**
      * Numbers of the reports that carried it: only an answer to one of these is an answer for it.
      */
-    private final Set<Long> carriedBy = new HashSet<>();
+    private final Set<Long> reportNumbers = new HashSet<>();
 
     private long sentAt = NEVER;
 
@@ -68,16 +68,16 @@
   final Map<Integer, ItemRun> running = new LinkedHashMap<>();
 
   /** By item: what earlier runs of an opaque item brought, which the next one goes on behind. */
-  final Map<Integer, StreamText> texts = new HashMap<>();
+  final Map<Integer, StreamText> partialStreams = new HashMap<>();
 
   /** By item: how often a run broke off without saying anything against the item. */
   private final Map<Integer, Integer> interruptions = new HashMap<>();
 
   /** By item: when it may run again. */
-  private final Map<Integer, Long> restsUntil = new HashMap<>();
+  private final Map<Integer, Long> retryAt = new HashMap<>();
 
   /** Items of the range without a finished run; the lowest is the range's offset. */
-  private final TreeSet<Integer> lacking = new TreeSet<>();
+  private final TreeSet<Integer> unfinished = new TreeSet<>();
 
   private final int end;
 
@@ -88,13 +88,13 @@
   private final TreeMap<Long, Long> reportsSentAt = new TreeMap<>();
 
   private long lastReport;
-  boolean givingBack;
+  boolean returning;
 
   /**
    * A report has said that nothing of the range runs here any more; it carried every outcome not
    * answered for.
    */
-  boolean handedBack;
+  boolean returnReported;
 
   /** The leader has taken the range away. */
   boolean dropped;
@@ -109,8 +109,8 @@
     this.assignedAt = now;
     this.leaseEndsAt = assignment.requestedAt() + BatchConstants.RANGE_LEASE_MS;
     unsent.addAll(assignment.items());
-    assignment.items().forEach(item -> lacking.add(item.index()));
-    this.end = lacking.isEmpty() ? 0 : lacking.last() + 1;
+    assignment.items().forEach(item -> unfinished.add(item.index()));
+    this.end = unfinished.isEmpty() ? 0 : unfinished.last() + 1;
   }
 
   /** One assignment of a range is held once; a later assignment has a higher epoch. */
@@ -136,43 +136,43 @@
   }
 
   /** The item needs no further run. */
-  void finished(int index) {
-    lacking.remove(index);
+  void markFinished(int index) {
+    unfinished.remove(index);
   }
 
   /** Lets an item rest after a run that broke off, longer each time. */
-  void interrupted(int index, long now) {
+  void backOff(int index, long now) {
     int times = interruptions.merge(index, 1, Integer::sum);
     long restMs =
         Math.min(
             BatchConstants.MAX_ITEM_RETRY_BACKOFF_MS,
             BatchConstants.ITEM_RETRY_BACKOFF_MS << Math.min(times - 1, 10));
-    restsUntil.put(index, now + restMs);
+    retryAt.put(index, now + restMs);
   }
 
-  boolean rests(int index, long now) {
-    return restsUntil.getOrDefault(index, Long.MIN_VALUE) > now;
+  boolean isBackingOff(int index, long now) {
+    return retryAt.getOrDefault(index, Long.MIN_VALUE) > now;
   }
 
   /** Puts the item back in front of its range, unless the range is on its way out. */
-  void putBack(ItemRun run) {
-    if (run.text != null) {
-      texts.put(run.item.index(), run.text);
+  void requeue(ItemRun run) {
+    if (run.stream != null) {
+      partialStreams.put(run.item.index(), run.stream);
     }
-    if (!dropped && !givingBack) {
+    if (!dropped && !returning) {
       unsent.addFirst(run.item);
     }
   }
 
   /** A new leader has none of the reports: outcomes are sent at once again. */
-  void moveTo(NodeAddress next) {
+  void changeLeader(NodeAddress next) {
     leader = next;
     unanswered.forEach(outcome -> outcome.sentAt = NEVER);
   }
 
   /** Takes in the leader's answer to a report. */
-  void answered(long reportNumber, boolean keep) {
-    unanswered.removeIf(outcome -> outcome.carriedBy.contains(reportNumber));
+  void handleReportAnswered(long reportNumber, boolean keep) {
+    unanswered.removeIf(outcome -> outcome.reportNumbers.contains(reportNumber));
     Long sentAt = reportsSentAt.get(reportNumber);
     reportsSentAt.headMap(reportNumber, true).clear();
     if (!keep) {
@@ -183,7 +183,7 @@
   }
 
   /** The number of a report that is sent now. */
-  long nextReport(long now) {
+  long nextReportNumber(long now) {
     long report = ++lastReport;
     reportsSentAt.put(report, now);
     if (reportsSentAt.size() > REPORTS_REMEMBERED) {
@@ -201,12 +201,12 @@
    * What is new, and what should have been answered by now; all of it when the range is handed
    * back.
    */
-  List<ItemOutcome> carry(long report, boolean all, long now) {
+  List<ItemOutcome> takeOutcomesDue(long report, boolean all, long now) {
     List<ItemOutcome> carried = new ArrayList<>();
     for (Outcome outcome : unanswered) {
       if (all || now - outcome.sentAt >= BatchConstants.RESULT_RESEND_MS) {
         outcome.sentAt = now;
-        outcome.carriedBy.add(report);
+        outcome.reportNumbers.add(report);
         carried.add(outcome.item);
       }
     }
@@ -218,9 +218,9 @@
    * offset counts only what this one carries.
    */
   int offset(long report) {
-    int offset = lacking.isEmpty() ? end : lacking.first();
+    int offset = unfinished.isEmpty() ? end : unfinished.first();
     for (Outcome outcome : unanswered) {
-      if (!outcome.carriedBy.contains(report)) {
+      if (!outcome.reportNumbers.contains(report)) {
         offset = Math.min(offset, outcome.item.index());
       }
     }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -26,7 +26,7 @@
  * range when its buffer for a worker runs empty, streams the items in order, and moves on only from
  * what the leader has recorded.
  */
-public final class BatchDispatcher implements ItemRunner.RangeSource {
+public final class BatchDispatcher implements ItemRunner.DispatchTrigger {
   /** What the feeder needs of the edge it lives on. */
   public interface Context {
     void send(String toAddress, String toId, Message message);
@@ -47,26 +47,26 @@
   private final Environment environment;
   private final Context edge;
   private final WorkerRegistry registry;
-  private final RangeRequester puller;
+  private final RangeRequester rangeRequester;
   private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
   private final ItemRunner runner;
 
   /** By batch, range and epoch: one assignment is held once. */
-  private final Map<String, AssignedRange> held = new LinkedHashMap<>();
+  private final Map<String, AssignedRange> assignedRanges = new LinkedHashMap<>();
 
   /** By worker: since when it has had no room for a further item. */
   private final Map<String, Long> fullSince = new HashMap<>();
 
-  private boolean looksAgain;
+  private boolean recheckScheduled;
 
   public BatchDispatcher(
       Environment environment, String nodeId, Context edge, WorkerRegistry registry) {
     this.environment = environment;
     this.edge = edge;
     this.registry = registry;
-    this.puller = new RangeRequester(environment, edge);
-    this.capacity = new WorkerBatchCapacity(environment, edge, registry, this::starting);
+    this.rangeRequester = new RangeRequester(environment, edge);
+    this.capacity = new WorkerBatchCapacity(environment, edge, registry, this::countStartingRuns);
     this.reporter = new RangeReporter(environment, edge);
     this.runner = new ItemRunner(environment, nodeId, edge, registry, capacity, reporter, this);
   }
@@ -76,47 +76,47 @@
   public void handleOffer(BatchOffer offer, String fromId, String fromAddress) {
     leaderMoved(offer.batch(), fromId, fromAddress);
     if (offer.unassignedRanges() > 0) {
-      puller.offered(offer, new NodeAddress(fromId, fromAddress));
-      pump();
+      rangeRequester.recordOffer(offer, new NodeAddress(fromId, fromAddress));
+      dispatch();
     }
   }
 
   public void leaderMoved(String batch, String leaderId, String leaderAddress) {
     NodeAddress leader = new NodeAddress(leaderId, leaderAddress);
-    held.values().stream()
+    assignedRanges.values().stream()
         .filter(range -> range.batch.equals(batch) && !range.leader.equals(leader))
-        .forEach(range -> range.moveTo(leader));
+        .forEach(range -> range.changeLeader(leader));
   }
 
   public void handleAssignment(RangeAssignment assignment, String fromId, String fromAddress) {
-    puller.answered(assignment.batch(), assignment.worker());
+    rangeRequester.requestAnswered(assignment.batch(), assignment.worker());
     if (assignment.none()) {
-      puller.exhausted(assignment.batch());
+      rangeRequester.exhausted(assignment.batch());
     } else {
       NodeAddress leader = new NodeAddress(fromId, fromAddress);
       AssignedRange range = new AssignedRange(assignment, leader, environment.nowMs());
-      held.put(range.name(), range);
+      assignedRanges.put(range.name(), range);
     }
-    pump();
+    dispatch();
   }
 
   public void handleReportResponse(RangeReportResponse answer) {
     AssignedRange range =
-        held.get(AssignedRange.name(answer.batch(), answer.range(), answer.rangeEpoch()));
+        assignedRanges.get(AssignedRange.name(answer.batch(), answer.range(), answer.rangeEpoch()));
     if (range == null) {
       return;
     }
-    range.answered(answer.reportNumber(), answer.keepLease());
+    range.handleReportAnswered(answer.reportNumber(), answer.keepLease());
     forgetIfDone(range);
-    pump();
+    dispatch();
   }
 
   public void batchEnded(String batch) {
-    puller.exhausted(batch);
-    List.copyOf(held.values()).stream()
+    rangeRequester.exhausted(batch);
+    List.copyOf(assignedRanges.values()).stream()
         .filter(range -> range.batch.equals(batch))
         .forEach(this::end);
-    pump();
+    dispatch();
   }
 
   private void end(AssignedRange range) {
@@ -128,44 +128,44 @@
 
   private void forgetIfDone(AssignedRange range) {
     if (range.isDone()) {
-      held.remove(range.name());
+      assignedRanges.remove(range.name());
     }
   }
 
   // ---- feeding
 
   @Override
-  public void pump() {
+  public void dispatch() {
     for (WorkerState worker : List.copyOf(registry.all())) {
-      pump(worker);
+      dispatch(worker);
     }
   }
 
   @Override
-  public void pump(WorkerState worker) {
+  public void dispatch(WorkerState worker) {
     String workerId = worker.worker.id();
     boolean feeds = edge.dispatchesTo(workerId) && !edge.isStopping();
-    DeadlineOrder order = new DeadlineOrder(environment.nowMs(), capacity.itemMs());
+    DeadlineOrder order = new DeadlineOrder(environment.nowMs(), capacity.itemDurationMs());
     List<AssignedRange> ranges = rangesAt(workerId, order);
     if (!feeds
         || !registry.comesBackBy(
             worker, environment.nowMs() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
-      ranges.forEach(reporter::giveBack);
-      capacity.feedsNoMore(workerId);
+      ranges.forEach(reporter::returnRange);
+      capacity.clearDispatching(workerId);
       return;
     }
-    capacity.feeds(workerId);
+    capacity.markDispatching(workerId);
     int free = capacity.free(worker);
-    makeRoomForLive(worker, free);
+    cancelForLiveRequests(worker, free);
     free = sendItems(ranges, worker, free);
-    giveBackIfLongFull(ranges, workerId, free);
+    returnRangesIfLongFull(ranges, workerId, free);
     int unsent = ranges.stream().mapToInt(range -> range.unsent.size()).sum();
     int ahead = free > 0 ? BatchConstants.PREFETCH_RANGES * BatchConstants.ITEMS_PER_RANGE : 0;
-    puller.pull(worker.worker, free + ahead - unsent, order);
+    rangeRequester.requestRanges(worker.worker, free + ahead - unsent, order);
   }
 
   private List<AssignedRange> rangesAt(String workerId, DeadlineOrder order) {
-    return held.values().stream()
+    return assignedRanges.values().stream()
         .filter(range -> range.worker.equals(workerId))
         .sorted((one, other) -> order.compare(one.dueAt, other.dueAt))
         .toList();
@@ -187,13 +187,13 @@
         return freeNow;
       }
       AssignedItem item = range.unsent.peek();
-      if (capacity.hasMuchToRead(worker)) {
-        lookAgain();
+      if (capacity.hasPromptBacklog(worker)) {
+        scheduleRecheck();
         return freeNow;
       }
-      if (range.rests(item.index(), environment.nowMs())) {
+      if (range.isBackingOff(item.index(), environment.nowMs())) {
         range.unsent.add(range.unsent.poll());
-      } else if (runner.begin(range, worker)) {
+      } else if (runner.start(range, worker)) {
         freeNow--;
         fullSince.remove(worker.worker.id());
       } else {
@@ -203,20 +203,20 @@
     return freeNow;
   }
 
-  private void lookAgain() {
-    if (!looksAgain) {
-      looksAgain = true;
+  private void scheduleRecheck() {
+    if (!recheckScheduled) {
+      recheckScheduled = true;
       environment.schedule(
           BatchConstants.ITEM_CHECK_INTERVAL_MS,
           () -> {
-            looksAgain = false;
-            pump();
+            recheckScheduled = false;
+            dispatch();
           });
     }
   }
 
   /** A worker that stays full keeps no unsent items, which another may run sooner. */
-  private void giveBackIfLongFull(List<AssignedRange> ranges, String workerId, int free) {
+  private void returnRangesIfLongFull(List<AssignedRange> ranges, String workerId, int free) {
     if (free > 0) {
       fullSince.remove(workerId);
       return;
@@ -224,7 +224,7 @@
     long now = environment.nowMs();
     long since = fullSince.computeIfAbsent(workerId, unseen -> now);
     if (now - since > BatchConstants.RANGE_LEASE_MS) {
-      ranges.stream().filter(range -> !range.unsent.isEmpty()).forEach(reporter::giveBack);
+      ranges.stream().filter(range -> !range.unsent.isEmpty()).forEach(reporter::returnRange);
     }
   }
 
@@ -232,7 +232,7 @@
    * Live traffic needs the room: the newest items go back to the front of their ranges; their
    * partial output is dropped.
    */
-  private void makeRoomForLive(WorkerState worker, int free) {
+  private void cancelForLiveRequests(WorkerState worker, int free) {
     if (worker.worker.slots() != 0 || worker.free() > 0 || free >= 0) {
       return;
     }
@@ -244,7 +244,7 @@
 
   private void cancelNewest(WorkerState worker, int number) {
     List<ItemRun> newestFirst = new ArrayList<>();
-    held.values().stream()
+    assignedRanges.values().stream()
         .filter(range -> range.worker.equals(worker.worker.id()))
         .forEach(range -> newestFirst.addAll(range.running.values()));
     Collections.reverse(newestFirst);
@@ -253,14 +253,14 @@
         .forEach(
             run -> {
               runner.cancel(run);
-              run.range.putBack(run);
+              run.range.requeue(run);
             });
   }
 
   /** Runs of opaque items at a worker from which nothing has come yet. */
-  private int starting(WorkerState worker) {
+  private int countStartingRuns(WorkerState worker) {
     int starting = 0;
-    for (AssignedRange range : held.values()) {
+    for (AssignedRange range : assignedRanges.values()) {
       if (range.worker.equals(worker.worker.id())) {
         for (ItemRun run : range.running.values()) {
           starting += run.status == 0 ? 1 : 0;
@@ -276,25 +276,25 @@
    * Reports again and again: it renews the range's lease and carries what was not answered in time.
    */
   public void tick() {
-    giveUpLostRuns();
-    List.copyOf(held.values()).stream()
+    failLostRuns();
+    List.copyOf(assignedRanges.values()).stream()
         .filter(range -> registry.get(range.worker) == null)
-        .forEach(reporter::giveBack);
+        .forEach(reporter::returnRange);
     long now = environment.nowMs();
-    for (AssignedRange range : List.copyOf(held.values())) {
+    for (AssignedRange range : List.copyOf(assignedRanges.values())) {
       if (range.isReportDue(now)) {
         reporter.report(range);
       }
       if (isLapsed(range, now)) {
-        held.remove(range.name());
+        assignedRanges.remove(range.name());
       }
     }
-    pump();
+    dispatch();
   }
 
-  private void giveUpLostRuns() {
-    for (AssignedRange range : List.copyOf(held.values())) {
-      List.copyOf(range.running.values()).forEach(runner::giveUpIfLost);
+  private void failLostRuns() {
+    for (AssignedRange range : List.copyOf(assignedRanges.values())) {
+      List.copyOf(range.running.values()).forEach(runner::failIfLost);
     }
   }
 
@@ -311,16 +311,16 @@
    * unanswered.
    */
   public boolean drain() {
-    List.copyOf(held.values()).forEach(reporter::giveBack);
-    return held.values().stream()
+    List.copyOf(assignedRanges.values()).forEach(reporter::returnRange);
+    return assignedRanges.values().stream()
         .allMatch(range -> range.running.isEmpty() && range.unanswered.isEmpty());
   }
 
   public int heldRanges() {
-    return held.size();
+    return assignedRanges.size();
   }
 
   public int runningItems() {
-    return held.values().stream().mapToInt(range -> range.running.size()).sum();
+    return assignedRanges.values().stream().mapToInt(range -> range.running.size()).sum();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
@@ -5,6 +5,8 @@
 import applespindle.corelogic.log.DeflatedEvents;
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import com.fasterxml.jackson.annotation.JsonInclude;
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -17,7 +19,7 @@
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 @JsonIgnoreProperties(ignoreUnknown = true)
-@com.fasterxml.jackson.annotation.JsonPropertyOrder({"kind"})
+@JsonPropertyOrder({"kind"})
 public record BatchEvent(
     String kind,
     Long ageMs,
@@ -47,16 +49,22 @@
       long dueInMs,
       long expiresInMs,
       List<JsonNode> items,
-      ProxiedRoute opaque) {}
+      @JsonProperty("opaque") ProxiedRoute proxiedRoute) {}
 
   /**
    * Where the items of an opaque batch go, with what the route of the bundle of that number said at
    * the acceptance.
    */
   public record ProxiedRoute(
-      String host, String path, String route, long bundleNumber, int attempts, long ceiling) {}
+      String host,
+      String path,
+      String route,
+      @JsonProperty("bundleNumber") long configurationNumber,
+      int attempts,
+      @JsonProperty("ceiling") long maxWaitingTokens) {}
 
-  record Assigned(int range, long rangeEpoch, String feeder, String worker) {}
+  record Assigned(
+      int range, long rangeEpoch, @JsonProperty("feeder") String dispatcher, String worker) {}
 
   public record Recorded(
       int range, long rangeEpoch, List<Result> results, List<Attempt> attempts) {}
@@ -67,13 +75,18 @@
   /** One item's lasting result; an empty fault means that output is whole. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   public record Result(
-      int index, String run, String worker, String finishReason, String fault, String output) {}
+      int index,
+      String run,
+      String worker,
+      String finishReason,
+      @JsonProperty("fault") String errorType,
+      String output) {}
 
   /**
    * A run of an item that failed in a way that another run may mend; fault is the name of a fault
    * type.
    */
-  record Attempt(int index, String run, String fault) {}
+  record Attempt(int index, String run, @JsonProperty("fault") String errorType) {}
 
   static BatchEvent accepted(Accepted accepted) {
     return new BatchEvent(ACCEPTED, 0L, accepted, null, null, null, null, null);
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -209,7 +209,7 @@
   }
 
   private void checkAcceptedOnce() {
-    if (batchState.acceptedAgain) {
+    if (batchState.acceptedTwice) {
       edge.reportViolation(Invariant.BATCH_ACCEPTED_ONCE, batch);
     }
   }
@@ -231,7 +231,8 @@
                       ? unknown(error)
                       : batchState.accepted == null
                           ? Response.of(new ApiError.OutcomeUnknown(batch))
-                          : SubmissionReader.differ(batchState.accepted.digest(), accepted.digest())
+                          : SubmissionReader.haveDifferentContents(
+                                  batchState.accepted.digest(), accepted.digest())
                               ? Response.of(new ApiError.IdempotencyKeyConflict(batch))
                               : Response.of(201, summary())));
       return;
@@ -414,7 +415,7 @@
       }
       rows.addObject()
           .put("id", batchState.accepted.items().get(result.index()).path("id").asText())
-          .put("state", result.fault() == null ? "complete" : "expired")
+          .put("state", result.errorType() == null ? "complete" : "expired")
           .put("output", output);
     }
     return page.put("next", number);
@@ -443,7 +444,7 @@
 
   private ObjectNode summary() {
     ObjectNode summary = JSON.createObjectNode();
-    long failed = batchState.results.stream().filter(result -> result.fault() != null).count();
+    long failed = batchState.results.stream().filter(result -> result.errorType() != null).count();
     return summary
         .put("batch", batch)
         .put("state", batchState.state())
@@ -464,11 +465,11 @@
           rows.addObject()
               .put("n", number + 1)
               .put("id", item.path("id").asText())
-              .put("type", result.fault() == null ? "succeeded" : "failed");
-      if (result.fault() == null) {
+              .put("type", result.errorType() == null ? "succeeded" : "failed");
+      if (result.errorType() == null) {
         row.put("output", result.output()).put("finish_reason", result.finishReason());
       } else {
-        row.put("fault", result.fault());
+        row.put("fault", result.errorType());
       }
       row.put("run", result.run()).put("worker", result.worker());
     }
@@ -533,7 +534,7 @@
 
   private byte[] handedItem(int index) {
     JsonNode item = batchState.accepted.items().get(index);
-    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
+    ProxiedRoute proxiedRoute = batchState.accepted.proxiedRoute();
     ItemOutcome part = partsOfStreams.get(index);
     return Json.bytes(
         proxiedRoute == null
@@ -630,7 +631,7 @@
           || itemsBeingRecorded.contains(item.index())) {
         continue;
       }
-      if (batchState.accepted.opaque() != null && item.faultType().equals(PART)) {
+      if (batchState.accepted.proxiedRoute() != null && item.faultType().equals(PART)) {
         partsOfStreams.merge(
             item.index(),
             item,
@@ -663,7 +664,7 @@
    * taken with.
    */
   private int attemptsMost() {
-    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
+    ProxiedRoute proxiedRoute = batchState.accepted.proxiedRoute();
     if (proxiedRoute == null) {
       return BatchConstants.MAX_ITEM_ATTEMPTS;
     }
@@ -673,7 +674,8 @@
 
   private RoutingConfiguration.Route route() {
     return edge.routes()
-        .findBatch(batchState.accepted.opaque().host(), batchState.accepted.opaque().path());
+        .findBatch(
+            batchState.accepted.proxiedRoute().host(), batchState.accepted.proxiedRoute().path());
   }
 
   /**
@@ -681,12 +683,12 @@
    * a while. Older news, as an edge may have that takes the batch over, proves nothing.
    */
   private boolean routeless() {
-    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
+    ProxiedRoute proxiedRoute = batchState.accepted.proxiedRoute();
     RoutingConfiguration configuration = edge.configuration();
     boolean gone =
         proxiedRoute != null
             && configuration != null
-            && configuration.number() >= proxiedRoute.bundleNumber()
+            && configuration.number() >= proxiedRoute.configurationNumber()
             && edge.isMetadataFresh()
             && route() == null;
     routelessSince = gone ? Math.min(routelessSince, environment.nowMs()) : Long.MAX_VALUE;
@@ -776,7 +778,7 @@
   }
 
   private BatchOffer workOffer(int unassigned) {
-    ProxiedRoute proxiedRoute = batchState.accepted.opaque();
+    ProxiedRoute proxiedRoute = batchState.accepted.proxiedRoute();
     return new BatchOffer(
         batch,
         dueInMs(),
@@ -805,7 +807,7 @@
     long waiting = batchState.remainingCapacity();
     boolean scarce =
         batchState.accepted == null
-            || batchState.accepted.opaque() == null
+            || batchState.accepted.proxiedRoute() == null
             || roomTaken > BatchConstants.CAPACITY_SCARCE_SHARE;
     if ((waiting != lastReportedRoom || waiting == 0)
         && batchState.accepted != null
@@ -821,8 +823,8 @@
   }
 
   private void roomToldOf(long waitingInAll) {
-    if (batchState.accepted != null && batchState.accepted.opaque() != null) {
-      long ceiling = batchState.accepted.opaque().ceiling();
+    if (batchState.accepted != null && batchState.accepted.proxiedRoute() != null) {
+      long ceiling = batchState.accepted.proxiedRoute().maxWaitingTokens();
       roomTaken = ceiling == 0 ? 0 : waitingInAll / (double) ceiling;
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
@@ -31,7 +31,7 @@
      */
     long epoch;
 
-    String feeder = "";
+    String dispatcher = "";
 
     /** Items from first up to here all have results. Never falls. */
     int offset;
@@ -45,7 +45,7 @@
   public Accepted accepted;
 
   /** The log accepted the batch once more while it stood accepted: a defect. */
-  boolean acceptedAgain;
+  boolean acceptedTwice;
 
   boolean refused;
   boolean ended;
@@ -66,14 +66,14 @@
   public final List<Result> results = new ArrayList<>();
 
   /** By item: the first committed result, later ones are dropped. */
-  private Result[] byItem = new Result[0];
+  private Result[] resultByItem = new Result[0];
 
   private int[] attempts = new int[0];
 
   /** What each item takes of the room for waiting work: its tokens if it is opaque, else one. */
-  private long[] shares = new long[0];
+  private long[] capacityByItem = new long[0];
 
-  private long waitingRoom;
+  private long remainingCapacity;
 
   /** Each failed run counts once, however often it is reported. */
   private final Set<String> failedRuns = new HashSet<>();
@@ -94,7 +94,7 @@
         Range range = ranges.get(event.assigned().range());
         range.state = RangeState.ASSIGNED;
         range.epoch = event.assigned().rangeEpoch();
-        range.feeder = event.assigned().feeder();
+        range.dispatcher = event.assigned().dispatcher();
         highestRangeEpoch = Math.max(highestRangeEpoch, range.epoch);
       }
       case BatchEvent.RECORDED -> record(event.recorded());
@@ -117,20 +117,21 @@
   }
 
   private void accept(Accepted event) {
-    acceptedAgain |= accepted != null;
+    acceptedTwice |= accepted != null;
     if (accepted == null) {
       ended = false;
       finished = false;
       accepted = event;
       refused = false;
-      byItem = new Result[event.items().size()];
+      resultByItem = new Result[event.items().size()];
       attempts = new int[event.items().size()];
-      shares =
+      capacityByItem =
           event.items().stream()
               .mapToLong(
-                  item -> event.opaque() == null ? 1 : Math.max(1, item.path("tokens").asLong()))
+                  item ->
+                      event.proxiedRoute() == null ? 1 : Math.max(1, item.path("tokens").asLong()))
               .toArray();
-      waitingRoom = LongStream.of(shares).sum();
+      remainingCapacity = LongStream.of(capacityByItem).sum();
     }
   }
 
@@ -150,9 +151,9 @@
       return;
     }
     for (Result result : event.results()) {
-      if (byItem[result.index()] == null) {
-        byItem[result.index()] = result;
-        waitingRoom -= shares[result.index()];
+      if (resultByItem[result.index()] == null) {
+        resultByItem[result.index()] = result;
+        remainingCapacity -= capacityByItem[result.index()];
         results.add(result);
       }
     }
@@ -162,7 +163,7 @@
       }
     }
     for (Range range : ranges) {
-      while (range.offset < range.length && byItem[range.first + range.offset] != null) {
+      while (range.offset < range.length && resultByItem[range.first + range.offset] != null) {
         range.offset++;
       }
       if (range.offset == range.length) {
@@ -172,7 +173,7 @@
   }
 
   boolean hasResult(int item) {
-    return byItem[item] != null;
+    return resultByItem[item] != null;
   }
 
   boolean hasFailed(String run) {
@@ -184,16 +185,16 @@
   }
 
   public int items() {
-    return byItem.length;
+    return resultByItem.length;
   }
 
   int unfinishedItems() {
-    return accepted == null || ended ? 0 : byItem.length - results.size();
+    return accepted == null || ended ? 0 : resultByItem.length - results.size();
   }
 
   /** Of the room for waiting work, what this batch still takes. */
   long remainingCapacity() {
-    return accepted == null || ended ? 0 : waitingRoom;
+    return accepted == null || ended ? 0 : remainingCapacity;
   }
 
   public boolean isOpen() {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchSubmission.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchSubmission.java
@@ -24,7 +24,7 @@
   }
 
   /** A submission on its way to the leader, with the configuration its sender works by. */
-  public record Forwarded(BatchSubmission submission, long bundleNumber) {
+  public record Forwarded(BatchSubmission submission, long configurationNumber) {
     public byte[] encode() {
       byte[] id = bytes(submission.id);
       byte[] host = bytes(submission.host);
@@ -38,7 +38,7 @@
               + path.length
               + submission.body.length;
       ByteBuffer out = ByteBuffer.allocate(size);
-      out.put(ENCODED).putLong(bundleNumber);
+      out.put(ENCODED).putLong(configurationNumber);
       putText(out, id);
       putText(out, host);
       putText(out, path);
--- a/core-logic/src/main/java/applespindle/corelogic/batch/DeadlineOrder.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/DeadlineOrder.java
@@ -9,19 +9,19 @@
  * work comes.
  *
  * @param now on the node's clock, in milliseconds
- * @param itemMs how long an item takes
+ * @param itemDurationMs how long an item takes
  */
-record DeadlineOrder(long now, long itemMs) {
-  boolean canBeInTime(long dueAt) {
-    return now + itemMs <= dueAt;
+record DeadlineOrder(long now, long itemDurationMs) {
+  boolean canMeetDeadline(long dueAt) {
+    return now + itemDurationMs <= dueAt;
   }
 
   /** Late work counts as due later by {@link BatchConstants#LATE_ITEM_DEFERRAL_MS}. */
-  private long servedAsDueAt(long dueAt) {
-    return canBeInTime(dueAt) ? dueAt : dueAt + BatchConstants.LATE_ITEM_DEFERRAL_MS;
+  private long effectiveDueAt(long dueAt) {
+    return canMeetDeadline(dueAt) ? dueAt : dueAt + BatchConstants.LATE_ITEM_DEFERRAL_MS;
   }
 
   int compare(long oneDueAt, long otherDueAt) {
-    return Long.compare(servedAsDueAt(oneDueAt), servedAsDueAt(otherDueAt));
+    return Long.compare(effectiveDueAt(oneDueAt), effectiveDueAt(otherDueAt));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -21,7 +21,7 @@
   final StringBuilder output = new StringBuilder();
 
   /** Of an opaque item: its stream so far, earlier runs included; null of a prompt. */
-  StreamText text;
+  StreamText stream;
 
   /** Of an opaque item; null of a prompt. */
   Route route;
@@ -30,15 +30,15 @@
   int status;
 
   /** The response is an event stream, and nothing else. */
-  boolean streams;
+  boolean isEventStream;
 
   WorkerCallHandle exchange = () -> {};
-  long lastTextAt;
+  long lastActivityAt;
 
   /** Prompt tokens the worker still reads for it, as far as is known. */
-  double reading;
+  double unreadPromptTokens;
 
-  boolean over;
+  boolean ended;
 
   ItemRun(AssignedRange range, AssignedItem item, String id, WorkerState worker, long now) {
     this.range = range;
@@ -46,11 +46,11 @@
     this.id = id;
     this.worker = worker;
     this.sentAt = now;
-    this.lastTextAt = now;
+    this.lastActivityAt = now;
   }
 
-  boolean isOpaque() {
-    return text != null;
+  boolean isProxied() {
+    return stream != null;
   }
 
   boolean succeeds() {
@@ -58,8 +58,8 @@
   }
 
   /** The worker has begun to answer, so it has read the whole prompt. */
-  void hasRead() {
-    worker.unreadPromptTokens -= reading;
-    reading = 0;
+  void clearUnreadPrompt() {
+    worker.unreadPromptTokens -= unreadPromptTokens;
+    unreadPromptTokens = 0;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -30,10 +30,10 @@
  */
 final class ItemRunner {
   /** Looks for further work once a run has made room. */
-  interface RangeSource {
-    void pump();
+  interface DispatchTrigger {
+    void dispatch();
 
-    void pump(WorkerState worker);
+    void dispatch(WorkerState worker);
   }
 
   private final Environment environment;
@@ -42,7 +42,7 @@
   private final WorkerRegistry registry;
   private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
-  private final RangeSource feeding;
+  private final DispatchTrigger dispatchTrigger;
   private long runs;
 
   ItemRunner(
@@ -52,14 +52,14 @@
       WorkerRegistry registry,
       WorkerBatchCapacity capacity,
       RangeReporter reporter,
-      RangeSource feeding) {
+      DispatchTrigger feeding) {
     this.environment = environment;
     this.nodeId = nodeId;
     this.edge = edge;
     this.registry = registry;
     this.capacity = capacity;
     this.reporter = reporter;
-    this.feeding = feeding;
+    this.dispatchTrigger = feeding;
   }
 
   // ---- sending
@@ -68,8 +68,8 @@
    * Sends the range's next item; false if it may not be sent. The range's lease, the age of what
    * this node knows and the worker's state are checked here, right before the item is sent.
    */
-  boolean begin(AssignedRange range, WorkerState worker) {
-    if (range.givingBack
+  boolean start(AssignedRange range, WorkerState worker) {
+    if (range.returning
         || range.dropped
         || environment.nowMs() >= range.leaseEndsAt
         || edge.rejectionOfNewWork() != null
@@ -82,21 +82,21 @@
         body.has("path") ? JSON.convertValue(body, ProxiedItemAssignment.class) : null;
     Route route = opaque == null ? null : edge.routes().findBatch(opaque.host(), opaque.path());
     if (opaque != null && (route == null || !route.sendsTo(worker.worker.pool()))) {
-      reporter.giveBack(range);
+      reporter.returnRange(range);
       return false;
     }
     range.unsent.poll();
     ItemRun run = new ItemRun(range, item, nodeId + "-" + ++runs, worker, environment.nowMs());
     range.running.put(item.index(), run);
     if (opaque != null) {
-      run.reading = opaque.item().tokens() * BatchConstants.MAX_UNREAD_PROMPT_SHARE;
-      worker.unreadPromptTokens += run.reading;
+      run.unreadPromptTokens = opaque.item().tokens() * BatchConstants.MAX_UNREAD_PROMPT_SHARE;
+      worker.unreadPromptTokens += run.unreadPromptTokens;
     }
     registry.recordCallStart(worker, true);
     if (opaque == null) {
       sendPrompt(run, body);
     } else {
-      sendOpaque(run, opaque, route);
+      sendProxied(run, opaque, route);
     }
     return true;
   }
@@ -119,12 +119,12 @@
             new PromptListener(run));
   }
 
-  private void sendOpaque(ItemRun run, ProxiedItemAssignment assignment, Route route) {
-    StreamText earlier = run.range.texts.remove(run.item.index());
+  private void sendProxied(ItemRun run, ProxiedItemAssignment assignment, Route route) {
+    StreamText earlier = run.range.partialStreams.remove(run.item.index());
     if (earlier == null) {
       earlier = new StreamText(assignment.resumeAfter(), assignment.text());
     }
-    run.text = earlier.resumeAfter().isEmpty() ? new StreamText() : earlier;
+    run.stream = earlier.resumeAfter().isEmpty() ? new StreamText() : earlier;
     run.route = route;
     ProxiedBatch.Item item = assignment.item();
     long timeoutMs =
@@ -151,43 +151,43 @@
                 request,
                 Math.max(1, route.rank()),
                 timeoutMs,
-                run.text.resumeAfter()),
-            new OpaqueListener(run));
+                run.stream.resumeAfter()),
+            new ProxiedListener(run));
   }
 
   // ---- listening
 
-  private final class OpaqueListener implements ExchangeListener {
+  private final class ProxiedListener implements ExchangeListener {
     private final ItemRun run;
 
-    OpaqueListener(ItemRun run) {
+    ProxiedListener(ItemRun run) {
       this.run = run;
     }
 
     @Override
     public void head(ResponseHead head) {
-      heard(run);
+      recordActivity(run);
       boolean first = run.status == 0;
       run.status = head.status();
-      run.streams = streams(head);
+      run.isEventStream = isEventStream(head);
       if (first && run.succeeds()) {
-        capacity.noteFirst(environment.nowMs() - run.sentAt);
+        capacity.recordFirstByteTime(environment.nowMs() - run.sentAt);
       }
-      feeding.pump(run.worker);
+      dispatchTrigger.dispatch(run.worker);
     }
 
     @Override
     public void chunk(ResponseChunk piece) {
-      heard(run);
-      if (!run.over && run.succeeds() && run.streams) {
-        run.text.add(piece);
+      recordActivity(run);
+      if (!run.ended && run.succeeds() && run.isEventStream) {
+        run.stream.add(piece);
       }
     }
 
     @Override
     public void end() {
-      heard(run);
-      ended(run);
+      recordActivity(run);
+      handleResponse(run);
     }
 
     @Override
@@ -197,7 +197,7 @@
 
     @Override
     public void fail(ApiError error, boolean mayHaveRun) {
-      faulted(run, error);
+      handleFailure(run, error);
     }
   }
 
@@ -210,36 +210,36 @@
 
     @Override
     public void text(String text) {
-      run.lastTextAt = environment.nowMs();
+      run.lastActivityAt = environment.nowMs();
       run.output.append(text);
     }
 
     @Override
     public void end(String finishReason) {
-      if (leave(run)) {
+      if (endRun(run)) {
         registry.recordSuccess(run.worker);
-        run.range.finished(run.item.index());
-        outcome(run, finishReason, "", run.output.toString());
+        run.range.markFinished(run.item.index());
+        reportOutcome(run, finishReason, "", run.output.toString());
       }
     }
 
     @Override
     public void fail(ApiError error, boolean mayHaveRun) {
-      faulted(run, error);
+      handleFailure(run, error);
     }
   }
 
   /** A head without a type is taken at its events' word. */
-  private static boolean streams(ResponseHead head) {
+  private static boolean isEventStream(ResponseHead head) {
     return head.headers().stream()
         .filter(header -> header.name().equalsIgnoreCase("Content-Type"))
         .allMatch(
             header -> header.value().toLowerCase(Locale.ROOT).startsWith("text/event-stream"));
   }
 
-  private void heard(ItemRun run) {
-    run.hasRead();
-    run.lastTextAt = environment.nowMs();
+  private void recordActivity(ItemRun run) {
+    run.clearUnreadPrompt();
+    run.lastActivityAt = environment.nowMs();
     registry.recordActivity(run.worker);
   }
 
@@ -249,32 +249,32 @@
    * A whole response. Only 500 counts against the item's attempts, and only 422 ends it; any other
    * says nothing of it.
    */
-  private void ended(ItemRun run) {
-    if (run.over) {
+  private void handleResponse(ItemRun run) {
+    if (run.ended) {
       return;
     }
-    leave(run);
-    if (run.succeeds() && run.streams) {
+    endRun(run);
+    if (run.succeeds() && run.isEventStream) {
       registry.recordSuccess(run.worker);
-      capacity.noteWhole(environment.nowMs() - run.sentAt);
-      run.range.finished(run.item.index());
-      outcome(run, "", "", run.text.text());
+      capacity.recordItemDuration(environment.nowMs() - run.sentAt);
+      run.range.markFinished(run.item.index());
+      reportOutcome(run, "", "", run.stream.text());
     } else if (run.status == 422) {
       registry.recordSuccess(run.worker);
-      run.range.finished(run.item.index());
-      outcome(run, "", new ApiError.ItemNotExecutable().type(), "");
+      run.range.markFinished(run.item.index());
+      reportOutcome(run, "", new ApiError.ItemNotExecutable().type(), "");
     } else if (run.status == 500) {
       registry.recordSuccess(run.worker);
-      outcome(run, "", new ApiError.ItemFailed(run.status).type(), "");
-      reporter.giveBack(run.range);
+      reportOutcome(run, "", new ApiError.ItemFailed(run.status).type(), "");
+      reporter.returnRange(run.range);
     } else {
       registry.recordErrorResponse(run.worker);
-      putBackLater(run);
+      requeueAfterBackoff(run);
     }
   }
 
-  private void faulted(ItemRun run, ApiError error) {
-    if (!leave(run)) {
+  private void handleFailure(ItemRun run, ApiError error) {
+    if (!endRun(run)) {
       return;
     }
     boolean full = WorkerRegistry.isCapacityRejection(error);
@@ -283,48 +283,48 @@
     } else {
       registry.recordConnectionFailure(run.worker);
     }
-    if (run.isOpaque()) {
-      putBackLater(run);
+    if (run.isProxied()) {
+      requeueAfterBackoff(run);
       return;
     }
     if (full) {
-      run.range.putBack(run);
+      run.range.requeue(run);
       return;
     }
-    outcome(run, "", error.type(), "");
-    reporter.giveBack(run.range);
+    reportOutcome(run, "", error.type(), "");
+    reporter.returnRange(run.range);
   }
 
   /**
    * The run says nothing against the item: it goes on behind the last whole event, or elsewhere if
    * the worker is at fault.
    */
-  private void putBackLater(ItemRun run) {
-    reporter.giveBackText(run);
-    run.range.interrupted(run.item.index(), environment.nowMs());
-    run.range.putBack(run);
-    feeding.pump();
+  private void requeueAfterBackoff(ItemRun run) {
+    reporter.reportPartialStream(run);
+    run.range.backOff(run.item.index(), environment.nowMs());
+    run.range.requeue(run);
+    dispatchTrigger.dispatch();
   }
 
-  private void outcome(ItemRun run, String finishReason, String faultType, String output) {
-    reporter.outcome(run, finishReason, faultType, output);
-    feeding.pump();
+  private void reportOutcome(ItemRun run, String finishReason, String faultType, String output) {
+    reporter.reportOutcome(run, finishReason, faultType, output);
+    dispatchTrigger.dispatch();
   }
 
   /** False if the run had ended before. */
-  private boolean leave(ItemRun run) {
-    if (run.over) {
+  private boolean endRun(ItemRun run) {
+    if (run.ended) {
       return false;
     }
-    run.over = true;
-    run.hasRead();
+    run.ended = true;
+    run.clearUnreadPrompt();
     registry.recordCallEnd(run.worker, true);
     run.range.running.remove(run.item.index());
     return true;
   }
 
   void cancel(ItemRun run) {
-    if (leave(run)) {
+    if (endRun(run)) {
       run.exchange.cancel();
     }
   }
@@ -333,11 +333,11 @@
    * A worker that was cut off takes its connections down with it late; its silence is believed
    * sooner.
    */
-  void giveUpIfLost(ItemRun run) {
-    boolean lost = run.isOpaque() ? silent(run) : registry.lost(run.worker, run.lastTextAt);
+  void failIfLost(ItemRun run) {
+    boolean lost = run.isProxied() ? isSilent(run) : registry.lost(run.worker, run.lastActivityAt);
     if (lost) {
       run.exchange.cancel();
-      faulted(run, new ApiError.WorkerTimeout(run.range.worker));
+      handleFailure(run, new ApiError.WorkerTimeout(run.range.worker));
     }
   }
 
@@ -345,14 +345,14 @@
    * Nothing from this run for long and nothing from any other there; or nothing from it for far
    * longer.
    */
-  private boolean silent(ItemRun run) {
+  private boolean isSilent(ItemRun run) {
     long now = environment.nowMs();
     long limit =
         Math.max(
             BatchConstants.MIN_SILENCE_TIMEOUT_MS,
             BatchConstants.SILENCE_TIMEOUT_GAPS * run.route.gapTargetMs());
     long workerSilentFor = now - run.worker.lastHeardAt;
-    return now - run.lastTextAt > limit
-        && (workerSilentFor > limit || now - run.lastTextAt > 4 * limit);
+    return now - run.lastActivityAt > limit
+        && (workerSilentFor > limit || now - run.lastActivityAt > 4 * limit);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
@@ -21,7 +21,7 @@
     }
   }
 
-  private final Map<Long, PendingSubmission> open = new LinkedHashMap<>();
+  private final Map<Long, PendingSubmission> pending = new LinkedHashMap<>();
   private long lastNumber;
 
   /**
@@ -29,16 +29,16 @@
    * @return what {@link #end} is to be told
    */
   public long begin(String batch, long deadline) {
-    open.put(++lastNumber, new PendingSubmission(batch, deadline));
+    pending.put(++lastNumber, new PendingSubmission(batch, deadline));
     return lastNumber;
   }
 
   public void end(long number) {
-    open.remove(number);
+    pending.remove(number);
   }
 
   public int size() {
-    return open.size();
+    return pending.size();
   }
 
   /**
@@ -48,13 +48,13 @@
    */
   public List<String> overdue(long now) {
     List<String> overdue = new ArrayList<>();
-    for (PendingSubmission each : List.copyOf(open.values())) {
+    for (PendingSubmission each : List.copyOf(pending.values())) {
       if (now <= each.deadline) {
         continue;
       }
       if (each.wasOverdue) {
         overdue.add(each.batch);
-        open.values().remove(each);
+        pending.values().remove(each);
       }
       each.wasOverdue = true;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
@@ -21,7 +21,7 @@
   }
 
   /** Reports the outcome of a run at once. */
-  void outcome(ItemRun run, String finishReason, String faultType, String output) {
+  void reportOutcome(ItemRun run, String finishReason, String faultType, String output) {
     AssignedRange range = run.range;
     range.unanswered.add(
         new AssignedRange.Outcome(
@@ -36,13 +36,13 @@
   }
 
   /** What the next feeder may go on from; a range that stays here keeps it for itself. */
-  void giveBackText(ItemRun run) {
-    if (run.range.givingBack || run.range.dropped) {
-      giveBackText(run.range, run.item.index(), run.text);
+  void reportPartialStream(ItemRun run) {
+    if (run.range.returning || run.range.dropped) {
+      reportPartialStream(run.range, run.item.index(), run.stream);
     }
   }
 
-  private void giveBackText(AssignedRange range, int index, StreamText text) {
+  private void reportPartialStream(AssignedRange range, int index, StreamText text) {
     if (!text.resumeAfter().isEmpty() && !text.text().isEmpty()) {
       range.unanswered.add(
           new AssignedRange.Outcome(
@@ -57,10 +57,10 @@
   }
 
   /** Begins nothing more of the range; it is handed back once nothing of it runs. */
-  void giveBack(AssignedRange range) {
-    if (!range.givingBack && !range.dropped) {
-      range.givingBack = true;
-      range.texts.forEach((index, text) -> giveBackText(range, index, text));
+  void returnRange(AssignedRange range) {
+    if (!range.returning && !range.dropped) {
+      range.returning = true;
+      range.partialStreams.forEach((index, text) -> reportPartialStream(range, index, text));
       range.unsent.clear();
       report(range);
     }
@@ -68,10 +68,11 @@
 
   void report(AssignedRange range) {
     long now = environment.nowMs();
-    long number = range.nextReport(now);
-    boolean handsBack = range.givingBack && range.running.isEmpty();
-    List<ItemOutcome> carried = range.carry(number, handsBack && !range.handedBack, now);
-    range.handedBack |= handsBack;
+    long number = range.nextReportNumber(now);
+    boolean handsBack = range.returning && range.running.isEmpty();
+    List<ItemOutcome> carried =
+        range.takeOutcomesDue(number, handsBack && !range.returnReported, now);
+    range.returnReported |= handsBack;
     edge.send(
         range.leader.address(),
         range.leader.id(),
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
@@ -23,7 +23,7 @@
 
     String path;
     long dueAt;
-    long heardAt;
+    long receivedAt;
   }
 
   private final Environment environment;
@@ -31,25 +31,25 @@
   private final Map<String, Offer> offers = new LinkedHashMap<>();
 
   /** Pulls on their way, by batch and worker, with when they were sent. */
-  private final Map<String, Long> pulls = new HashMap<>();
+  private final Map<String, Long> pendingRequests = new HashMap<>();
 
   RangeRequester(Environment environment, BatchDispatcher.Context edge) {
     this.environment = environment;
     this.edge = edge;
   }
 
-  void offered(BatchOffer offer, NodeAddress leader) {
+  void recordOffer(BatchOffer offer, NodeAddress leader) {
     Offer known = offers.computeIfAbsent(offer.batch(), unseen -> new Offer());
     known.leader = leader;
     known.host = offer.host();
     known.path = offer.path();
-    known.heardAt = environment.nowMs();
+    known.receivedAt = environment.nowMs();
     known.dueAt = environment.nowMs() + offer.dueInMs();
   }
 
   /** The leader has answered a pull. */
-  void answered(String batch, String workerId) {
-    pulls.remove(pullName(batch, workerId));
+  void requestAnswered(String batch, String workerId) {
+    pendingRequests.remove(requestKey(batch, workerId));
   }
 
   /** The batch has no unassigned ranges any more. */
@@ -57,26 +57,27 @@
     offers.remove(batch);
   }
 
-  private static String pullName(String batch, String workerId) {
+  private static String requestKey(String batch, String workerId) {
     return batch + " " + workerId;
   }
 
   /** Pulls ranges of the batches that come first, for so many items that are wanted. */
-  void pull(WorkerRegistration worker, int wanted, DeadlineOrder order) {
+  void requestRanges(WorkerRegistration worker, int wanted, DeadlineOrder order) {
     String workerId = worker.id();
     long now = environment.nowMs();
-    offers.values().removeIf(offer -> now - offer.heardAt > BatchConstants.OFFER_EXPIRY_MS);
-    pulls.values().removeIf(sentAt -> now - sentAt > BatchConstants.OFFER_EXPIRY_MS);
-    long underWay = pulls.keySet().stream().filter(name -> name.endsWith(" " + workerId)).count();
+    offers.values().removeIf(offer -> now - offer.receivedAt > BatchConstants.OFFER_EXPIRY_MS);
+    pendingRequests.values().removeIf(sentAt -> now - sentAt > BatchConstants.OFFER_EXPIRY_MS);
+    long underWay =
+        pendingRequests.keySet().stream().filter(name -> name.endsWith(" " + workerId)).count();
     int missing = wanted - BatchConstants.ITEMS_PER_RANGE * (int) underWay;
     if (missing <= 0 || edge.rejectionOfNewWork() != null) {
       return;
     }
-    for (String batch : inOrder(worker, order)) {
+    for (String batch : batchesByDeadline(worker, order)) {
       if (missing <= 0) {
         return;
       }
-      if (pulls.putIfAbsent(pullName(batch, workerId), now) == null) {
+      if (pendingRequests.putIfAbsent(requestKey(batch, workerId), now) == null) {
         NodeAddress leader = offers.get(batch).leader;
         edge.send(leader.address(), leader.id(), new RangeRequest(batch, workerId, now));
         missing -= BatchConstants.ITEMS_PER_RANGE;
@@ -84,7 +85,7 @@
     }
   }
 
-  private List<String> inOrder(WorkerRegistration worker, DeadlineOrder order) {
+  private List<String> batchesByDeadline(WorkerRegistration worker, DeadlineOrder order) {
     return offers.entrySet().stream()
         .filter(entry -> mayRunAt(worker, entry.getValue()))
         .sorted((one, other) -> order.compare(one.getValue().dueAt, other.getValue().dueAt))
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
@@ -49,7 +49,7 @@
     if (sent == null) {
       return new ReadResult(Json.read(body, Accepted.class), null);
     }
-    if (configuration == null || configuration.number() < sent.bundleNumber()) {
+    if (configuration == null || configuration.number() < sent.configurationNumber()) {
       return ReadResult.refused(new ApiError.NotReady("an older configuration than the sender's"));
     }
     BatchSubmission submission = sent.submission();
@@ -123,7 +123,7 @@
   /**
    * Whether two digests of one batch id show different contents; of two schemes nothing is known.
    */
-  static boolean differ(String one, String other) {
+  static boolean haveDifferentContents(String one, String other) {
     return one.startsWith(DIGEST_SCHEME) == other.startsWith(DIGEST_SCHEME) && !one.equals(other);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
@@ -49,7 +49,7 @@
     this.submissionReader = submissionReader;
   }
 
-  public boolean done(boolean leads) {
+  public boolean isDone(boolean leads) {
     return rounds >= (leads ? LEADER_ROUNDS : PASSING_ROUNDS);
   }
 
@@ -59,14 +59,14 @@
    * @param configuration a configuration in force; without a batch route in it there is nothing to
    *     do
    */
-  public void round(RoutingConfiguration configuration, boolean leads) {
+  public void runRound(RoutingConfiguration configuration, boolean leads) {
     configuration.routes().stream()
         .filter(each -> each.type() == RoutingConfiguration.RouteType.BATCH)
         .findFirst()
-        .ifPresent(route -> round(configuration, route, leads));
+        .ifPresent(route -> runRound(configuration, route, leads));
   }
 
-  private void round(RoutingConfiguration configuration, Route route, boolean leads) {
+  private void runRound(RoutingConfiguration configuration, Route route, boolean leads) {
     rounds++;
     BatchSubmission submission =
         format.sample(BATCH, route.host(), route.pathPrefix() + BATCH, ITEMS);
@@ -81,11 +81,11 @@
             PeerRequestConstants.MAX_FORWARDS,
             body));
     if (leads) {
-      lead(submissionReader.read(body, configuration, RouteTable.compile(List.of(route))));
+      warmUpLeader(submissionReader.read(body, configuration, RouteTable.compile(List.of(route))));
     }
   }
 
-  private void lead(SubmissionReader.ReadResult taken) {
+  private void warmUpLeader(SubmissionReader.ReadResult taken) {
     if (taken.error() != null) {
       return;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -13,17 +13,17 @@
  * and claimed once; it gets the same answer.
  */
 public final class SubmissionsInProgress {
-  private record SubmissionInProgress(PeerRequest ask, List<PeerRequest> joined) {}
+  private record SubmissionInProgress(PeerRequest request, List<PeerRequest> joined) {}
 
-  private final Map<String, SubmissionInProgress> byKey = new HashMap<>();
+  private final Map<String, SubmissionInProgress> inProgressByKey = new HashMap<>();
   private long bytes;
 
   /**
    * Whether the ask is one of a batch already at work, with the same body; it then waits for it.
    */
   public boolean join(PeerRequest request) {
-    SubmissionInProgress work = byKey.get(request.key());
-    if (work == null || !Arrays.equals(work.ask.body(), request.body())) {
+    SubmissionInProgress work = inProgressByKey.get(request.key());
+    if (work == null || !Arrays.equals(work.request.body(), request.body())) {
       return false;
     }
     work.joined.add(request);
@@ -32,7 +32,8 @@
 
   /** Work on an ask begins. Of one with another body under the same key nothing is kept. */
   public void begin(PeerRequest request) {
-    if (byKey.putIfAbsent(request.key(), new SubmissionInProgress(request, new ArrayList<>()))
+    if (inProgressByKey.putIfAbsent(
+            request.key(), new SubmissionInProgress(request, new ArrayList<>()))
         == null) {
       bytes += request.body().length;
     }
@@ -40,8 +41,8 @@
 
   /** The ask and those that joined it while it is at work; none otherwise. */
   public List<PeerRequest> waitingFor(PeerRequest request) {
-    SubmissionInProgress work = byKey.get(request.key());
-    if (work == null || work.ask != request) {
+    SubmissionInProgress work = inProgressByKey.get(request.key());
+    if (work == null || work.request != request) {
       return List.of();
     }
     List<PeerRequest> waiting = new ArrayList<>(work.joined);
@@ -51,11 +52,11 @@
 
   /** Work on an ask is over: those that joined it, which are to be told the same. */
   public List<PeerRequest> end(PeerRequest request) {
-    SubmissionInProgress work = byKey.get(request.key());
-    if (work == null || work.ask != request) {
+    SubmissionInProgress work = inProgressByKey.get(request.key());
+    if (work == null || work.request != request) {
       return List.of();
     }
-    byKey.remove(request.key());
+    inProgressByKey.remove(request.key());
     bytes -= request.body().length;
     return work.joined;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -20,15 +20,15 @@
   private final WorkerRegistry registry;
 
   /** Runs of opaque items at a worker from which nothing has come yet. */
-  private final ToIntFunction<WorkerState> starting;
+  private final ToIntFunction<WorkerState> startingRuns;
 
   /** By worker: since when it is fed from here. */
-  private final Map<String, Long> feedsSince = new HashMap<>();
+  private final Map<String, Long> dispatchingSince = new HashMap<>();
 
   /** How long opaque items take to their first bytes and to their end, in milliseconds. */
-  private double firstMs = BatchConstants.INITIAL_ITEM_FIRST_BYTE_MS;
+  private double firstByteMs = BatchConstants.INITIAL_ITEM_FIRST_BYTE_MS;
 
-  private double wholeMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
+  private double itemDurationMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
 
   WorkerBatchCapacity(
       Environment environment,
@@ -38,23 +38,23 @@
     this.environment = environment;
     this.edge = edge;
     this.registry = registry;
-    this.starting = starting;
+    this.startingRuns = starting;
   }
 
-  void feeds(String workerId) {
-    feedsSince.putIfAbsent(workerId, environment.nowMs());
+  void markDispatching(String workerId) {
+    dispatchingSince.putIfAbsent(workerId, environment.nowMs());
   }
 
-  void feedsNoMore(String workerId) {
-    feedsSince.remove(workerId);
+  void clearDispatching(String workerId) {
+    dispatchingSince.remove(workerId);
   }
 
-  void noteFirst(long tookMs) {
-    firstMs += (tookMs - firstMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
+  void recordFirstByteTime(long tookMs) {
+    firstByteMs += (tookMs - firstByteMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
-  void noteWhole(long tookMs) {
-    wholeMs += (tookMs - wholeMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
+  void recordItemDuration(long tookMs) {
+    itemDurationMs += (tookMs - itemDurationMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
   /** Items that may be begun there now; negative if more run there than should. */
@@ -80,19 +80,19 @@
     int reserve = Math.max(1, slots / BatchConstants.LIVE_RESERVE_ONE_IN);
     long liveNow = Math.round(worker.runningCallsNow(environment.nowMs())) - worker.batchCalls;
     int live = (int) Math.min(liveNow, slots / 2);
-    int share = (int) Math.ceil((slots - reserve) * ramp(worker));
+    int share = (int) Math.ceil((slots - reserve) * slowStartShare(worker));
     int free = Math.min(share, slots - reserve - live) - worker.batchCalls;
-    return Math.min(free, startsMost(slots) - starting.applyAsInt(worker));
+    return Math.min(free, maxConcurrentStarts(slots) - startingRuns.applyAsInt(worker));
   }
 
   /** How long an item takes from its begin to its end, as seen here. */
-  long itemMs() {
-    return Math.round(wholeMs);
+  long itemDurationMs() {
+    return Math.round(itemDurationMs);
   }
 
   /** A feeder that has just begun takes a worker's slots by and by. */
-  private double ramp(WorkerState worker) {
-    Long since = feedsSince.get(worker.worker.id());
+  private double slowStartShare(WorkerState worker) {
+    Long since = dispatchingSince.get(worker.worker.id());
     if (since == null) {
       return WorkerConstants.MIN_SLOW_START_WEIGHT;
     }
@@ -105,13 +105,14 @@
    * pause in all of them. As many as keep its slots in use are enough, which follows from how long
    * items take to begin and to end.
    */
-  private int startsMost(int slots) {
-    double part = Math.min(1, BatchConstants.CONCURRENT_STARTS_FACTOR * firstMs / wholeMs);
+  private int maxConcurrentStarts(int slots) {
+    double part =
+        Math.min(1, BatchConstants.CONCURRENT_STARTS_FACTOR * firstByteMs / itemDurationMs);
     return (int) Math.max(BatchConstants.MIN_CONCURRENT_STARTS, Math.ceil(slots * part));
   }
 
   /** One more prompt would come close to a pause in the streams there that is too long. */
-  boolean hasMuchToRead(WorkerState worker) {
+  boolean hasPromptBacklog(WorkerState worker) {
     long gapMs = edge.routes().gapTargetMs(worker.worker.pool());
     return gapMs > 0
         && worker.streamPauseMs(environment.nowMs(), 0)
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -181,7 +181,7 @@
 
   private void pump() {
     liveRequests.pump();
-    batchDispatcher.pump();
+    batchDispatcher.dispatch();
   }
 
   private void tick() {
@@ -211,8 +211,8 @@
       return;
     }
     boolean leads = leaderPlacement().mayLead(identity.id());
-    if (!warmUp.done(leads)) {
-      warmUp.round(configuration, leads);
+    if (!warmUp.isDone(leads)) {
+      warmUp.runRound(configuration, leads);
     }
   }
 
@@ -654,7 +654,7 @@
 
   private ObjectNode reservation(String batch, Accepted accepted) {
     ObjectNode reservation = JSON.createObjectNode().put("batch", batch).put("reserve", true);
-    BatchEvent.ProxiedRoute proxiedRoute = accepted.opaque();
+    BatchEvent.ProxiedRoute proxiedRoute = accepted.proxiedRoute();
     if (proxiedRoute == null) {
       return reservation
           .put("items", accepted.items().size())
@@ -668,7 +668,7 @@
             .sum();
     return reservation
         .put("items", tokens)
-        .put("ceiling", proxiedRoute.ceiling())
+        .put("ceiling", proxiedRoute.maxWaitingTokens())
         .put("group", proxiedRoute.route());
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
@@ -34,7 +34,7 @@
   final List<Message> toLeader = new ArrayList<>();
   final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
   BatchDispatcher batchDispatcher;
-  final WorkerRegistry registry = new WorkerRegistry(this, () -> batchDispatcher.pump());
+  final WorkerRegistry registry = new WorkerRegistry(this, () -> batchDispatcher.dispatch());
 
   /** Whether the leader answers reports. */
   boolean answers = true;
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
@@ -29,7 +29,7 @@
   void aSubmissionIsDecodedAsItWasEncoded() {
     BatchSubmission.Forwarded sent = BatchSubmission.Forwarded.decode(sent(batch("x"), 9));
 
-    assertThat(sent.bundleNumber()).isEqualTo(9);
+    assertThat(sent.configurationNumber()).isEqualTo(9);
     assertThat(sent.submission().id()).isEqualTo("c1");
     assertThat(sent.submission().host()).isEqualTo("h.example");
     assertThat(sent.submission().path()).isEqualTo("/p/c1");
@@ -54,9 +54,9 @@
 
   @Test
   void digestsOfOneSchemeTellContentsApart() {
-    assertThat(SubmissionReader.differ("fields:1", "fields:1")).isFalse();
-    assertThat(SubmissionReader.differ("fields:1", "fields:2")).isTrue();
-    assertThat(SubmissionReader.differ("1", "2")).isTrue();
-    assertThat(SubmissionReader.differ("1", "fields:2")).isFalse();
+    assertThat(SubmissionReader.haveDifferentContents("fields:1", "fields:1")).isFalse();
+    assertThat(SubmissionReader.haveDifferentContents("fields:1", "fields:2")).isTrue();
+    assertThat(SubmissionReader.haveDifferentContents("1", "2")).isTrue();
+    assertThat(SubmissionReader.haveDifferentContents("1", "fields:2")).isFalse();
   }
 }
