--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
@@ -14,34 +14,6 @@
  * sees the same.
  */
 public final class BatchState {
-  enum RangeState {
-    UNASSIGNED,
-    ASSIGNED,
-    DONE
-  }
-
-  static final class Range {
-    final int first;
-    final int length;
-    RangeState state = RangeState.UNASSIGNED;
-
-    /**
-     * Of the newest assignment. Rises with each; a report with an older one no longer moves the
-     * range.
-     */
-    long epoch;
-
-    String dispatcher = "";
-
-    /** Items from first up to here all have results. Never falls. */
-    int offset;
-
-    Range(int first, int length) {
-      this.first = first;
-      this.length = length;
-    }
-  }
-
   public Accepted accepted;
 
   /** The log accepted the batch once more while it stood accepted: a defect. */
@@ -60,7 +32,7 @@
   /** In the order of handing out: a random permutation of range numbers, fixed at acceptance. */
   List<Integer> order = List.of();
 
-  final List<Range> ranges = new ArrayList<>();
+  final List<BatchRange> ranges = new ArrayList<>();
 
   /** In order of recording. Only ever grows, and an entry never changes once it is in. */
   public final List<Result> results = new ArrayList<>();
@@ -91,17 +63,17 @@
       case BatchEvent.ACCEPTED -> accept(event.accepted());
       case BatchEvent.ORDERED -> order(event);
       case BatchEvent.ASSIGNED -> {
-        Range range = ranges.get(event.assigned().range());
-        range.state = RangeState.ASSIGNED;
+        BatchRange range = ranges.get(event.assigned().range());
+        range.state = BatchRange.State.ASSIGNED;
         range.epoch = event.assigned().rangeEpoch();
         range.dispatcher = event.assigned().dispatcher();
         highestRangeEpoch = Math.max(highestRangeEpoch, range.epoch);
       }
       case BatchEvent.RECORDED -> record(event.recorded());
       case BatchEvent.RETURNED -> {
-        Range range = ranges.get(event.returned().range());
-        if (range.epoch == event.returned().rangeEpoch() && range.state == RangeState.ASSIGNED) {
-          range.state = RangeState.UNASSIGNED;
+        BatchRange range = ranges.get(event.returned().range());
+        if (range.isAssigned(event.returned().rangeEpoch())) {
+          range.state = BatchRange.State.UNASSIGNED;
         }
       }
       case BatchEvent.ENDED -> ended = true;
@@ -142,7 +114,7 @@
     order = event.order();
     int items = accepted.items().size();
     for (int first = 0; first < items; first += event.rangeItems()) {
-      ranges.add(new Range(first, Math.min(event.rangeItems(), items - first)));
+      ranges.add(new BatchRange(first, Math.min(event.rangeItems(), items - first)));
     }
   }
 
@@ -162,12 +134,12 @@
         attempts[attempt.index()]++;
       }
     }
-    for (Range range : ranges) {
+    for (BatchRange range : ranges) {
       while (range.offset < range.length && resultByItem[range.first + range.offset] != null) {
         range.offset++;
       }
       if (range.offset == range.length) {
-        range.state = RangeState.DONE;
+        range.state = BatchRange.State.DONE;
       }
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -262,7 +262,7 @@
     } else if (run.status == 422) {
       registry.recordSuccess(run.worker);
       run.range.markFinished(run.item.index());
-      reportOutcome(run, "", new ApiError.ItemNotExecutable().type(), "");
+      reportOutcome(run, "", ItemErrorTypes.NOT_EXECUTABLE, "");
     } else if (run.status == 500) {
       registry.recordSuccess(run.worker);
       reportOutcome(run, "", new ApiError.ItemFailed(run.status).type(), "");
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
@@ -51,7 +51,7 @@
                   "",
                   range.worker,
                   text.resumeAfter(),
-                  BatchLeader.PART,
+                  ItemErrorTypes.STREAM_TRUNCATED,
                   text.text().getBytes(StandardCharsets.UTF_8))));
     }
   }
