--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -4,75 +4,71 @@
 import applespindle.corelogic.configuration.RouteTable;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.constants.BatchConstants;
-import applespindle.corelogic.constants.WorkerConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.protocol.Message;
-import applespindle.corelogic.protocol.Message.AssignedItem;
 import applespindle.corelogic.protocol.Message.BatchOffer;
 import applespindle.corelogic.protocol.Message.RangeAssignment;
 import applespindle.corelogic.protocol.Message.RangeReportResponse;
 import applespindle.corelogic.worker.WorkerRegistry;
-import applespindle.corelogic.worker.WorkerState;
-import java.util.ArrayList;
-import java.util.Collections;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
 
 /**
- * This edge's feeding of workers with batch items, for those workers whose feeder it is. It pulls a
- * range when its buffer for a worker runs empty, streams the items in order, and moves on only from
- * what the leader has recorded.
+ * The dispatcher of batch items at an edge, for the workers that this edge dispatches to. It takes
+ * the messages of batch leaders and does the regular duties; {@link WorkerDispatcher} sends the
+ * items.
+ *
+ * <p>A range is requested after its batch was offered, held from its assignment, and forgotten once
+ * its items have run and the leader has answered for all outcomes, or long after its lease ended.
+ * An outcome is kept until the leader has answered a report that carried it, so that a lost message
+ * or a new leader loses none.
  */
-public final class BatchDispatcher implements ItemRunner.DispatchTrigger {
-  /** What the feeder needs of the edge it lives on. */
+public final class BatchDispatcher {
+  /** What the dispatcher needs of the edge it runs on. */
   public interface Context {
     void send(String toAddress, String toId, Message message);
 
+    /** Whether this edge is the one that dispatches batch items to the worker. */
     boolean dispatchesTo(String worker);
 
-    /** Null when work may begin now; asked right before each item is sent. */
+    /** Why no work may be started now, or null; asked right before each item is sent. */
     ApiError rejectionOfNewWork();
 
+    /** The configuration this edge works by, or null. */
     RoutingConfiguration configuration();
 
-    /** What that bundle says of opaque requests; empty while there is none. */
+    /** The routes of proxied requests in that configuration; empty while there is none. */
     RouteTable routes();
 
+    /** Whether this edge is being stopped, so that it starts nothing more. */
     boolean isStopping();
   }
 
+  /** After so many lease times a range without outcomes is forgotten. */
+  private static final int LAPSED_LEASES = 4;
+
   private final Environment environment;
-  private final Context edge;
   private final WorkerRegistry registry;
   private final RangeRequester rangeRequester;
-  private final WorkerBatchCapacity capacity;
   private final RangeReporter reporter;
-  private final ItemRunner runner;
-
-  /** By batch, range and epoch: one assignment is held once. */
-  private final Map<String, AssignedRange> assignedRanges = new LinkedHashMap<>();
-
-  /** By worker: since when it has had no room for a further item. */
-  private final Map<String, Long> fullSince = new HashMap<>();
-
-  private boolean recheckScheduled;
+  private final AssignedRanges ranges = new AssignedRanges();
+  private final WorkerDispatcher workerDispatcher;
 
+  /**
+   * @param nodeId of this edge; the ids of runs begin with it
+   */
   public BatchDispatcher(
       Environment environment, String nodeId, Context edge, WorkerRegistry registry) {
     this.environment = environment;
-    this.edge = edge;
     this.registry = registry;
     this.rangeRequester = new RangeRequester(environment, edge);
-    this.capacity = new WorkerBatchCapacity(environment, edge, registry, this::countStartingRuns);
     this.reporter = new RangeReporter(environment, edge);
-    this.runner = new ItemRunner(environment, nodeId, edge, registry, capacity, reporter, this);
+    this.workerDispatcher =
+        new WorkerDispatcher(environment, nodeId, edge, registry, ranges, rangeRequester, reporter);
   }
 
-  // ---- what leaders say
+  // ---- messages of leaders
 
+  /** Takes the leader of a batch from its offer, and requests ranges of it if there are any. */
   public void handleOffer(BatchOffer offer, String fromId, String fromAddress) {
     leaderMoved(offer.batch(), fromId, fromAddress);
     if (offer.unassignedRanges() > 0) {
@@ -81,246 +77,105 @@
     }
   }
 
+  /** Sends the reports of the batch's ranges to its new leader from now on. */
   public void leaderMoved(String batch, String leaderId, String leaderAddress) {
     NodeAddress leader = new NodeAddress(leaderId, leaderAddress);
-    assignedRanges.values().stream()
+    ranges.all().stream()
         .filter(range -> range.batch.equals(batch) && !range.leader.equals(leader))
         .forEach(range -> range.changeLeader(leader));
   }
 
+  /** Holds the assigned range, or notes that the batch has none left. */
   public void handleAssignment(RangeAssignment assignment, String fromId, String fromAddress) {
     rangeRequester.requestAnswered(assignment.batch(), assignment.worker());
     if (assignment.none()) {
       rangeRequester.exhausted(assignment.batch());
     } else {
       NodeAddress leader = new NodeAddress(fromId, fromAddress);
-      AssignedRange range = new AssignedRange(assignment, leader, environment.nowMs());
-      assignedRanges.put(range.name(), range);
+      ranges.add(new AssignedRange(assignment, leader, environment.nowMs()));
     }
     dispatch();
   }
 
-  public void handleReportResponse(RangeReportResponse answer) {
-    AssignedRange range =
-        assignedRanges.get(AssignedRange.name(answer.batch(), answer.range(), answer.rangeEpoch()));
+  /** Renews the range's lease, or drops the range if its leader has reassigned it. */
+  public void handleReportResponse(RangeReportResponse response) {
+    AssignedRange range = ranges.get(response.batch(), response.range(), response.rangeEpoch());
     if (range == null) {
       return;
     }
-    range.handleReportAnswered(answer.reportNumber(), answer.keepLease());
-    forgetIfDone(range);
+    range.handleReportAnswered(response.reportNumber(), response.keepLease());
+    ranges.removeIfDone(range);
     dispatch();
   }
 
+  /** Cancels all runs of the batch and forgets its ranges. */
   public void batchEnded(String batch) {
     rangeRequester.exhausted(batch);
-    List.copyOf(assignedRanges.values()).stream()
-        .filter(range -> range.batch.equals(batch))
-        .forEach(this::end);
+    ranges.all().stream().filter(range -> range.batch.equals(batch)).forEach(this::end);
     dispatch();
   }
 
   private void end(AssignedRange range) {
-    List.copyOf(range.running.values()).forEach(runner::cancel);
+    workerDispatcher.cancelRuns(range);
     range.unanswered.clear();
     range.drop();
-    forgetIfDone(range);
-  }
-
-  private void forgetIfDone(AssignedRange range) {
-    if (range.isDone()) {
-      assignedRanges.remove(range.name());
-    }
+    ranges.removeIfDone(range);
   }
 
-  // ---- feeding
+  // ---- regular duties
 
-  @Override
+  /** Sends as many items to each worker as it has capacity for, and requests ranges. */
   public void dispatch() {
-    for (WorkerState worker : List.copyOf(registry.all())) {
-      dispatch(worker);
-    }
+    workerDispatcher.dispatch();
   }
 
-  @Override
-  public void dispatch(WorkerState worker) {
-    String workerId = worker.worker.id();
-    boolean feeds = edge.dispatchesTo(workerId) && !edge.isStopping();
-    DeadlineOrder order = new DeadlineOrder(environment.nowMs(), capacity.itemDurationMs());
-    List<AssignedRange> ranges = rangesAt(workerId, order);
-    if (!feeds
-        || !registry.comesBackBy(
-            worker, environment.nowMs() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
-      ranges.forEach(reporter::returnRange);
-      capacity.clearDispatching(workerId);
-      return;
-    }
-    capacity.markDispatching(workerId);
-    int free = capacity.free(worker);
-    cancelForLiveRequests(worker, free);
-    free = sendItems(ranges, worker, free);
-    returnRangesIfLongFull(ranges, workerId, free);
-    int unsent = ranges.stream().mapToInt(range -> range.unsent.size()).sum();
-    int ahead = free > 0 ? BatchConstants.PREFETCH_RANGES * BatchConstants.ITEMS_PER_RANGE : 0;
-    rangeRequester.requestRanges(worker.worker, free + ahead - unsent, order);
-  }
-
-  private List<AssignedRange> rangesAt(String workerId, DeadlineOrder order) {
-    return assignedRanges.values().stream()
-        .filter(range -> range.worker.equals(workerId))
-        .sorted((one, other) -> order.compare(one.dueAt, other.dueAt))
-        .toList();
-  }
-
-  /** Sends what fits, and says how much room is left. */
-  private int sendItems(List<AssignedRange> ranges, WorkerState worker, int free) {
-    int left = free;
-    for (AssignedRange range : ranges) {
-      left = sendItems(range, worker, left);
-    }
-    return left;
-  }
-
-  private int sendItems(AssignedRange range, WorkerState worker, int free) {
-    int freeNow = free;
-    for (int left = range.unsent.size(); left > 0; left--) {
-      if (freeNow <= 0 || range.unsent.isEmpty()) {
-        return freeNow;
-      }
-      AssignedItem item = range.unsent.peek();
-      if (capacity.hasPromptBacklog(worker)) {
-        scheduleRecheck();
-        return freeNow;
-      }
-      if (range.isBackingOff(item.index(), environment.nowMs())) {
-        range.unsent.add(range.unsent.poll());
-      } else if (runner.start(range, worker)) {
-        freeNow--;
-        fullSince.remove(worker.worker.id());
-      } else {
-        return freeNow;
-      }
-    }
-    return freeNow;
-  }
-
-  private void scheduleRecheck() {
-    if (!recheckScheduled) {
-      recheckScheduled = true;
-      environment.schedule(
-          BatchConstants.ITEM_CHECK_INTERVAL_MS,
-          () -> {
-            recheckScheduled = false;
-            dispatch();
-          });
-    }
-  }
-
-  /** A worker that stays full keeps no unsent items, which another may run sooner. */
-  private void returnRangesIfLongFull(List<AssignedRange> ranges, String workerId, int free) {
-    if (free > 0) {
-      fullSince.remove(workerId);
-      return;
-    }
-    long now = environment.nowMs();
-    long since = fullSince.computeIfAbsent(workerId, unseen -> now);
-    if (now - since > BatchConstants.RANGE_LEASE_MS) {
-      ranges.stream().filter(range -> !range.unsent.isEmpty()).forEach(reporter::returnRange);
-    }
-  }
-
-  /**
-   * Live traffic needs the room: the newest items go back to the front of their ranges; their
-   * partial output is dropped.
-   */
-  private void cancelForLiveRequests(WorkerState worker, int free) {
-    if (worker.worker.slots() != 0 || worker.free() > 0 || free >= 0) {
-      return;
-    }
-    RoutingConfiguration.BatchLimits limits = edge.configuration().limits().batch();
-    if (limits.cancelForLive()) {
-      cancelNewest(worker, Math.min(-free, limits.liveReserve()));
-    }
-  }
-
-  private void cancelNewest(WorkerState worker, int number) {
-    List<ItemRun> newestFirst = new ArrayList<>();
-    assignedRanges.values().stream()
-        .filter(range -> range.worker.equals(worker.worker.id()))
-        .forEach(range -> newestFirst.addAll(range.running.values()));
-    Collections.reverse(newestFirst);
-    newestFirst.stream()
-        .limit(number)
-        .forEach(
-            run -> {
-              runner.cancel(run);
-              run.range.requeue(run);
-            });
-  }
-
-  /** Runs of opaque items at a worker from which nothing has come yet. */
-  private int countStartingRuns(WorkerState worker) {
-    int starting = 0;
-    for (AssignedRange range : assignedRanges.values()) {
-      if (range.worker.equals(worker.worker.id())) {
-        for (ItemRun run : range.running.values()) {
-          starting += run.status == 0 ? 1 : 0;
-        }
-      }
-    }
-    return starting;
-  }
-
-  // ---- regular duties
-
   /**
-   * Reports again and again: it renews the range's lease and carries what was not answered in time.
+   * Fails lost runs, returns the ranges of removed workers, and reports each range that is due for
+   * it: a report renews the lease and repeats the outcomes that were not answered in time.
    */
   public void tick() {
-    failLostRuns();
-    List.copyOf(assignedRanges.values()).stream()
+    workerDispatcher.failLostRuns();
+    ranges.all().stream()
         .filter(range -> registry.get(range.worker) == null)
         .forEach(reporter::returnRange);
     long now = environment.nowMs();
-    for (AssignedRange range : List.copyOf(assignedRanges.values())) {
+    for (AssignedRange range : ranges.all()) {
       if (range.isReportDue(now)) {
         reporter.report(range);
       }
       if (isLapsed(range, now)) {
-        assignedRanges.remove(range.name());
+        ranges.remove(range);
       }
     }
     dispatch();
   }
 
-  private void failLostRuns() {
-    for (AssignedRange range : List.copyOf(assignedRanges.values())) {
-      List.copyOf(range.running.values()).forEach(runner::failIfLost);
-    }
-  }
-
-  /** Nothing of the range runs, and its lease ended so long ago that no answer will come. */
+  /** Nothing of the range runs, and its lease ended so long ago that no response will come. */
   private static boolean isLapsed(AssignedRange range, long now) {
     long lapsedMs = now - range.leaseEndsAt;
     return range.running.isEmpty()
-        && lapsedMs > 4 * BatchConstants.RANGE_LEASE_MS
+        && lapsedMs > LAPSED_LEASES * BatchConstants.RANGE_LEASE_MS
         && (range.unanswered.isEmpty() || lapsedMs > BatchConstants.OUTCOME_RETENTION_MS);
   }
 
   /**
-   * For a polite stop: gives back all that has not begun. True once nothing runs and nothing is
-   * unanswered.
+   * Returns all items that have not been started, for a graceful stop.
+   *
+   * @return true once nothing runs and the leaders have answered for all outcomes
    */
   public boolean drain() {
-    List.copyOf(assignedRanges.values()).forEach(reporter::returnRange);
-    return assignedRanges.values().stream()
+    ranges.all().forEach(reporter::returnRange);
+    return ranges.all().stream()
         .allMatch(range -> range.running.isEmpty() && range.unanswered.isEmpty());
   }
 
+  /** How many ranges are assigned to this edge. */
   public int heldRanges() {
-    return assignedRanges.size();
+    return ranges.size();
   }
 
+  /** How many batch items run at workers from here. */
   public int runningItems() {
-    return assignedRanges.values().stream().mapToInt(range -> range.running.size()).sum();
+    return ranges.countRuns();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -57,6 +57,12 @@
     return status / 100 == 2;
   }
 
+  /** The worker has that many tokens of this item's prompt still to read. */
+  void setUnreadPrompt(double tokens) {
+    unreadPromptTokens = tokens;
+    worker.unreadPromptTokens += tokens;
+  }
+
   /** The worker has begun to answer, so it has read the whole prompt. */
   void clearUnreadPrompt() {
     worker.unreadPromptTokens -= unreadPromptTokens;
