--- a/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
@@ -29,6 +29,9 @@
   /** How many sent reports are remembered; an answer to an older one does not renew the lease. */
   private static final int REPORTS_REMEMBERED = 16;
 
+  /** Further doublings would overflow; the most the backoff can be is reached before. */
+  private static final int MAX_BACKOFF_DOUBLINGS = 10;
+
   /** The outcome of one run, kept until the leader has answered a report that carried it. */
   static final class Outcome {
     final ItemOutcome item;
@@ -50,27 +53,29 @@
   final long epoch;
   final String worker;
 
-  /** When the batch is due. */
+  /** When the batch is due, by the assignment. */
   final long dueAt;
 
-  /** What was assigned was true at this time, as far as deadlines go. */
+  /** When the assignment came; its times until a deadline count from here. */
   final long assignedAt;
 
   NodeAddress leader;
 
   /**
-   * Counted from the sending of what the leader answered: always before the leader's own end of the
-   * lease.
+   * Counted from the sending of the request or report that the leader answered, so that it is
+   * always before the end of the lease at the leader.
    */
   long leaseEndsAt;
 
   final ArrayDeque<AssignedItem> unsent = new ArrayDeque<>();
   final Map<Integer, ItemRun> running = new LinkedHashMap<>();
 
-  /** By item: what earlier runs of an opaque item brought, which the next one goes on behind. */
+  /**
+   * By item: the stream that earlier runs of a proxied item brought, which the next one resumes.
+   */
   final Map<Integer, StreamText> partialStreams = new HashMap<>();
 
-  /** By item: how often a run broke off without saying anything against the item. */
+  /** By item: how many runs ended without saying anything about the item. */
   private final Map<Integer, Integer> interruptions = new HashMap<>();
 
   /** By item: when it may run again. */
@@ -88,15 +93,14 @@
   private final TreeMap<Long, Long> reportsSentAt = new TreeMap<>();
 
   private long lastReport;
+
+  /** Nothing more of the range is started; it is returned once nothing of it runs. */
   boolean returning;
 
-  /**
-   * A report has said that nothing of the range runs here any more; it carried every outcome not
-   * answered for.
-   */
+  /** A report has returned the range, with every outcome that the leader had not answered for. */
   boolean returnReported;
 
-  /** The leader has taken the range away. */
+  /** The leader has reassigned the range, or its batch has ended. */
   boolean dropped;
 
   AssignedRange(Message.RangeAssignment assignment, NodeAddress leader, long now) {
@@ -123,8 +127,8 @@
   }
 
   /**
-   * Nothing more of the range is sent; what runs may end and is reported, as its item may still
-   * lack a result.
+   * Starts nothing more of the range; what runs goes on and is reported, as its item may still lack
+   * a result.
    */
   void drop() {
     dropped = true;
@@ -140,21 +144,21 @@
     unfinished.remove(index);
   }
 
-  /** Lets an item rest after a run that broke off, longer each time. */
+  /** Delays the next run of an item whose run was cut, longer each time. */
   void backOff(int index, long now) {
     int times = interruptions.merge(index, 1, Integer::sum);
-    long restMs =
+    long backoffMs =
         Math.min(
             BatchConstants.MAX_ITEM_RETRY_BACKOFF_MS,
-            BatchConstants.ITEM_RETRY_BACKOFF_MS << Math.min(times - 1, 10));
-    retryAt.put(index, now + restMs);
+            BatchConstants.ITEM_RETRY_BACKOFF_MS << Math.min(times - 1, MAX_BACKOFF_DOUBLINGS));
+    retryAt.put(index, now + backoffMs);
   }
 
   boolean isBackingOff(int index, long now) {
     return retryAt.getOrDefault(index, Long.MIN_VALUE) > now;
   }
 
-  /** Puts the item back in front of its range, unless the range is on its way out. */
+  /** Puts the item back to the front of its range, unless the range is dropped or returning. */
   void requeue(ItemRun run) {
     if (run.stream != null) {
       partialStreams.put(run.item.index(), run.stream);
@@ -164,13 +168,15 @@
     }
   }
 
-  /** A new leader has none of the reports: outcomes are sent at once again. */
+  /** Sends all outcomes again with the next report, as a new leader has none of the reports. */
   void changeLeader(NodeAddress next) {
     leader = next;
     unanswered.forEach(outcome -> outcome.sentAt = NEVER);
   }
 
-  /** Takes in the leader's answer to a report. */
+  /**
+   * Forgets the outcomes that the answered report carried, and renews the lease or drops the range.
+   */
   void handleReportAnswered(long reportNumber, boolean keep) {
     unanswered.removeIf(outcome -> outcome.reportNumbers.contains(reportNumber));
     Long sentAt = reportsSentAt.get(reportNumber);
@@ -182,7 +188,7 @@
     }
   }
 
-  /** The number of a report that is sent now. */
+  /** Gives the next number to a report that is sent now. */
   long nextReportNumber(long now) {
     long report = ++lastReport;
     reportsSentAt.put(report, now);
@@ -198,24 +204,23 @@
   }
 
   /**
-   * What is new, and what should have been answered by now; all of it when the range is handed
-   * back.
+   * The outcomes that are new or should have been answered by now, or all; they count as sent now.
    */
   List<ItemOutcome> takeOutcomesDue(long report, boolean all, long now) {
-    List<ItemOutcome> carried = new ArrayList<>();
+    List<ItemOutcome> due = new ArrayList<>();
     for (Outcome outcome : unanswered) {
       if (all || now - outcome.sentAt >= BatchConstants.RESULT_RESEND_MS) {
         outcome.sentAt = now;
         outcome.reportNumbers.add(report);
-        carried.add(outcome.item);
+        due.add(outcome.item);
       }
     }
-    return carried;
+    return due;
   }
 
   /**
-   * The first item that is not done. What is on its way by an earlier report may be lost: the
-   * offset counts only what this one carries.
+   * The first item that is not done, counting only outcomes that this report carries, as an earlier
+   * one may be lost.
    */
   int offset(long report) {
     int offset = unfinished.isEmpty() ? end : unfinished.first();
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
@@ -15,7 +15,15 @@
 import java.util.List;
 
 /**
- * One event of a batch's log. The kind comes first, so that a reader can tell it without the rest.
+ * One event of a batch's log, stored as JSON. The kind comes first, so that {@link #kindOf} need
+ * not read the rest. Of the other components only those of the event's kind are set, the rest are
+ * null; {@link BatchState} says what each event changes.
+ *
+ * <p>The names in the JSON are part of the stored format and stay when a component is renamed.
+ *
+ * @param ageMs age of the batch at the event, in milliseconds
+ * @param order range numbers in the order of their assignment
+ * @param rangeItems number of items in each range but the last
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -38,10 +46,17 @@
   public static final String FINISHED = "finished";
   public static final String REFUSED = "refused";
 
-  /** Whole by itself: all that stood before it may go from the disks. */
+  /** The batch is removed; entries before this one may be deleted from the disks. */
   public static final String REMOVED = "removed";
 
-  /** opaque is null for a batch of prompts. */
+  /**
+   * The acceptance of a batch.
+   *
+   * @param digest of the contents, by which a repeated submission is compared
+   * @param dueInMs milliseconds from the acceptance
+   * @param expiresInMs milliseconds from the acceptance
+   * @param proxiedRoute null for a batch of prompts
+   */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   public record Accepted(
       String sender,
@@ -52,8 +67,10 @@
       @JsonProperty("opaque") ProxiedRoute proxiedRoute) {}
 
   /**
-   * Where the items of an opaque batch go, with what the route of the bundle of that number said at
-   * the acceptance.
+   * The route of a proxied batch as it stood in the configuration of that number at the acceptance.
+   *
+   * @param attempts how many runs of an item may fail
+   * @param maxWaitingTokens the most that all batches of the route may have waiting; 0: no limit
    */
   public record ProxiedRoute(
       String host,
@@ -63,16 +80,24 @@
       int attempts,
       @JsonProperty("ceiling") long maxWaitingTokens) {}
 
+  /** The assignment of a range to a dispatcher (a node id) for one of its workers. */
   record Assigned(
       int range, long rangeEpoch, @JsonProperty("feeder") String dispatcher, String worker) {}
 
+  /** Results and failed attempts of one report; range -1 stands for none, at the expiry. */
   public record Recorded(
       int range, long rangeEpoch, List<Result> results, List<Attempt> attempts) {}
 
-  /** The end of an assignment without its range being done. */
+  /** The end of an assignment whose range is not done: returned, or its lease ended. */
   record Returned(int range, long rangeEpoch) {}
 
-  /** One item's lasting result; an empty fault means that output is whole. */
+  /**
+   * The one result of an item.
+   *
+   * @param index of the item in the batch
+   * @param errorType name of the error type of a failed item; null if the output is complete
+   * @param output null for a failed item
+   */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   public record Result(
       int index,
@@ -82,10 +107,7 @@
       @JsonProperty("fault") String errorType,
       String output) {}
 
-  /**
-   * A run of an item that failed in a way that another run may mend; fault is the name of a fault
-   * type.
-   */
+  /** A failed run of an item that may be tried again; errorType is the name of an error type. */
   record Attempt(int index, String run, @JsonProperty("fault") String errorType) {}
 
   static BatchEvent accepted(Accepted accepted) {
@@ -108,17 +130,19 @@
     return new BatchEvent(RETURNED, ageMs, null, null, null, null, null, returned);
   }
 
+  /** An event that has no contents but its kind. */
   static BatchEvent plain(String kind, long ageMs) {
     return new BatchEvent(kind, ageMs, null, null, null, null, null, null);
   }
 
+  /** The kind of an encoded event; empty if the event does not start with it. */
   public static String kindOf(byte[] event) {
     try (JsonParser parser = JSON.createParser(DeflatedEvents.open(event))) {
       boolean kindFirst =
           parser.nextToken() == JsonToken.START_OBJECT && "kind".equals(parser.nextFieldName());
       return kindFirst ? parser.nextTextValue() : "";
-    } catch (IOException fault) {
-      throw new UncheckedIOException(fault);
+    } catch (IOException error) {
+      throw new UncheckedIOException("an event of a batch cannot be read", error);
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchFormat.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** How clients of a deployment write the body of a batch of opaque requests. */
+/** The format in which the clients of a deployment write the body of a proxied batch. */
 public interface BatchFormat {
-  /** Bytes of each body in a made-up batch. */
+  /** Bytes of each item's body in a sample batch. */
   int SAMPLE_BODY_BYTES = 1_000;
 
-  /** Either the batch or the fault that hindered its reading. */
+  /** Either the batch or the error that prevented its reading; the other is null. */
   record ParsedBatch(ProxiedBatch batch, ApiError error) {}
 
-  /** Reads and checks a body whole; a fault names all that is wrong with it. */
+  /** Reads and checks a complete body; an error names everything that is wrong with it. */
   ParsedBatch parse(BatchSubmission submission);
 
-  /** A made-up batch as a client might write it. */
+  /** A sample batch as a client might write it, for the warm-up of a new process. */
   BatchSubmission sample(String id, String host, String path, int items);
 
-  /** The product's own: an {@link ProxiedBatch} as JSON. */
+  /** The product's own format: a {@link ProxiedBatch} as JSON. */
   BatchFormat OWN =
       new BatchFormat() {
         @Override
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
@@ -17,13 +17,16 @@
 import java.util.List;
 import java.util.Set;
 
-/** A batch as a sender hands it in. */
+/**
+ * A batch of prompts as its client submits it, in JSON. The times count from the acceptance; null
+ * stands for the default.
+ */
 public record BatchInput(
     @NotEmpty @Size(max = SizeLimits.MAX_BATCH_ITEMS) List<@Valid @NotNull Item> items,
     @Min(1) @Max(86_400_000) Long due_in_ms,
     @Min(1) @Max(604_800_000) Long expires_in_ms) {
-  private static final long DUE_MS = 10_000;
-  private static final long EXPIRES_MS = 3_600_000;
+  private static final long DEFAULT_DUE_MS = 10_000;
+  private static final long DEFAULT_EXPIRES_MS = 3_600_000;
 
   /** One prompt of a batch, with its sampling options. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
@@ -35,15 +38,17 @@
       Double temperature,
       @JsonProperty("stop") String stop) {}
 
+  /** When the batch should be finished, in milliseconds after its acceptance. */
   public long dueInMs() {
-    return due_in_ms == null ? DUE_MS : due_in_ms;
+    return due_in_ms == null ? DEFAULT_DUE_MS : due_in_ms;
   }
 
+  /** When items without a result expire, in milliseconds after the acceptance. */
   public long expiresInMs() {
-    return expires_in_ms == null ? EXPIRES_MS : expires_in_ms;
+    return expires_in_ms == null ? DEFAULT_EXPIRES_MS : expires_in_ms;
   }
 
-  /** Reads and checks a batch; item ids must differ, as results are told apart by them. */
+  /** Reads and checks a batch; item ids must differ, as they identify the results. */
   public static InputReader.Input<BatchInput> read(byte[] bytes) {
     InputReader.Input<BatchInput> input = InputReader.read(bytes, BatchInput.class);
     if (!input.good()) {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchKeys.java
@@ -20,20 +20,22 @@
     return PROMPT_ID_PREFIX + shortDigest(sender.length() + ":" + sender + idempotencyKey);
   }
 
-  /** The id of an opaque batch by its client's id for it; never that of a batch of prompts. */
+  /** The id of a proxied batch by its client's id for it; never that of a batch of prompts. */
   public static String proxiedBatchId(String clientId) {
     return PROXIED_ID_PREFIX + shortDigest(clientId);
   }
 
-  /** Whether this is the key of an opaque batch. */
+  /** Whether this is the key of a proxied batch. */
   public static boolean isProxied(String key) {
     return key.startsWith(MetadataKeys.BATCH_PREFIX + PROXIED_ID_PREFIX);
   }
 
+  /** The metadata key of the batch's log. */
   public static String keyOf(String batch) {
     return MetadataKeys.BATCH_PREFIX + batch;
   }
 
+  /** The id of the batch with that key. */
   public static String batchOf(String key) {
     return key.substring(MetadataKeys.BATCH_PREFIX.length());
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
@@ -10,13 +10,17 @@
 import java.util.stream.LongStream;
 
 /**
- * A batch as folded from the committed entries of its log; every leader that folds the same log
- * sees the same.
+ * A batch as folded from the committed entries of its log; leaders that fold the same log have the
+ * same state.
+ *
+ * <p>A batch is accepted once, then either finished or ended, and may be removed after that. It is
+ * refused only while it is not accepted. Invariants: an item has at most one result, which never
+ * changes; results are only appended, and none after the end; the epochs of ranges never fall.
  */
 public final class BatchState {
   public Accepted accepted;
 
-  /** The log accepted the batch once more while it stood accepted: a defect. */
+  /** Whether the log accepted an accepted batch again, which breaks an invariant. */
   boolean acceptedTwice;
 
   boolean refused;
@@ -24,17 +28,17 @@
   boolean finished;
 
   /**
-   * Highest age any leader knew of; carried on by the next, so that no wall clock is needed for the
-   * expiry.
+   * Highest age in the events, in milliseconds. The next leader counts on from it, so that the
+   * expiry needs no wall clock.
    */
   long ageMs;
 
-  /** In the order of handing out: a random permutation of range numbers, fixed at acceptance. */
+  /** Range numbers in the order of assignment: a random permutation, fixed at the acceptance. */
   List<Integer> order = List.of();
 
   final List<BatchRange> ranges = new ArrayList<>();
 
-  /** In order of recording. Only ever grows, and an entry never changes once it is in. */
+  /** Results in the order of recording; they are only appended, and never change. */
   public final List<Result> results = new ArrayList<>();
 
   /** By item: the first committed result, later ones are dropped. */
@@ -42,12 +46,12 @@
 
   private int[] attempts = new int[0];
 
-  /** What each item takes of the room for waiting work: its tokens if it is opaque, else one. */
+  /** What each item counts as waiting work: its tokens if it is proxied, else one. */
   private long[] capacityByItem = new long[0];
 
   private long remainingCapacity;
 
-  /** Each failed run counts once, however often it is reported. */
+  /** Ids of failed runs: each counts once as an attempt, however often it is reported. */
   private final Set<String> failedRuns = new HashSet<>();
 
   long highestRangeEpoch;
@@ -56,7 +60,7 @@
     apply(BatchEventCodec.decode(bytes));
   }
 
-  /** The same for an event that need not be read again, as it was written here. */
+  /** Folds an event that was written here and need not be decoded. */
   void apply(BatchEvent event) {
     ageMs = Math.max(ageMs, event.ageMs() == null ? 0 : event.ageMs());
     switch (event.kind()) {
@@ -156,6 +160,7 @@
     return attempts[item];
   }
 
+  /** Number of items; 0 before the acceptance. */
   public int items() {
     return resultByItem.length;
   }
@@ -164,15 +169,17 @@
     return accepted == null || ended ? 0 : resultByItem.length - results.size();
   }
 
-  /** Of the room for waiting work, what this batch still takes. */
+  /** The waiting work of this batch: tokens of a proxied batch, items of a batch of prompts. */
   long remainingCapacity() {
     return accepted == null || ended ? 0 : remainingCapacity;
   }
 
+  /** Whether the batch is accepted and neither ended nor finished. */
   public boolean isOpen() {
     return accepted != null && !ended && !finished;
   }
 
+  /** The state as clients read it. */
   public String state() {
     if (accepted == null) {
       return refused ? "refused" : "unknown";
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchSubmission.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchSubmission.java
@@ -5,16 +5,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A batch of opaque requests as its client wrote it. The edge that takes it from the client does
- * not read the body: only the leader does, once.
+ * A proxied batch as its client wrote it. The edge that receives it does not read the body; only
+ * the batch's leader does, once.
  *
  * @param id the client's own: the same id again is the same batch
  * @param body in the deployment's {@link BatchFormat}
  */
 public record BatchSubmission(String id, String host, String path, byte[] body) {
   /**
-   * First byte of an encoded submission; the version before sent JSON in its place, which never
-   * begins so.
+   * First byte of an encoded submission. The previous version sent JSON instead, which never starts
+   * with this byte.
    */
   private static final byte ENCODED = 1;
 
@@ -23,8 +23,9 @@
     return new BatchSubmission(batch.id(), batch.host(), batch.path(), Json.bytes(batch));
   }
 
-  /** A submission on its way to the leader, with the configuration its sender works by. */
+  /** A submission that is sent to the leader, with the number of the sender's configuration. */
   public record Forwarded(BatchSubmission submission, long configurationNumber) {
+    /** The body of the request to the leader. */
     public byte[] encode() {
       byte[] id = bytes(submission.id);
       byte[] host = bytes(submission.host);
@@ -51,13 +52,13 @@
       if (!in.hasRemaining() || in.get() != ENCODED) {
         return null;
       }
-      long bundleNumber = in.getLong();
+      long configurationNumber = in.getLong();
       String id = text(in);
       String host = text(in);
       String path = text(in);
       byte[] body = new byte[in.remaining()];
       in.get(body);
-      return new Forwarded(new BatchSubmission(id, host, path, body), bundleNumber);
+      return new Forwarded(new BatchSubmission(id, host, path, body), configurationNumber);
     }
 
     private static byte[] bytes(String text) {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -6,7 +6,10 @@
 import applespindle.corelogic.protocol.Message.AssignedItem;
 import applespindle.corelogic.worker.WorkerState;
 
-/** One run of one batch item at one worker. */
+/**
+ * One run of one batch item at one worker: what it has brought so far and how much of its prompt
+ * the worker still has to read. A run ends once, see {@link RunCompletion}.
+ */
 final class ItemRun {
   final AssignedRange range;
   final AssignedItem item;
@@ -20,22 +23,22 @@
   /** Output of a prompt so far. */
   final StringBuilder output = new StringBuilder();
 
-  /** Of an opaque item: its stream so far, earlier runs included; null of a prompt. */
+  /** The stream of a proxied item so far, earlier runs included; null for a prompt. */
   StreamText stream;
 
-  /** Of an opaque item; null of a prompt. */
+  /** The route of a proxied item; null for a prompt. */
   Route route;
 
-  /** Of an opaque item: the response's status, 0 before its head. */
+  /** The status of a proxied item's response; 0 before its head, and for a prompt. */
   int status;
 
-  /** The response is an event stream, and nothing else. */
+  /** Whether the response is an event stream; any other is not a result. */
   boolean isEventStream;
 
   WorkerCallHandle exchange = () -> {};
   long lastActivityAt;
 
-  /** Prompt tokens the worker still reads for it, as far as is known. */
+  /** Prompt tokens that the worker still has to read for it, as far as is known. */
   double unreadPromptTokens;
 
   boolean ended;
--- a/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/PendingSubmissions.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * The batches that were handed in at one edge and have no final answer yet. Invariant: each gets
- * one by its deadline, whatever becomes of its leader.
+ * The submissions that arrived at one edge and have no final response yet. Invariant: each gets one
+ * by its deadline, whatever happens to the batch's leader; {@link #overdue} finds those that did
+ * not.
  */
 public final class PendingSubmissions {
   private static final class PendingSubmission {
@@ -25,26 +26,32 @@
   private long lastNumber;
 
   /**
+   * Adds a submission.
+   *
    * @param deadline on the node's clock, in milliseconds
-   * @return what {@link #end} is to be told
+   * @return the number to pass to {@link #end}
    */
   public long begin(String batch, long deadline) {
     pending.put(++lastNumber, new PendingSubmission(batch, deadline));
     return lastNumber;
   }
 
+  /** Removes a submission that got its response; an unknown number is ignored. */
   public void end(long number) {
     pending.remove(number);
   }
 
+  /** How many submissions wait for their response. */
   public int size() {
     return pending.size();
   }
 
   /**
-   * Batches that were past their deadline at the last look and still are; each is told once. One
-   * look alone proves nothing: after a process stood still it may come before the timers that were
-   * due.
+   * Returns, and removes, the batches that were past their deadline at the last call and still are.
+   * One call alone proves nothing: after a pause of the process it may come before the timers that
+   * were due.
+   *
+   * @param now on the node's clock, in milliseconds
    */
   public List<String> overdue(long now) {
     List<String> overdue = new ArrayList<>();
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ProxiedBatch.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ProxiedBatch.java
@@ -4,10 +4,17 @@
 import java.util.List;
 
 /**
- * Many opaque requests handed in together, to be run later. id is the client's own: the same id
- * again is the same batch.
+ * A batch of proxied requests: its items are HTTP requests that are passed to workers unread.
+ *
+ * @param id the client's own; the same id again is the same batch
+ * @param host by which, with the path, the route is found
  */
 public record ProxiedBatch(String id, String host, String path, List<Item> items) {
-  /** tokens: prompt and the most put out together. Ids differ within a batch. */
+  /**
+   * One request.
+   *
+   * @param id unique within the batch
+   * @param tokens of the prompt and the longest allowed output together
+   */
   public record Item(String id, String target, List<Header> headers, byte[] body, int tokens) {}
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ProxiedItemAssignment.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ProxiedItemAssignment.java
@@ -1,10 +1,14 @@
 package applespindle.corelogic.batch;
 
 /**
- * An item of an opaque batch as it is handed to a feeder. host and path are those of the batch: the
- * route that they find in the bundle at the moment of sending says where the item may run.
- * expiresInMs: until it may be given up. text is what earlier runs brought up to the event
- * resumeAfter; both are empty where a run has to begin anew.
+ * An item of a proxied batch as it is assigned to a dispatcher. The route is looked up in the
+ * configuration in force when the item is sent.
+ *
+ * @param host of the batch, for the route
+ * @param path of the batch, for the route
+ * @param expiresInMs milliseconds until the item expires
+ * @param resumeAfter id of the last event that earlier runs brought; empty if the run starts anew
+ * @param text output of the earlier runs up to that event; empty if the run starts anew
  */
 record ProxiedItemAssignment(
     String host,
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Tells the leaders of batches what came of the ranges assigned here. Each report renews the
- * range's lease and carries the outcomes that were not answered in time.
+ * Reports the outcomes of the assigned ranges to the leaders of their batches. Each report renews
+ * the range's lease and repeats the outcomes that were not answered in time.
  */
 final class RangeReporter {
   private final Environment environment;
@@ -21,7 +21,7 @@
   }
 
   /** Reports the outcome of a run at once. */
-  void reportOutcome(ItemRun run, String finishReason, String faultType, String output) {
+  void reportOutcome(ItemRun run, String finishReason, String errorType, String output) {
     AssignedRange range = run.range;
     range.unanswered.add(
         new AssignedRange.Outcome(
@@ -30,12 +30,15 @@
                 run.id,
                 range.worker,
                 finishReason,
-                faultType,
+                errorType,
                 output.getBytes(StandardCharsets.UTF_8))));
     report(range);
   }
 
-  /** What the next feeder may go on from; a range that stays here keeps it for itself. */
+  /**
+   * Reports the partial stream of a run whose range is leaving this edge, so that the next
+   * dispatcher can resume it. A range that stays keeps its partial streams.
+   */
   void reportPartialStream(ItemRun run) {
     if (run.range.returning || run.range.dropped) {
       reportPartialStream(run.range, run.item.index(), run.stream);
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Begins nothing more of the range; it is handed back once nothing of it runs. */
+  /** Starts nothing more of the range; it is returned once nothing of it runs. */
   void returnRange(AssignedRange range) {
     if (!range.returning && !range.dropped) {
       range.returning = true;
@@ -66,13 +69,14 @@
     }
   }
 
+  /** Reports the range now, with the outcomes that are due to be sent. */
   void report(AssignedRange range) {
     long now = environment.nowMs();
     long number = range.nextReportNumber(now);
-    boolean handsBack = range.returning && range.running.isEmpty();
-    List<ItemOutcome> carried =
-        range.takeOutcomesDue(number, handsBack && !range.returnReported, now);
-    range.returnReported |= handsBack;
+    boolean returned = range.returning && range.running.isEmpty();
+    List<ItemOutcome> outcomes =
+        range.takeOutcomesDue(number, returned && !range.returnReported, now);
+    range.returnReported |= returned;
     edge.send(
         range.leader.address(),
         range.leader.id(),
@@ -83,7 +87,7 @@
             range.worker,
             number,
             range.offset(number),
-            handsBack,
-            carried));
+            returned,
+            outcomes));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
@@ -12,13 +12,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Knows which batches have unassigned ranges and pulls these from their leaders as needed. */
+/**
+ * Requests ranges from the leaders of batches for workers that run out of items. It holds which
+ * batches were offered, until their leader says that none is left or the offer is too old, and
+ * which requests are unanswered: one per batch and worker at a time.
+ */
 final class RangeRequester {
   /** A batch with unassigned ranges, as its leader last offered it. */
   private static final class Offer {
     NodeAddress leader;
 
-    /** Of an opaque batch; empty for one of prompts. */
+    /** Host of a proxied batch; empty for a batch of prompts. */
     String host;
 
     String path;
@@ -30,7 +34,7 @@
   private final BatchDispatcher.Context edge;
   private final Map<String, Offer> offers = new LinkedHashMap<>();
 
-  /** Pulls on their way, by batch and worker, with when they were sent. */
+  /** Unanswered requests, by batch and worker, with the time of sending. */
   private final Map<String, Long> pendingRequests = new HashMap<>();
 
   RangeRequester(Environment environment, BatchDispatcher.Context edge) {
@@ -47,12 +51,12 @@
     known.dueAt = environment.nowMs() + offer.dueInMs();
   }
 
-  /** The leader has answered a pull. */
+  /** Forgets the request that the leader has answered. */
   void requestAnswered(String batch, String workerId) {
     pendingRequests.remove(requestKey(batch, workerId));
   }
 
-  /** The batch has no unassigned ranges any more. */
+  /** Forgets the offer of a batch without unassigned ranges. */
   void exhausted(String batch) {
     offers.remove(batch);
   }
@@ -61,15 +65,15 @@
     return batch + " " + workerId;
   }
 
-  /** Pulls ranges of the batches that come first, for so many items that are wanted. */
+  /** Requests ranges of the batches that come first, until they cover the wanted items. */
   void requestRanges(WorkerRegistration worker, int wanted, DeadlineOrder order) {
     String workerId = worker.id();
     long now = environment.nowMs();
     offers.values().removeIf(offer -> now - offer.receivedAt > BatchConstants.OFFER_EXPIRY_MS);
     pendingRequests.values().removeIf(sentAt -> now - sentAt > BatchConstants.OFFER_EXPIRY_MS);
-    long underWay =
+    long unanswered =
         pendingRequests.keySet().stream().filter(name -> name.endsWith(" " + workerId)).count();
-    int missing = wanted - BatchConstants.ITEMS_PER_RANGE * (int) underWay;
+    int missing = wanted - BatchConstants.ITEMS_PER_RANGE * (int) unanswered;
     if (missing <= 0 || edge.rejectionOfNewWork() != null) {
       return;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
@@ -26,7 +26,7 @@
  * read once; what is checked here has not been looked at before.
  */
 public final class SubmissionReader {
-  /** Either the event or the fault for which the batch is refused. */
+  /** Either the event that accepts the batch or the error it is refused with; the other is null. */
   public record ReadResult(Accepted accepted, ApiError error) {
     static ReadResult refused(ApiError error) {
       return new ReadResult(null, error);
@@ -40,7 +40,8 @@
   }
 
   /**
-   * Reads the body of an ask to submit.
+   * Reads the body of a request to submit: an encoded submission of a proxied batch, or the event
+   * of a batch of prompts, which the edge of the client has read.
    *
    * @param configuration the configuration this edge works by, or null
    */
@@ -79,7 +80,7 @@
         "", digest(batch), route.completionTargetMs(), retentionMs, items(batch), proxiedRoute);
   }
 
-  /** The same trees that {@link ProxiedBatch.Item} has as JSON, without the way over text. */
+  /** The JSON trees of the items, built without encoding them to text in between. */
   private static List<JsonNode> items(ProxiedBatch batch) {
     List<JsonNode> items = new ArrayList<>(batch.items().size());
     for (ProxiedBatch.Item item : batch.items()) {
@@ -95,8 +96,8 @@
   }
 
   /**
-   * Of all that tells one batch from another; each field is preceded by its length, so that no two
-   * batches run into the same bytes.
+   * Digest of all contents of a batch. Each field is preceded by its length, so that two different
+   * batches never give the same bytes.
    */
   private static String digest(ProxiedBatch batch) {
     MessageDigest digest = sha256();
@@ -117,11 +118,12 @@
     return DIGEST_SCHEME + HexFormat.of().formatHex(digest.digest());
   }
 
-  /** Before a digest of this kind; the version before had none, over other bytes. */
+  /** Prefix of these digests; those of the previous version have none and cover other bytes. */
   static final String DIGEST_SCHEME = "fields:";
 
   /**
-   * Whether two digests of one batch id show different contents; of two schemes nothing is known.
+   * Whether two digests of one batch id show different contents; false if their schemes differ, as
+   * they cannot be compared.
    */
   static boolean haveDifferentContents(String one, String other) {
     return one.startsWith(DIGEST_SCHEME) == other.startsWith(DIGEST_SCHEME) && !one.equals(other);
@@ -144,7 +146,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException missing) {
-      throw new IllegalStateException(missing);
+      throw new IllegalStateException("every Java runtime has SHA-256", missing);
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * The batches that are being accepted at this edge, from the arrival of the ask to its answer. The
- * same batch that arrives again meanwhile joins the ask at work, so that its body is read, reserved
- * and claimed once; it gets the same answer.
+ * The submissions that this edge is working on, from the arrival of the request to its response. A
+ * repeated submission of the same batch joins the one in progress and gets the same response, so
+ * that the body is read, and its capacity and key are claimed, once.
  */
 public final class SubmissionsInProgress {
   private record SubmissionInProgress(PeerRequest request, List<PeerRequest> joined) {}
@@ -19,7 +19,8 @@
   private long bytes;
 
   /**
-   * Whether the ask is one of a batch already at work, with the same body; it then waits for it.
+   * Joins the request to the one in progress under the same key and with the same body; false if
+   * there is none.
    */
   public boolean join(PeerRequest request) {
     SubmissionInProgress work = inProgressByKey.get(request.key());
@@ -30,7 +31,7 @@
     return true;
   }
 
-  /** Work on an ask begins. Of one with another body under the same key nothing is kept. */
+  /** Starts a request. One with another body under a key in progress is not kept. */
   public void begin(PeerRequest request) {
     if (inProgressByKey.putIfAbsent(
             request.key(), new SubmissionInProgress(request, new ArrayList<>()))
@@ -39,7 +40,7 @@
     }
   }
 
-  /** The ask and those that joined it while it is at work; none otherwise. */
+  /** The request and those that joined it, while it is in progress; empty otherwise. */
   public List<PeerRequest> waitingFor(PeerRequest request) {
     SubmissionInProgress work = inProgressByKey.get(request.key());
     if (work == null || work.request != request) {
@@ -50,7 +51,7 @@
     return waiting;
   }
 
-  /** Work on an ask is over: those that joined it, which are to be told the same. */
+  /** Ends a request, and returns those that joined it, which get the same response. */
   public List<PeerRequest> end(PeerRequest request) {
     SubmissionInProgress work = inProgressByKey.get(request.key());
     if (work == null || work.request != request) {
@@ -61,7 +62,7 @@
     return work.joined;
   }
 
-  /** Of all bodies at work. */
+  /** Size of all bodies in progress. */
   public long bytes() {
     return bytes;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -11,23 +11,25 @@
 import java.util.function.ToIntFunction;
 
 /**
- * How many more batch items a worker may get from this edge, so that live requests keep their room
- * and no stream there pauses for long.
+ * How many more batch items a worker may get from this edge, so that live requests keep their
+ * capacity and no stream at the worker pauses for long. It holds moving averages of the times that
+ * proxied items take, and since when each worker is dispatched to from here.
  */
 final class WorkerBatchCapacity {
   private final Environment environment;
   private final BatchDispatcher.Context edge;
   private final WorkerRegistry registry;
 
-  /** Runs of opaque items at a worker from which nothing has come yet. */
+  /** Counts the runs at a worker without a response head. */
   private final ToIntFunction<WorkerState> startingRuns;
 
   /** By worker: since when it is fed from here. */
   private final Map<String, Long> dispatchingSince = new HashMap<>();
 
-  /** How long opaque items take to their first bytes and to their end, in milliseconds. */
+  /** Milliseconds from sending a proxied item to the head of its response; a moving average. */
   private double firstByteMs = BatchConstants.INITIAL_ITEM_FIRST_BYTE_MS;
 
+  /** Milliseconds from sending a proxied item to its end; a moving average. */
   private double itemDurationMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
 
   WorkerBatchCapacity(
@@ -57,7 +59,7 @@
     itemDurationMs += (tookMs - itemDurationMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
-  /** Items that may be begun there now; negative if more run there than should. */
+  /** Items that may be started at the worker now; negative if more run there than should. */
   int free(WorkerState worker) {
     RoutingConfiguration configuration = edge.configuration();
     if (configuration == null || !registry.isUsable(worker)) {
@@ -85,12 +87,12 @@
     return Math.min(free, maxConcurrentStarts(slots) - startingRuns.applyAsInt(worker));
   }
 
-  /** How long an item takes from its begin to its end, as seen here. */
+  /** Milliseconds that a proxied item takes from its sending to its end, as seen here. */
   long itemDurationMs() {
     return Math.round(itemDurationMs);
   }
 
-  /** A feeder that has just begun takes a worker's slots by and by. */
+  /** A dispatcher that is new to a worker takes its slots gradually. */
   private double slowStartShare(WorkerState worker) {
     Long since = dispatchingSince.get(worker.worker.id());
     if (since == null) {
@@ -101,9 +103,9 @@
   }
 
   /**
-   * A worker reads prompts between the tokens of its streams: many items begun at once would make a
-   * pause in all of them. As many as keep its slots in use are enough, which follows from how long
-   * items take to begin and to end.
+   * The most items that may be starting at once. A worker reads prompts between the tokens of its
+   * streams, so that many starts at once would pause all of them; as many as keep its slots in use
+   * are enough, which follows from the times to the first byte and to the end.
    */
   private int maxConcurrentStarts(int slots) {
     double part =
@@ -111,7 +113,7 @@
     return (int) Math.max(BatchConstants.MIN_CONCURRENT_STARTS, Math.ceil(slots * part));
   }
 
-  /** One more prompt would come close to a pause in the streams there that is too long. */
+  /** Whether one more prompt could pause the worker's streams for too long. */
   boolean hasPromptBacklog(WorkerState worker) {
     long gapMs = edge.routes().gapTargetMs(worker.worker.pool());
     return gapMs > 0
