--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -6,7 +6,10 @@
 import applespindle.corelogic.protocol.Message.AssignedItem;
 import applespindle.corelogic.worker.WorkerState;
 
-/** One run of one batch item at one worker. */
+/**
+ * One run of one batch item at one worker: what it has brought so far and how much of its prompt
+ * the worker still has to read. A run ends once, see {@link RunCompletion}.
+ */
 final class ItemRun {
   final AssignedRange range;
   final AssignedItem item;
@@ -20,25 +23,25 @@
   /** Output of a prompt so far. */
   final StringBuilder output = new StringBuilder();
 
-  /** Of an opaque item: its stream so far, earlier runs included; null of a prompt. */
-  StreamText text;
+  /** The stream of a proxied item so far, earlier runs included; null for a prompt. */
+  StreamText stream;
 
-  /** Of an opaque item; null of a prompt. */
+  /** The route of a proxied item; null for a prompt. */
   Route route;
 
-  /** Of an opaque item: the response's status, 0 before its head. */
+  /** The status of a proxied item's response; 0 before its head, and for a prompt. */
   int status;
 
-  /** The response is an event stream, and nothing else. */
-  boolean streams;
+  /** Whether the response is an event stream; any other is not a result. */
+  boolean isEventStream;
 
   WorkerCallHandle exchange = () -> {};
-  long lastTextAt;
+  long lastActivityAt;
 
-  /** Prompt tokens the worker still reads for it, as far as is known. */
-  double reading;
+  /** Prompt tokens that the worker still has to read for it, as far as is known. */
+  double unreadPromptTokens;
 
-  boolean over;
+  boolean ended;
 
   ItemRun(AssignedRange range, AssignedItem item, String id, WorkerState worker, long now) {
     this.range = range;
@@ -46,20 +49,26 @@
     this.id = id;
     this.worker = worker;
     this.sentAt = now;
-    this.lastTextAt = now;
+    this.lastActivityAt = now;
   }
 
-  boolean isOpaque() {
-    return text != null;
+  boolean isProxied() {
+    return stream != null;
   }
 
   boolean succeeds() {
     return status / 100 == 2;
   }
 
+  /** The worker has that many tokens of this item's prompt still to read. */
+  void setUnreadPrompt(double tokens) {
+    unreadPromptTokens = tokens;
+    worker.unreadPromptTokens += tokens;
+  }
+
   /** The worker has begun to answer, so it has read the whole prompt. */
-  void hasRead() {
-    worker.unreadPromptTokens -= reading;
-    reading = 0;
+  void clearUnreadPrompt() {
+    worker.unreadPromptTokens -= unreadPromptTokens;
+    unreadPromptTokens = 0;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
@@ -177,7 +177,7 @@
 
   private ObjectNode reservation(String batch, Accepted accepted) {
     ObjectNode reservation = JSON.createObjectNode().put("batch", batch).put("reserve", true);
-    ProxiedRoute proxiedRoute = accepted.opaque();
+    ProxiedRoute proxiedRoute = accepted.proxiedRoute();
     if (proxiedRoute == null) {
       RoutingConfiguration configuration = edge.configuration();
       return reservation
@@ -192,7 +192,7 @@
             .sum();
     return reservation
         .put("items", tokens)
-        .put("ceiling", proxiedRoute.ceiling())
+        .put("ceiling", proxiedRoute.maxWaitingTokens())
         .put("group", proxiedRoute.route());
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -140,7 +140,7 @@
 
   private void pump() {
     liveRequests.pump();
-    batchDispatcher.pump();
+    batchDispatcher.dispatch();
   }
 
   /** Not before this edge is a member: only then is it known whether it is to lead batches. */
@@ -155,8 +155,8 @@
       return;
     }
     boolean leads = leaderPlacement().mayLead(identity.id());
-    if (!warmUp.done(leads)) {
-      warmUp.round(configuration(), leads);
+    if (!warmUp.isDone(leads)) {
+      warmUp.runRound(configuration(), leads);
     }
   }
 
