--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -143,12 +143,12 @@
 
   @Override
   public void pump(WorkerState worker) {
-    String workerId = worker.worker.id();
+    String workerId = worker.registration.id();
     boolean feeds = edge.dispatchesTo(workerId) && !edge.isStopping();
     DeadlineOrder order = new DeadlineOrder(environment.nowMs(), capacity.itemMs());
     List<AssignedRange> ranges = rangesAt(workerId, order);
     if (!feeds
-        || !registry.comesBackBy(
+        || !registry.isUsableBefore(
             worker, environment.nowMs() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
       ranges.forEach(reporter::giveBack);
       capacity.feedsNoMore(workerId);
@@ -161,7 +161,7 @@
     giveBackIfLongFull(ranges, workerId, free);
     int unsent = ranges.stream().mapToInt(range -> range.unsent.size()).sum();
     int ahead = free > 0 ? BatchConstants.PREFETCH_RANGES * BatchConstants.ITEMS_PER_RANGE : 0;
-    puller.pull(worker.worker, free + ahead - unsent, order);
+    puller.pull(worker.registration, free + ahead - unsent, order);
   }
 
   private List<AssignedRange> rangesAt(String workerId, DeadlineOrder order) {
@@ -195,7 +195,7 @@
         range.unsent.add(range.unsent.poll());
       } else if (runner.begin(range, worker)) {
         freeNow--;
-        fullSince.remove(worker.worker.id());
+        fullSince.remove(worker.registration.id());
       } else {
         return freeNow;
       }
@@ -233,7 +233,7 @@
    * partial output is dropped.
    */
   private void makeRoomForLive(WorkerState worker, int free) {
-    if (worker.worker.slots() != 0 || worker.free() > 0 || free >= 0) {
+    if (worker.registration.slots() != 0 || worker.free() > 0 || free >= 0) {
       return;
     }
     RoutingConfiguration.BatchLimits limits = edge.configuration().limits().batch();
@@ -245,7 +245,7 @@
   private void cancelNewest(WorkerState worker, int number) {
     List<ItemRun> newestFirst = new ArrayList<>();
     held.values().stream()
-        .filter(range -> range.worker.equals(worker.worker.id()))
+        .filter(range -> range.worker.equals(worker.registration.id()))
         .forEach(range -> newestFirst.addAll(range.running.values()));
     Collections.reverse(newestFirst);
     newestFirst.stream()
@@ -261,7 +261,7 @@
   private int starting(WorkerState worker) {
     int starting = 0;
     for (AssignedRange range : held.values()) {
-      if (range.worker.equals(worker.worker.id())) {
+      if (range.worker.equals(worker.registration.id())) {
         for (ItemRun run : range.running.values()) {
           starting += run.status == 0 ? 1 : 0;
         }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -59,7 +59,7 @@
 
   /** The worker has begun to answer, so it has read the whole prompt. */
   void hasRead() {
-    worker.unreadPromptTokens -= reading;
+    worker.pendingPrefillTokens -= reading;
     reading = 0;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -81,7 +81,7 @@
     ProxiedItemAssignment opaque =
         body.has("path") ? JSON.convertValue(body, ProxiedItemAssignment.class) : null;
     Route route = opaque == null ? null : edge.routes().findBatch(opaque.host(), opaque.path());
-    if (opaque != null && (route == null || !route.sendsTo(worker.worker.pool()))) {
+    if (opaque != null && (route == null || !route.sendsTo(worker.registration.pool()))) {
       reporter.giveBack(range);
       return false;
     }
@@ -90,7 +90,7 @@
     range.running.put(item.index(), run);
     if (opaque != null) {
       run.reading = opaque.item().tokens() * BatchConstants.MAX_UNREAD_PROMPT_SHARE;
-      worker.unreadPromptTokens += run.reading;
+      worker.pendingPrefillTokens += run.reading;
     }
     registry.recordCallStart(worker, true);
     if (opaque == null) {
@@ -115,7 +115,7 @@
     long timeoutMs = edge.configuration().limits().batch().itemExpiryMs();
     run.exchange =
         environment.callWorker(
-            new WorkerCall(run.worker.worker.address(), Json.bytes(body), timeoutMs),
+            new WorkerCall(run.worker.registration.address(), Json.bytes(body), timeoutMs),
             new PromptListener(run));
   }
 
@@ -146,8 +146,8 @@
     run.exchange =
         environment.exchange(
             new WorkerExchange(
-                run.worker.worker.address(),
-                run.worker.worker.id(),
+                run.worker.registration.address(),
+                run.worker.registration.id(),
                 request,
                 Math.max(1, route.rank()),
                 timeoutMs,
@@ -334,7 +334,8 @@
    * sooner.
    */
   void giveUpIfLost(ItemRun run) {
-    boolean lost = run.isOpaque() ? silent(run) : registry.lost(run.worker, run.lastTextAt);
+    boolean lost =
+        run.isOpaque() ? silent(run) : registry.isPresumedLost(run.worker, run.lastTextAt);
     if (lost) {
       run.exchange.cancel();
       faulted(run, new ApiError.WorkerTimeout(run.range.worker));
@@ -351,7 +352,7 @@
         Math.max(
             BatchConstants.MIN_SILENCE_TIMEOUT_MS,
             BatchConstants.SILENCE_TIMEOUT_GAPS * run.route.gapTargetMs());
-    long workerSilentFor = now - run.worker.lastHeardAt;
+    long workerSilentFor = now - run.worker.lastActivityAt;
     return now - run.lastTextAt > limit
         && (workerSilentFor > limit || now - run.lastTextAt > 4 * limit);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -63,11 +63,11 @@
     if (configuration == null || !registry.isUsable(worker)) {
       return 0;
     }
-    if (worker.worker.slots() > 0) {
+    if (worker.registration.slots() > 0) {
       return freeSlots(worker);
     }
     RoutingConfiguration.BatchLimits limits = configuration.limits().batch();
-    if (!worker.worker.pool().equals(limits.pool())) {
+    if (!worker.registration.pool().equals(limits.pool())) {
       return 0;
     }
     int live = Math.max(worker.liveRunning(), (int) worker.peakLiveCalls);
@@ -76,7 +76,7 @@
   }
 
   private int freeSlots(WorkerState worker) {
-    int slots = worker.worker.slots();
+    int slots = worker.registration.slots();
     int reserve = Math.max(1, slots / BatchConstants.LIVE_RESERVE_ONE_IN);
     long liveNow = Math.round(worker.runningCallsNow(environment.nowMs())) - worker.batchCalls;
     int live = (int) Math.min(liveNow, slots / 2);
@@ -92,7 +92,7 @@
 
   /** A feeder that has just begun takes a worker's slots by and by. */
   private double ramp(WorkerState worker) {
-    Long since = feedsSince.get(worker.worker.id());
+    Long since = feedsSince.get(worker.registration.id());
     if (since == null) {
       return WorkerConstants.MIN_SLOW_START_WEIGHT;
     }
@@ -112,7 +112,7 @@
 
   /** One more prompt would come close to a pause in the streams there that is too long. */
   boolean hasMuchToRead(WorkerState worker) {
-    long gapMs = edge.routes().gapTargetMs(worker.worker.pool());
+    long gapMs = edge.routes().gapTargetMs(worker.registration.pool());
     return gapMs > 0
         && worker.streamPauseMs(environment.nowMs(), 0)
             > BatchConstants.MAX_STREAM_PAUSE_SHARE * gapMs;
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -159,7 +159,7 @@
             this::becomeLeader);
     registry = new WorkerRegistry(environment, this::pump);
     registry.onCallStart(
-        new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::began);
+        new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::reportCallStart);
     liveRequests = new LiveRequestDispatcher(environment, identity.id(), this, registry);
     proxiedRequests = new ProxyDispatcher(environment, identity.zone(), this, registry);
     batchDispatcher = new BatchDispatcher(environment, identity.id(), this, registry);
@@ -180,7 +180,7 @@
   }
 
   private void pump() {
-    liveRequests.pump();
+    liveRequests.dispatchQueued();
     batchDispatcher.pump();
   }
 
@@ -244,14 +244,14 @@
   }
 
   public RequestHandle complete(LiveRequest request, LiveResponseListener listener) {
-    return liveRequests.take(request, listener);
+    return liveRequests.submit(request, listener);
   }
 
   /** Passes an opaque request on to a worker by the bundle's routes. */
   @Override
   public RequestHandle proxy(ProxiedRequest request, ProxiedResponseListener listener) {
     if (!isStarting() || early.size() >= LifecycleConstants.MAX_STARTUP_HELD_REQUESTS) {
-      return proxiedRequests.take(request, listener);
+      return proxiedRequests.submit(request, listener);
     }
     HeldRequest held = new HeldRequest(request, listener);
     early.add(held);
@@ -280,11 +280,12 @@
       Route route = route(request.host(), request.path());
       if (route != null && route.type() == RoutingConfiguration.RouteType.BATCH) {
         // The door could not tell that it is a batch; it is handed in again.
-        listener.refused(
+        listener.rejected(
             Response.ofRetryAfterMs(
                 new ApiError.NoConfiguration(), LiveRequestConstants.MIN_RETRY_AFTER_MS));
       } else {
-        taken = proxiedRequests.take(request.after(environment.nowMs() - cameAt), listener, cameAt);
+        taken =
+            proxiedRequests.submit(request.after(environment.nowMs() - cameAt), listener, cameAt);
       }
     }
 
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
@@ -140,7 +140,7 @@
         unseen -> new ArrayDeque<>());
   }
 
-  public RequestHandle take(LiveRequest request, LiveResponseListener listener) {
+  public RequestHandle submit(LiveRequest request, LiveResponseListener listener) {
     ApiError hindrance = edge.rejectionOfNewWork();
     RoutingConfiguration configuration = edge.configuration();
     if (hindrance == null && configuration == null) {
@@ -192,7 +192,7 @@
     if (registry.all().stream()
         .noneMatch(
             worker ->
-                ofPool(worker, admitted) && registry.comesBackBy(worker, admitted.expiresAt))) {
+                ofPool(worker, admitted) && registry.isUsableBefore(worker, admitted.expiresAt))) {
       return new ApiError.NoWorker(admitted.way.pool());
     }
     double interval = startIntervals.getOrDefault(admitted.way.trafficClass(), 0.0);
@@ -218,7 +218,7 @@
       waitMs =
           registry.all().stream()
               .filter(worker -> ofPool(worker, admitted))
-              .mapToLong(registry::restMs)
+              .mapToLong(registry::unavailableMs)
               .min()
               .orElse(WorkerConstants.LOAD_STALE_AFTER_MS);
     } else {
@@ -258,10 +258,10 @@
             admitted.refuse(new ApiError.DeadlineExceeded());
           }
         });
-    pump();
+    dispatchQueued();
   }
 
-  public void pump() {
+  public void dispatchQueued() {
     for (ArrayDeque<AdmittedRequest> queue : queues.values()) {
       for (AdmittedRequest admitted : List.copyOf(queue)) {
         if (admitted.over || admitted.run != null) {
@@ -273,8 +273,8 @@
               .noneMatch(
                   each ->
                       ofPool(each, admitted)
-                          && registry.comesBackBy(each, admitted.expiresAt)
-                          && !admitted.tried.contains(each.worker.id()))) {
+                          && registry.isUsableBefore(each, admitted.expiresAt)
+                          && !admitted.tried.contains(each.registration.id()))) {
             admitted.refuse(new ApiError.NoWorker(admitted.way.pool()));
             continue;
           }
@@ -287,7 +287,7 @@
   }
 
   private boolean ofPool(WorkerState worker, AdmittedRequest admitted) {
-    return worker.worker.pool().equals(admitted.way.pool());
+    return worker.registration.pool().equals(admitted.way.pool());
   }
 
   /**
@@ -301,8 +301,8 @@
     for (WorkerState each : registry.all()) {
       if (ofPool(each, admitted)
           && registry.isUsable(each)
-          && !admitted.tried.contains(each.worker.id())) {
-        usable.put(each.worker.id(), each);
+          && !admitted.tried.contains(each.registration.id())) {
+        usable.put(each.registration.id(), each);
         load += each.runningCalls();
       }
     }
@@ -357,7 +357,8 @@
     admitted.runListener = listener(admitted, worker);
     admitted.run =
         environment.callWorker(
-            new WorkerCall(worker.worker.address(), Json.bytes(admitted.request.body()), expiry),
+            new WorkerCall(
+                worker.registration.address(), Json.bytes(admitted.request.body()), expiry),
             admitted.runListener);
     atWorkers.add(admitted);
   }
@@ -380,12 +381,13 @@
   public void tick() {
     refuseIfHindered();
     for (AdmittedRequest admitted : List.copyOf(atWorkers)) {
-      if (admitted.run != null && registry.lost(admitted.worker, admitted.lastTextAt)) {
+      if (admitted.run != null && registry.isPresumedLost(admitted.worker, admitted.lastTextAt)) {
         admitted.run.cancel();
-        admitted.runListener.fail(new ApiError.WorkerTimeout(admitted.worker.worker.id()), true);
+        admitted.runListener.fail(
+            new ApiError.WorkerTimeout(admitted.worker.registration.id()), true);
       }
     }
-    pump();
+    dispatchQueued();
   }
 
   private void noteStart(AdmittedRequest admitted) {
@@ -433,7 +435,7 @@
         admitted.finish();
         edge.incrementCounter("live_served");
         admitted.listener.end(admitted.output.toString(), finishReason);
-        pump();
+        dispatchQueued();
       }
 
       @Override
@@ -446,14 +448,14 @@
           registry.recordRejection(worker);
           admitted.handedOver = false;
           queue(admitted).addFirst(admitted);
-          pump();
+          dispatchQueued();
           return;
         }
         if (!(error instanceof ApiError.WorkerRejected)) {
           registry.recordConnectionFailure(worker);
         }
         edge.incrementCounter("live_worker_faults");
-        admitted.tried.add(worker.worker.id());
+        admitted.tried.add(worker.registration.id());
         boolean once = !admitted.request.onceId().isEmpty();
         if (admitted.passedOn || once && mayHaveRun || admitted.retriesLeft-- <= 0) {
           admitted.handedOver = mayHaveRun;
@@ -462,7 +464,7 @@
           admitted.handedOver = admitted.handedOver && mayHaveRun;
           queue(admitted).addFirst(admitted);
         }
-        pump();
+        dispatchQueued();
       }
 
       private void release() {
--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
@@ -21,10 +21,10 @@
    * Our own response. Statuses 408, 421, 429 and 503 say that the request has not run and never
    * will.
    */
-  void refused(Response response);
+  void rejected(Response response);
 
   /**
    * The response must be shown as incomplete: the connection is closed without the format's end.
    */
-  void cut(ApiError error);
+  void truncated(ApiError error);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxyDispatcher.java
@@ -148,12 +148,12 @@
       mayHaveRun |= run != null;
       finish();
       if (headPassed) {
-        listener.cut(error);
+        listener.truncated(error);
       } else if (!mayHaveRun) {
-        listener.refused(Response.ofRetryAfterMs(error, comeBackMs(error, this)));
+        listener.rejected(Response.ofRetryAfterMs(error, comeBackMs(error, this)));
       } else {
         boolean open = error.description().status() == 502 || error.description().status() == 504;
-        listener.refused(Response.of(open ? error : new ApiError.OutcomeUnknown(request.id())));
+        listener.rejected(Response.of(open ? error : new ApiError.OutcomeUnknown(request.id())));
       }
     }
   }
@@ -196,12 +196,12 @@
       this.worker = worker;
       this.expectedWaitMs = expectedWaitMs;
       this.reading = reading;
-      this.toRead = expectedWaitMs > 0 ? -1 : worker.unreadPromptTokensNow(sentAt) + reading;
-      worker.unreadPromptTokens += reading;
+      this.toRead = expectedWaitMs > 0 ? -1 : worker.pendingPrefillTokensAt(sentAt) + reading;
+      worker.pendingPrefillTokens += reading;
     }
 
     private void releaseUnreadTokens() {
-      worker.unreadPromptTokens -= reading;
+      worker.pendingPrefillTokens -= reading;
       reading = 0;
     }
 
@@ -301,7 +301,7 @@
     /** The worker may have run the request: another run only where the route allows a second. */
     private void endUncertain(ApiError error) {
       admitted.mayHaveRun = true;
-      admitted.tried.add(worker.worker.id());
+      admitted.tried.add(worker.registration.id());
       if (admitted.repeatable()) {
         sendOn(admitted, error);
       } else {
@@ -330,7 +330,7 @@
         endUncertain(error);
         return;
       }
-      admitted.tried.add(worker.worker.id());
+      admitted.tried.add(worker.registration.id());
       if (WorkerRegistry.isCapacityRejection(error)) {
         registry.recordActivity(worker);
         registry.recordRejection(worker);
@@ -365,12 +365,12 @@
     this.selection = new WorkerSelection(environment, zone, edge, registry);
   }
 
-  public RequestHandle take(ProxiedRequest request, ProxiedResponseListener listener) {
-    return take(request, listener, environment.nowMs());
+  public RequestHandle submit(ProxiedRequest request, ProxiedResponseListener listener) {
+    return submit(request, listener, environment.nowMs());
   }
 
   /** The route's timeout runs from arrivedAt on, which lies back if the request has waited. */
-  public RequestHandle take(
+  public RequestHandle submit(
       ProxiedRequest request, ProxiedResponseListener listener, long arrivedAt) {
     ApiError hindrance = edge.rejectionOfNewWork();
     if (hindrance == null && edge.configuration() == null) {
@@ -385,7 +385,7 @@
       boolean starting =
           hindrance instanceof ApiError.NodeIsolated
               || hindrance instanceof ApiError.NoConfiguration;
-      listener.refused(
+      listener.rejected(
           starting
               ? Response.ofRetryAfterMs(hindrance, LifecycleConstants.STARTUP_RETRY_AFTER_MS)
               : Response.of(hindrance));
@@ -411,7 +411,7 @@
                           && registry.all().stream()
                               .anyMatch(
                                   worker ->
-                                      worker.worker.pool().equals(share.pool())
+                                      worker.registration.pool().equals(share.pool())
                                           && !worker.isDraining()))
               .toList();
       shares = manned.isEmpty() ? shares : manned;
@@ -468,8 +468,8 @@
     WorkerCallHandle exchange =
         environment.exchange(
             new WorkerExchange(
-                worker.worker.address(),
-                worker.worker.id(),
+                worker.registration.address(),
+                worker.registration.id(),
                 admitted.request,
                 admitted.route.rank(),
                 left,
@@ -494,7 +494,7 @@
   private WorkerState select(AdmittedRequest admitted, WorkerState except) {
     return selection.select(
         admitted.demand,
-        worker -> worker != except && !admitted.tried.contains(worker.worker.id()),
+        worker -> worker != except && !admitted.tried.contains(worker.registration.id()),
         admitted.repeatable());
   }
 
@@ -509,7 +509,7 @@
     }
     double waitMs = LiveRequestConstants.MAX_RETRY_AFTER_MS;
     for (WorkerState each : registry.all()) {
-      if (each.worker.pool().equals(admitted.pool) && !each.isDraining()) {
+      if (each.registration.pool().equals(admitted.pool) && !each.isDraining()) {
         double slotMs = each.serviceMs / Math.max(1, each.capacity());
         waitMs =
             Math.min(
@@ -557,7 +557,7 @@
         continue;
       }
       if (now >= admitted.expiresAt) {
-        admitted.conclude(new ApiError.WorkerTimeout(admitted.run.worker.worker.id()));
+        admitted.conclude(new ApiError.WorkerTimeout(admitted.run.worker.registration.id()));
       } else if (frozen) {
         admitted.run.heardAt = now;
       } else {
@@ -580,24 +580,24 @@
   private void lookAt(AdmittedRequest admitted, long now) {
     WorkerAttempt run = admitted.run;
     WorkerState worker = run.worker;
-    long silentMs = now - Math.max(run.heardAt, worker.lastHeardAt);
+    long silentMs = now - Math.max(run.heardAt, worker.lastActivityAt);
     if (silentMs <= silenceMs(run)) {
       return;
     }
-    if (!worker.suspect) {
+    if (!worker.unresponsive) {
       if (mostAreSuspect(admitted.pool)) {
         return;
       }
-      worker.suspect = true;
+      worker.unresponsive = true;
       registry.recordConnectionFailure(worker);
       edge.incrementCounter("opaque_workers_suspected");
     }
     if (admitted.repeatable() && mayMove(admitted, worker)) {
       edge.incrementCounter("opaque_moved");
       admitted.mayHaveRun = true;
-      admitted.tried.add(worker.worker.id());
+      admitted.tried.add(worker.registration.id());
       run.leave();
-      sendOn(admitted, new ApiError.WorkerTimeout(worker.worker.id()));
+      sendOn(admitted, new ApiError.WorkerTimeout(worker.registration.id()));
     }
   }
 
@@ -618,9 +618,9 @@
     int all = 0;
     int suspect = 0;
     for (WorkerState each : registry.all()) {
-      if (each.worker.pool().equals(pool) && !each.isDraining()) {
+      if (each.registration.pool().equals(pool) && !each.isDraining()) {
         all++;
-        suspect += each.suspect ? 1 : 0;
+        suspect += each.unresponsive ? 1 : 0;
       }
     }
     return 2 * (suspect + 1) > all;
--- a/core-logic/src/main/java/applespindle/corelogic/worker/OutlierDetection.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/OutlierDetection.java
@@ -65,11 +65,11 @@
 
   /** Bytes of any run came: it is there. */
   void recordActivity(WorkerState worker) {
-    worker.lastHeardAt = environment.nowMs();
-    if (worker.suspect) {
-      worker.suspect = false;
-      worker.ejectedUntil = worker.lastHeardAt;
-      worker.slowStartFrom = worker.lastHeardAt;
+    worker.lastActivityAt = environment.nowMs();
+    if (worker.unresponsive) {
+      worker.unresponsive = false;
+      worker.ejectedUntil = worker.lastActivityAt;
+      worker.slowStartFrom = worker.lastActivityAt;
     }
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
@@ -45,7 +45,7 @@
    * A run began there. Grouped the longer the more peers there are: the messages in a second stay
    * as many. A worker that is asked for its load tells it to all.
    */
-  public void began(WorkerState worker) {
+  public void reportCallStart(WorkerState worker) {
     if (!worker.hasListedSlots()) {
       return;
     }
@@ -61,12 +61,12 @@
     due = false;
     List<OwnLoad> loads = new ArrayList<>();
     for (WorkerState each : changed) {
-      if (registry.listed(each)) {
+      if (registry.isListed(each)) {
         loads.add(
             new OwnLoad(
-                each.worker.id(),
+                each.registration.id(),
                 each.liveCalls + each.batchCalls,
-                (int) Math.round(each.unreadPromptTokens)));
+                (int) Math.round(each.pendingPrefillTokens)));
       }
     }
     changed.clear();
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
@@ -39,7 +39,7 @@
         environment.random().nextLong(JITTER_MS) - WorkerConstants.LOAD_POLL_INTERVAL_MS / 10;
     long pauseMs = WorkerConstants.LOAD_POLL_INTERVAL_MS + jitterMs;
     environment.readLoad(
-        worker.worker.address(),
+        worker.registration.address(),
         load -> {
           worker.load = load;
           worker.loadAt = environment.nowMs();
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
@@ -31,7 +31,7 @@
 
   public WorkerRegistry(Environment environment, Runnable whenChanged) {
     this.environment = environment;
-    this.polling = new WorkerLoadPoller(environment, this::listed, whenChanged);
+    this.polling = new WorkerLoadPoller(environment, this::isListed, whenChanged);
     this.outcomes = new OutlierDetection(environment);
   }
 
@@ -42,13 +42,13 @@
     workers.forEach(
         (id, worker) -> {
           WorkerState present = statesById.get(id);
-          if (present == null || !present.worker.address().equals(worker.address())) {
+          if (present == null || !present.registration.address().equals(worker.address())) {
             present = new WorkerState();
             present.idHash = RendezvousHashing.hash(id);
             present.slowStartFrom = first ? present.slowStartFrom : environment.nowMs();
             statesById.put(id, present);
           }
-          present.worker = worker;
+          present.registration = worker;
           if (!present.hasListedSlots()) {
             polling.begin(present);
           }
@@ -63,14 +63,14 @@
     return statesById.get(id);
   }
 
-  boolean listed(WorkerState worker) {
-    return statesById.get(worker.worker.id()) == worker;
+  boolean isListed(WorkerState worker) {
+    return statesById.get(worker.registration.id()) == worker;
   }
 
   /** Listed, heard of lately, not leaving, not at rest after a fault. */
   public boolean isUsable(WorkerState worker) {
     long now = environment.nowMs();
-    return listed(worker)
+    return isListed(worker)
         && !worker.isDraining()
         && heardOfLately(worker)
         && now >= worker.ejectedUntil;
@@ -85,16 +85,16 @@
    * Neither its load nor a run there has been heard of for so long that what runs there is taken
    * for lost.
    */
-  public boolean lost(WorkerState worker, long lastTextAt) {
+  public boolean isPresumedLost(WorkerState worker, long lastTextAt) {
     long now = environment.nowMs();
-    long heardAt = Math.max(worker.loadAt, worker.lastHeardAt);
+    long heardAt = Math.max(worker.loadAt, worker.lastActivityAt);
     return now - heardAt > WorkerConstants.LOAD_STALE_AFTER_MS
         && now - lastTextAt > WorkerConstants.LOAD_STALE_AFTER_MS;
   }
 
   /** Usable now, or as soon as a rest ends that ends before the expiry. */
-  public boolean comesBackBy(WorkerState worker, long expiresAt) {
-    return listed(worker)
+  public boolean isUsableBefore(WorkerState worker, long expiresAt) {
+    return isListed(worker)
         && !worker.isDraining()
         && heardOfLately(worker)
         && worker.ejectedUntil < expiresAt;
@@ -104,7 +104,7 @@
    * How long until the worker may be usable as far as is known: its rest, or the time its silence
    * needs to show.
    */
-  public long restMs(WorkerState worker) {
+  public long unavailableMs(WorkerState worker) {
     long now = environment.nowMs();
     boolean silent = !heardOfLately(worker) || worker.isDraining();
     return Math.max(worker.ejectedUntil - now, silent ? WorkerConstants.LOAD_STALE_AFTER_MS : 0);
@@ -211,8 +211,8 @@
   public void describe(ArrayNode rows) {
     for (WorkerState each : statesById.values()) {
       rows.addObject()
-          .put("id", each.worker.id())
-          .put("state", each.worker.state())
+          .put("id", each.registration.id())
+          .put("state", each.registration.state())
           .put("usable", isUsable(each))
           .put("running", each.runningCalls())
           .put("capacity", each.capacity())
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerSelection.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerSelection.java
@@ -80,7 +80,9 @@
   public WorkerState select(Demand demand, Predicate<WorkerState> allowed, boolean repeatable) {
     List<WorkerState> candidates = new ArrayList<>();
     for (WorkerState each : registry.all()) {
-      if (each.worker.pool().equals(demand.pool()) && !each.isDraining() && allowed.test(each)) {
+      if (each.registration.pool().equals(demand.pool())
+          && !each.isDraining()
+          && allowed.test(each)) {
         candidates.add(each);
       }
     }
@@ -157,7 +159,7 @@
   }
 
   private boolean isInOwnZone(WorkerState worker) {
-    return worker.worker.zone().equals(zone);
+    return worker.registration.zone().equals(zone);
   }
 
   private double costMs(
@@ -165,7 +167,7 @@
     long now = environment.nowMs();
     double unread = keeper ? unreadTokensAtPreferred(demand, worker) : unreadTokens(demand, worker);
     double readingMs =
-        (worker.unreadPromptTokensNow(now) + unread) / WorkerConstants.PREFILL_TOKENS_PER_MS;
+        (worker.pendingPrefillTokensAt(now) + unread) / WorkerConstants.PREFILL_TOKENS_PER_MS;
     return loadCostMs(demand, worker, running)
         + waitMs(demand, worker, running)
         + readingMs
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerState.java
@@ -10,7 +10,7 @@
  * What this edge knows of one worker; changed by its registry, dispatchers and outlier detection.
  */
 public final class WorkerState {
-  public WorkerRegistration worker;
+  public WorkerRegistration registration;
   public WorkerLoad load = new WorkerLoad(0, 0, 0, false);
   long loadAt = Long.MIN_VALUE / 2;
 
@@ -46,9 +46,9 @@
    * When bytes last came from there in any run; suspect: a run there stayed silent too long, and
    * none came since.
    */
-  public long lastHeardAt = Long.MIN_VALUE / 2;
+  public long lastActivityAt = Long.MIN_VALUE / 2;
 
-  public boolean suspect;
+  public boolean unresponsive;
 
   /** Part of its recent runs that failed, 0 to 1, as of failureRateAt. */
   double failureRate;
@@ -67,7 +67,7 @@
    * Prompt tokens of this edge's runs there from which nothing has come yet: they delay every
    * stream there.
    */
-  public double unreadPromptTokens;
+  public double pendingPrefillTokens;
 
   /** By edge of the zone: what it last told of its own runs there. */
   final Map<String, PeerLoad> peers = new HashMap<>();
@@ -85,11 +85,11 @@
 
   /** Never asked for its load. */
   boolean hasListedSlots() {
-    return worker.slots() > 0;
+    return registration.slots() > 0;
   }
 
   public int capacity() {
-    return hasListedSlots() ? worker.slots() : load.capacity();
+    return hasListedSlots() ? registration.slots() : load.capacity();
   }
 
   public double otherCallsNow(long now) {
@@ -117,8 +117,8 @@
    * Tokens that were sent there and are still to be read, as far as is known: what peers told is
    * read meanwhile.
    */
-  public double unreadPromptTokensNow(long now) {
-    double unread = unreadPromptTokens;
+  public double pendingPrefillTokensAt(long now) {
+    double unread = pendingPrefillTokens;
     for (PeerLoad each : peers.values()) {
       unread += Math.max(0, each.unreadPromptTokens() - (now - each.at()) * prefillTokensPerMs());
     }
@@ -130,7 +130,7 @@
    * before them.
    */
   public double streamPauseMs(long now, double further) {
-    return (unreadPromptTokensNow(now) + further) / prefillTokensPerMs();
+    return (pendingPrefillTokensAt(now) + further) / prefillTokensPerMs();
   }
 
   /** So many tokens were read in this time. */
@@ -148,7 +148,7 @@
   }
 
   public boolean isDraining() {
-    return worker.state().equals(WorkerRegistration.LEAVING) || load.leaving();
+    return registration.state().equals(WorkerRegistration.LEAVING) || load.leaving();
   }
 
   public int runningCalls() {
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
@@ -395,11 +395,11 @@
   void itsOwnItemsCountAsToBeReadUntilSomethingComes() {
     fed("w", 8).handOut("w", 0, 0);
     WorkerState worker = fixture.registry.get("w");
-    assertThat(worker.unreadPromptTokens).isEqualTo(35.0);
+    assertThat(worker.pendingPrefillTokens).isEqualTo(35.0);
     fixture.sent.get(0).worker.head(STREAM);
-    assertThat(worker.unreadPromptTokens).isEqualTo(0.0);
+    assertThat(worker.pendingPrefillTokens).isEqualTo(0.0);
     fixture.sent.get(0).worker.fail(new ApiError.WorkerTimeout("w"), true);
-    assertThat(worker.unreadPromptTokens).isEqualTo(0.0);
+    assertThat(worker.pendingPrefillTokens).isEqualTo(0.0);
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
@@ -82,7 +82,7 @@
 
   Client pass(ProxiedRequest request) {
     Client client = new Client();
-    client.handle = desk.take(request, client);
+    client.handle = desk.submit(request, client);
     return client;
   }
 
@@ -138,13 +138,13 @@
     }
 
     @Override
-    public void refused(Response response) {
+    public void rejected(Response response) {
       refusal = response;
       heard.add("refused " + response.status());
     }
 
     @Override
-    public void cut(ApiError error) {
+    public void truncated(ApiError error) {
       cut = error;
       heard.add("cut");
     }
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
@@ -409,7 +409,7 @@
     silent.worker.head(GOOD);
     silent.worker.end();
     assertThat(client.heard).containsExactly("head 200", "end").inOrder();
-    assertThat(fixture.registry.get(silent.call.workerId()).suspect).isFalse();
+    assertThat(fixture.registry.get(silent.call.workerId()).unresponsive).isFalse();
   }
 
   @Test
@@ -426,7 +426,7 @@
       fixture.run(100);
       speaking.worker.chunk(new ResponseChunk("", new byte[] {'.'}));
     }
-    assertThat(fixture.registry.get("w1").suspect).isFalse();
+    assertThat(fixture.registry.get("w1").unresponsive).isFalse();
     assertThat(other.cut).isNull();
   }
 
@@ -437,7 +437,7 @@
       fixture.pass(request("r" + index));
     }
     fixture.run(1_900);
-    assertThat(fixture.registry.all().stream().filter(worker -> worker.suspect).count())
+    assertThat(fixture.registry.all().stream().filter(worker -> worker.unresponsive).count())
         .isAtMost(1L);
   }
 
@@ -493,7 +493,7 @@
   void theRoutesTimeoutCountsWhatTheRequestWaitedBefore() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     Client client = new Client();
-    fixture.desk.take(request("1", "a.example", "/a/x", 60_000), client, fixture.nowMs() - 500);
+    fixture.desk.submit(request("1", "a.example", "/a/x", 60_000), client, fixture.nowMs() - 500);
     fixture.run(3_500 + LiveRequestConstants.MIN_EXPIRY_CHECK_INTERVAL_MS);
     assertThat(client.heard).containsExactly("refused 504");
   }
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
@@ -77,17 +77,17 @@
         "other",
         new PeerLoadReport(List.of(new OwnLoad("w1", 2, 1_000), new OwnLoad("gone", 1, 1))));
     WorkerState worker = fixture.registry.get("w1");
-    assertThat(worker.unreadPromptTokensNow(fixture.nowMs())).isEqualTo(1_000.0);
+    assertThat(worker.pendingPrefillTokensAt(fixture.nowMs())).isEqualTo(1_000.0);
     fixture.run(10);
-    assertThat(worker.unreadPromptTokensNow(fixture.nowMs()))
+    assertThat(worker.pendingPrefillTokensAt(fixture.nowMs()))
         .isWithin(0.001)
         .of(1_000 - 10 * WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS);
     fixture.run(20);
-    assertThat(worker.unreadPromptTokensNow(fixture.nowMs())).isEqualTo(0.0);
+    assertThat(worker.pendingPrefillTokensAt(fixture.nowMs())).isEqualTo(0.0);
     assertThat(worker.runningCallsNow(fixture.nowMs())).isGreaterThan(1.5);
     fixture.registry.recordPeerLoad(
         "other", new PeerLoadReport(List.of(new OwnLoad("w1", 1, 200))));
-    assertThat(worker.unreadPromptTokensNow(fixture.nowMs())).isEqualTo(200.0);
+    assertThat(worker.pendingPrefillTokensAt(fixture.nowMs())).isEqualTo(200.0);
   }
 
   @Test
@@ -142,7 +142,7 @@
                   told.add(id);
                   loads.addAll(((PeerLoadReport) message).loads());
                 })
-            ::began);
+            ::reportCallStart);
     fixture.pass(request("1", "a", "b"));
     fixture.pass(request("2", "c", "d"));
     fixture.run(2 * WorkerConstants.PEER_LOAD_REPORT_DELAY_MS - 1);
@@ -184,7 +184,10 @@
     assertThat(fixture.sent.stream().map(sent -> sent.call.workerId()).distinct().count())
         .isEqualTo(3);
     fixture.sent.forEach(sent -> sent.worker.head(GOOD));
-    fixture.registry.all().forEach(worker -> assertThat(worker.unreadPromptTokens).isEqualTo(0.0));
+    fixture
+        .registry
+        .all()
+        .forEach(worker -> assertThat(worker.pendingPrefillTokens).isEqualTo(0.0));
   }
 
   @Test
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
@@ -112,12 +112,12 @@
   }
 
   @Override
-  public void refused(Response refused) {
+  public void rejected(Response refused) {
     tell(told -> told.refused = refused);
   }
 
   @Override
-  public void cut(ApiError error) {
+  public void truncated(ApiError error) {
     tell(told -> told.cut = true);
   }
 
--- a/data-plane/src/test/java/applespindle/dataplane/ProxyResponsesTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyResponsesTest.java
@@ -193,7 +193,7 @@
           () -> {
             listener.head(STREAM);
             listener.chunk(piece("data: 1\n\n"));
-            listener.cut(new ApiError.WorkerStreamTruncated("w"));
+            listener.truncated(new ApiError.WorkerStreamTruncated("w"));
           });
       String all = readAll(socket);
       assertThat(all).contains("data: 1\n\n");
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
@@ -353,12 +353,12 @@
     }
 
     @Override
-    public void cut(ApiError error) {
+    public void truncated(ApiError error) {
       over(false);
     }
 
     @Override
-    public void refused(Response response) {
+    public void rejected(Response response) {
       kind.refused++;
       over(false);
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
@@ -332,7 +332,7 @@
     }
 
     @Override
-    public void refused(Response response) {
+    public void rejected(Response response) {
       whenOver.accept(
           () -> {
             retryAfterMs = response.retryAfterMs();
@@ -342,7 +342,7 @@
     }
 
     @Override
-    public void cut(ApiError error) {
+    public void truncated(ApiError error) {
       whenOver.accept(() -> finish("cut", status));
     }
 
--- a/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -273,12 +273,12 @@
     public void end() {}
 
     @Override
-    public void refused(Response response) {
+    public void rejected(Response response) {
       refused = response;
     }
 
     @Override
-    public void cut(ApiError error) {}
+    public void truncated(ApiError error) {}
   }
 
   private Heard passAtStart(Process edge) {
