--- a/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
@@ -5,23 +5,32 @@
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import java.util.function.Consumer;
 
-/** What the desk needs of the edge it lives on. */
+/** What the dispatchers and the worker selection need of their edge. Called on the logic thread. */
 public interface EdgeContext {
+  /** Why the edge admits no new requests now, or null if it does. */
   ApiError rejectionOfNewWork();
 
   /**
-   * Null when a request that was already taken may go on to a worker; a polite stop alone does not
-   * hinder it.
+   * Why a request that was admitted may not be sent to a worker now, or null if it may. A graceful
+   * stop alone does not prevent it.
    */
   ApiError rejectionOfAdmittedWork();
 
+  /** The configuration in force, or null before the first. */
   RoutingConfiguration configuration();
 
-  /** What that bundle says of opaque requests; empty while there is none. */
+  /** The routes for proxied requests of that configuration; empty before the first. */
   RouteTable routes();
 
+  /**
+   * Claims an idempotency id for a request.
+   *
+   * @param token identifies this claim among others for the same id
+   * @param then gets null when the claim is granted, or why it is not
+   */
   void claimOnce(String id, String token, Consumer<ApiError> then);
 
+  /** Gives up a claim of a request that has certainly not run. */
   void unclaimOnce(String id, String token);
 
   void incrementCounter(String counter);
--- a/core-logic/src/main/java/applespindle/corelogic/worker/OutlierDetection.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/OutlierDetection.java
@@ -4,13 +4,17 @@
 import applespindle.corelogic.environment.Environment;
 
 /**
- * What the outcomes of this edge's runs at a worker say about it: how long it is left to rest, from
- * when on it gets more requests again, and which part of its runs fails. Invariant: a rest grows
- * only with faults or refusals that came after the rest before it had ended.
+ * Outlier detection: ejects workers after failed or rejected calls, and tracks the share of calls
+ * that fail.
+ *
+ * <p>A worker is healthy, ejected, or in slow start after an ejection for a failure. Invariant: the
+ * duration of an ejection grows only with failures or rejections that came after the end of the
+ * ejection before it, as calls that fail during an ejection were sent before it. The state is kept
+ * in {@link WorkerState}. Confined to the logic thread.
  */
 final class OutlierDetection {
-  /** A rest doubles at most so many times. */
-  private static final int DOUBLINGS_MOST = 10;
+  /** The duration of an ejection is doubled at most this many times. */
+  private static final int MAX_DOUBLINGS = 10;
 
   private final Environment environment;
 
@@ -18,83 +22,79 @@
     this.environment = environment;
   }
 
-  /**
-   * The worker or the way to it failed. Runs that fail while it rests already were begun before and
-   * fell with the first: they make the rest no longer.
-   */
+  /** The worker or the connection to it failed: ejects the worker unless it is ejected already. */
   void recordConnectionFailure(WorkerState worker) {
     updateFailureRate(worker, true);
     long now = environment.nowMs();
-    if (now < worker.ejectedUntil) {
+    if (worker.isEjected(now)) {
       return;
     }
-    long restMs = doubled(WorkerConstants.BASE_EJECTION_MS, worker.consecutiveFailures);
-    worker.consecutiveFailures++;
-    worker.ejectedUntil = now + restMs;
-    worker.slowStartFrom = worker.ejectedUntil;
+    worker.ejectAfterFailure(
+        now + backoffMs(WorkerConstants.BASE_EJECTION_MS, worker.consecutiveFailures()));
   }
 
-  private static long doubled(long firstMs, int times) {
-    return Math.min(WorkerConstants.MAX_EJECTION_MS, firstMs << Math.min(times, DOUBLINGS_MOST));
+  private static long backoffMs(long baseMs, int repetitions) {
+    return Math.min(
+        WorkerConstants.MAX_EJECTION_MS, baseMs << Math.min(repetitions, MAX_DOUBLINGS));
   }
 
   /**
-   * It answered, but with a failure of its own: no reason to rest, as another request may do
-   * better.
+   * The worker answered with an error of its own. It is not ejected, as other requests may succeed.
    */
   void recordErrorResponse(WorkerState worker) {
     updateFailureRate(worker, true);
   }
 
   /**
-   * It said that it is full: left alone until its next report can tell more, longer if it keeps
-   * saying so. Refusals of what was sent before the rest began are one saying.
+   * The worker rejected a call for want of capacity. A worker with listed slots counts as full; any
+   * other is ejected until its next load report, and longer if it keeps rejecting. Rejections
+   * during an ejection have no effect.
    */
   void recordRejection(WorkerState worker) {
     long now = environment.nowMs();
     if (worker.hasListedSlots()) {
-      int ownRuns = worker.liveCalls + worker.batchCalls;
-      worker.otherCalls = Math.max(worker.otherCallsNow(now), worker.capacity() + 1 - ownRuns);
-      worker.otherCallsAt = now;
-    } else if (now >= worker.ejectedUntil) {
-      worker.ejectedUntil =
-          now + doubled(WorkerConstants.LOAD_POLL_INTERVAL_MS, worker.consecutiveRejections);
-      worker.consecutiveRejections++;
+      recordAsFull(worker, now);
+    } else if (!worker.isEjected(now)) {
+      worker.ejectAfterRejection(
+          now + backoffMs(WorkerConstants.LOAD_POLL_INTERVAL_MS, worker.consecutiveRejections()));
     }
   }
 
-  /** Bytes of any run came: it is there. */
+  private static void recordAsFull(WorkerState worker, long now) {
+    worker.recordOtherCalls(
+        Math.max(worker.otherCallsNow(now), worker.capacity() + 1 - worker.ownCalls()), now);
+  }
+
+  /** Bytes of any call came from the worker: it is responsive. */
   void recordActivity(WorkerState worker) {
-    worker.lastActivityAt = environment.nowMs();
-    if (worker.unresponsive) {
-      worker.unresponsive = false;
-      worker.ejectedUntil = worker.lastActivityAt;
-      worker.slowStartFrom = worker.lastActivityAt;
-    }
+    worker.recordActivity(environment.nowMs());
   }
 
+  /** A call has completed: the next ejection starts at the base duration again. */
   void recordSuccess(WorkerState worker) {
-    worker.consecutiveFailures = 0;
-    worker.consecutiveRejections = 0;
+    worker.resetConsecutiveErrors();
     updateFailureRate(worker, false);
   }
 
-  private void updateFailureRate(WorkerState worker, boolean faulty) {
-    double kept = failureRate(worker) * (1 - WorkerConstants.MOVING_AVERAGE_WEIGHT);
-    worker.failureRate = kept + (faulty ? WorkerConstants.MOVING_AVERAGE_WEIGHT : 0);
-    worker.failureRateAt = environment.nowMs();
+  private void updateFailureRate(WorkerState worker, boolean failed) {
+    double retained = failureRate(worker) * (1 - WorkerConstants.MOVING_AVERAGE_WEIGHT);
+    worker.setFailureRate(
+        retained + (failed ? WorkerConstants.MOVING_AVERAGE_WEIGHT : 0), environment.nowMs());
   }
 
-  /** Part of its recent runs that failed; what is long past counts less. */
+  /** Moving average of the share of failed calls, 0 to 1, decaying with time. */
   double failureRate(WorkerState worker) {
-    long age = environment.nowMs() - worker.failureRateAt;
-    return worker.failureRate * Math.exp(-age / (double) WorkerConstants.FAILURE_DECAY_MS);
+    long ageMs = environment.nowMs() - worker.failureRateAt();
+    return worker.failureRate() * Math.exp(-ageMs / (double) WorkerConstants.FAILURE_DECAY_MS);
   }
 
-  /** From 1 at full strength down to a small part of it for a worker that is new or was at rest. */
+  /**
+   * Weight of the worker's capacity: 1 normally, and growing from {@link
+   * WorkerConstants#MIN_SLOW_START_WEIGHT} to 1 during its slow start.
+   */
   double slowStartWeight(WorkerState worker) {
-    double part =
-        (environment.nowMs() - worker.slowStartFrom) / (double) WorkerConstants.SLOW_START_MS;
-    return Math.max(WorkerConstants.MIN_SLOW_START_WEIGHT, Math.min(1, part));
+    double elapsedShare =
+        (environment.nowMs() - worker.slowStartFrom()) / (double) WorkerConstants.SLOW_START_MS;
+    return Math.max(WorkerConstants.MIN_SLOW_START_WEIGHT, Math.min(1, elapsedShare));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
@@ -3,9 +3,9 @@
 import applespindle.corelogic.constants.WorkerConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.metadata.NodeRegistration;
-import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.PeerLoadReport;
 import applespindle.corelogic.protocol.Message.PeerLoadReport.OwnLoad;
+import applespindle.corelogic.protocol.MessageSender;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -13,28 +13,34 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the other edges of the zone what this one has just sent to workers, so that prompts sent at
- * the same time do not meet at one worker. Only a hint: what is lost or late fades by itself. What
- * is told is the whole of this edge's load at a worker, so that a repeat does no harm.
+ * Reports the calls that this edge has just sent to workers to the other edges of its zone, so that
+ * prompts sent at the same time do not meet at one worker.
+ *
+ * <p>Reports are hints: receivers discount them by age, so that lost or late ones do no harm. Each
+ * carries this edge's total load at a worker and is therefore idempotent. Invariant: at most one
+ * report is scheduled. Confined to the logic thread.
  */
 public final class PeerLoadReporter {
-  /** How a message gets to another edge. */
-  public interface PeerSender {
-    void send(String toAddress, String toId, Message message);
-  }
-
   private final Environment environment;
   private final WorkerRegistry registry;
   private final Supplier<List<NodeRegistration>> peers;
-  private final PeerSender sender;
-  private final Set<WorkerState> changed = new LinkedHashSet<>();
-  private boolean due;
+  private final MessageSender sender;
+
+  /** Workers that calls were sent to since the last report. */
+  private final Set<WorkerState> changedWorkers = new LinkedHashSet<>();
 
+  private boolean reportScheduled;
+
+  /**
+   * Creates a reporter that has nothing to report.
+   *
+   * @param peers gives the other edges of the zone
+   */
   public PeerLoadReporter(
       Environment environment,
       WorkerRegistry registry,
       Supplier<List<NodeRegistration>> peers,
-      PeerSender sender) {
+      MessageSender sender) {
     this.environment = environment;
     this.registry = registry;
     this.peers = peers;
@@ -42,37 +48,38 @@
   }
 
   /**
-   * A run began there. Grouped the longer the more peers there are: the messages in a second stay
-   * as many. A worker that is asked for its load tells it to all.
+   * A call to a worker starts. The delay of the report grows with the number of peers, so that the
+   * number of messages per second stays the same. Workers that are polled are not reported, as they
+   * report their load to all edges themselves.
    */
   public void reportCallStart(WorkerState worker) {
     if (!worker.hasListedSlots()) {
       return;
     }
-    changed.add(worker);
-    int many = due ? 0 : peers.get().size();
-    if (!due && many > 0) {
-      due = true;
-      environment.schedule(WorkerConstants.PEER_LOAD_REPORT_DELAY_MS * many, this::tell);
+    changedWorkers.add(worker);
+    int peerCount = reportScheduled ? 0 : peers.get().size();
+    if (!reportScheduled && peerCount > 0) {
+      reportScheduled = true;
+      environment.schedule(WorkerConstants.PEER_LOAD_REPORT_DELAY_MS * peerCount, this::sendReport);
     }
   }
 
-  private void tell() {
-    due = false;
+  private void sendReport() {
+    reportScheduled = false;
     List<OwnLoad> loads = new ArrayList<>();
-    for (WorkerState each : changed) {
-      if (registry.isListed(each)) {
+    for (WorkerState worker : changedWorkers) {
+      if (registry.isListed(worker)) {
         loads.add(
             new OwnLoad(
-                each.registration.id(),
-                each.liveCalls + each.batchCalls,
-                (int) Math.round(each.pendingPrefillTokens)));
+                worker.registration.id(),
+                worker.ownCalls(),
+                (int) Math.round(worker.pendingPrefillTokens)));
       }
     }
-    changed.clear();
+    changedWorkers.clear();
     if (!loads.isEmpty()) {
-      PeerLoadReport message = new PeerLoadReport(loads);
-      peers.get().forEach(peer -> sender.send(peer.peerAddress(), peer.id(), message));
+      PeerLoadReport report = new PeerLoadReport(loads);
+      peers.get().forEach(peer -> sender.send(peer.peerAddress(), peer.id(), report));
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PrefixCache.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PrefixCache.java
@@ -8,46 +8,68 @@
 import java.util.Map;
 
 /**
- * What one worker may still keep of prompts this edge has sent there. A part counts only behind the
- * same parts before it, so it is remembered by the hash of all parts up to it. Those unused longest
- * are forgotten first.
+ * This edge's model of the prefix cache of one worker: the prompt prefixes that the edge has sent
+ * there and that the worker is likely to hold still.
+ *
+ * <p>A prompt part is reusable only after the same parts before it, so an entry's key is the hash
+ * of a prompt's parts up to and including one. The least recently used entries are evicted first.
+ * Confined to the logic thread.
  */
 public final class PrefixCache {
-  private final LinkedHashMap<Long, Integer> tokensByChain = new LinkedHashMap<>(16, 0.75f, true);
+  /** By hash of a prefix: tokens of the prefix's last part, in order of use. */
+  private final LinkedHashMap<Long, Integer> tokensByPrefixHash =
+      new LinkedHashMap<>(16, 0.75f, true);
+
+  /** Sum of the entries' tokens. */
   private long tokens;
 
-  /** Hash of the first parts of a prompt, each behind those before it. */
+  /** The hash of each prefix of a prompt, from its first part alone to the complete prompt. */
   public static long[] prefixHashes(List<PromptPart> prompt, String model) {
-    long[] chain = new long[prompt.size()];
+    long[] hashes = new long[prompt.size()];
     long hash = RendezvousHashing.hash(model);
-    for (int index = 0; index < chain.length; index++) {
+    for (int index = 0; index < hashes.length; index++) {
       hash = RendezvousHashing.mix(hash ^ RendezvousHashing.hash(prompt.get(index).id()) + index);
-      chain[index] = hash;
+      hashes[index] = hash;
     }
-    return chain;
+    return hashes;
   }
 
-  /** Tokens at the prompt's beginning that need no reading. */
-  int cachedTokens(List<PromptPart> prompt, long[] chain) {
-    int kept = 0;
-    for (int index = 0; index < chain.length && tokensByChain.containsKey(chain[index]); index++) {
-      kept += prompt.get(index).tokens();
+  /** Tokens of the longest prefix of the prompt that is cached. */
+  int cachedTokens(List<PromptPart> prompt, long[] prefixHashes) {
+    int cached = 0;
+    for (int index = 0;
+        index < prefixHashes.length && tokensByPrefixHash.containsKey(prefixHashes[index]);
+        index++) {
+      cached += prompt.get(index).tokens();
     }
-    return kept;
+    return cached;
   }
 
-  public void add(List<PromptPart> prompt, long[] chain, long tokensMost) {
-    for (int index = 0; index < chain.length; index++) {
-      Integer before = tokensByChain.put(chain[index], prompt.get(index).tokens());
-      tokens += prompt.get(index).tokens() - (before == null ? 0 : before);
+  /**
+   * Adds all prefixes of a prompt and evicts what exceeds the limits.
+   *
+   * @param maxTokens size of the worker's cache in tokens; 0 if unknown
+   */
+  public void add(List<PromptPart> prompt, long[] prefixHashes, long maxTokens) {
+    for (int index = 0; index < prefixHashes.length; index++) {
+      int partTokens = prompt.get(index).tokens();
+      Integer previousTokens = tokensByPrefixHash.put(prefixHashes[index], partTokens);
+      tokens += partTokens - (previousTokens == null ? 0 : previousTokens);
     }
-    var oldest = tokensByChain.entrySet().iterator();
-    while (oldest.hasNext()
-        && (tokensByChain.size() > WorkerConstants.MAX_PREFIX_CACHE_PARTS
-            || tokensMost > 0 && tokens > tokensMost)) {
-      Map.Entry<Long, Integer> part = oldest.next();
-      tokens -= part.getValue();
-      oldest.remove();
+    evict(maxTokens);
+  }
+
+  private void evict(long maxTokens) {
+    var leastRecentlyUsed = tokensByPrefixHash.entrySet().iterator();
+    while (leastRecentlyUsed.hasNext() && exceedsLimits(maxTokens)) {
+      Map.Entry<Long, Integer> entry = leastRecentlyUsed.next();
+      tokens -= entry.getValue();
+      leastRecentlyUsed.remove();
     }
   }
+
+  private boolean exceedsLimits(long maxTokens) {
+    return tokensByPrefixHash.size() > WorkerConstants.MAX_PREFIX_CACHE_PARTS
+        || maxTokens > 0 && tokens > maxTokens;
+  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerLoadPoller.java
@@ -5,25 +5,33 @@
 import java.util.function.Predicate;
 
 /**
- * Asks workers for their load again and again, until they are not listed any more or have their
- * slots listed. Invariant: at most one poll is under way for each worker.
+ * Polls workers for their load until they are listed no more or their slots are listed.
+ *
+ * <p>Invariant: at most one poll is under way or scheduled for each worker. Confined to the logic
+ * thread.
  */
 final class WorkerLoadPoller {
-  /** Polls are spread by a random part of the interval, as many edges ask the same workers. */
+  /** Width of the random part of the interval, as many edges poll the same workers. */
   private static final long JITTER_MS = WorkerConstants.LOAD_POLL_INTERVAL_MS / 5;
 
   private final Environment environment;
-  private final Predicate<WorkerState> listed;
-  private final Runnable whenChanged;
+  private final Predicate<WorkerState> isListed;
+  private final Runnable onLoadChanged;
 
-  WorkerLoadPoller(Environment environment, Predicate<WorkerState> listed, Runnable whenChanged) {
+  /**
+   * Creates a poller that polls nothing yet.
+   *
+   * @param onLoadChanged runs after each poll that brought a load
+   */
+  WorkerLoadPoller(
+      Environment environment, Predicate<WorkerState> isListed, Runnable onLoadChanged) {
     this.environment = environment;
-    this.listed = listed;
-    this.whenChanged = whenChanged;
+    this.isListed = isListed;
+    this.onLoadChanged = onLoadChanged;
   }
 
-  /** Begins to poll a worker unless it is polled already. */
-  void begin(WorkerState worker) {
+  /** Starts to poll a worker unless it is being polled. */
+  void start(WorkerState worker) {
     if (!worker.polling) {
       worker.polling = true;
       poll(worker);
@@ -31,32 +39,19 @@
   }
 
   private void poll(WorkerState worker) {
-    if (!listed.test(worker) || worker.hasListedSlots()) {
+    if (!isListed.test(worker) || worker.hasListedSlots()) {
       worker.polling = false;
       return;
     }
-    long jitterMs =
-        environment.random().nextLong(JITTER_MS) - WorkerConstants.LOAD_POLL_INTERVAL_MS / 10;
+    long jitterMs = environment.random().nextLong(JITTER_MS) - JITTER_MS / 2;
     long pauseMs = WorkerConstants.LOAD_POLL_INTERVAL_MS + jitterMs;
     environment.readLoad(
         worker.registration.address(),
         load -> {
-          worker.load = load;
-          worker.loadAt = environment.nowMs();
-          worker.callsSinceReport = 0;
-          notePeak(worker);
+          worker.recordPolledLoad(load, environment.nowMs());
           environment.schedule(pauseMs, () -> poll(worker));
-          whenChanged.run();
+          onLoadChanged.run();
         },
         error -> environment.schedule(pauseMs, () -> poll(worker)));
   }
-
-  private void notePeak(WorkerState worker) {
-    long now = environment.nowMs();
-    double halvings =
-        (now - worker.peakLiveCallsAt) / (double) WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
-    double fallen = worker.peakLiveCalls * Math.pow(0.5, halvings);
-    worker.peakLiveCalls = Math.max(worker.liveRunning(), fallen);
-    worker.peakLiveCallsAt = now;
-  }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
@@ -14,51 +14,64 @@
 import java.util.function.Consumer;
 
 /**
- * This edge's view of each listed worker: its mark, its load, and what this edge has running there.
- * Workers whose slots are listed are never asked for their load: what others run there is known
- * from what their responses tell, and the longer ago that was, the less it counts.
+ * This edge's view of all listed workers: owns one {@link WorkerState} for each, and is where
+ * dispatchers record what happened to their calls.
+ *
+ * <p>A worker whose id is listed with another address is a new worker and starts with a new state.
+ * Workers without listed slots are polled for their load. Workers with listed slots never are: the
+ * calls of other edges there are known from the load in responses and from the other edges'
+ * reports, both discounted by age. Confined to the logic thread.
  */
 public final class WorkerRegistry {
-
   private final Environment environment;
-  private final WorkerLoadPoller polling;
-  private final OutlierDetection outcomes;
-  private Consumer<WorkerState> whenBegan = unheard -> {};
+  private final WorkerLoadPoller loadPoller;
+  private final OutlierDetection outlierDetection;
   private final Map<String, WorkerState> statesById = new TreeMap<>();
+  private Consumer<WorkerState> callStartListener = unheard -> {};
 
-  /** Workers listed soon after this are only new to this edge; -1 before the first list. */
-  private long followedSince = -1;
+  /** When the first list came; -1 before. Workers listed soon after are new to this edge only. */
+  private long firstListAt = -1;
 
-  public WorkerRegistry(Environment environment, Runnable whenChanged) {
+  /**
+   * Creates a registry without workers.
+   *
+   * @param onLoadChanged runs after each load poll that brought a load
+   */
+  public WorkerRegistry(Environment environment, Runnable onLoadChanged) {
     this.environment = environment;
-    this.polling = new WorkerLoadPoller(environment, this::isListed, whenChanged);
-    this.outcomes = new OutlierDetection(environment);
+    this.loadPoller = new WorkerLoadPoller(environment, this::isListed, onLoadChanged);
+    this.outlierDetection = new OutlierDetection(environment);
   }
 
+  /** Replaces the list of workers. Those listed in the first seconds get no slow start. */
   public void updateWorkers(Map<String, WorkerRegistration> workers) {
-    followedSince = followedSince < 0 ? environment.nowMs() : followedSince;
-    boolean first = environment.nowMs() - followedSince < WorkerConstants.SLOW_START_MS;
+    firstListAt = firstListAt < 0 ? environment.nowMs() : firstListAt;
+    boolean isFirstList = environment.nowMs() - firstListAt < WorkerConstants.SLOW_START_MS;
     statesById.keySet().retainAll(workers.keySet());
-    workers.forEach(
-        (id, worker) -> {
-          WorkerState present = statesById.get(id);
-          if (present == null || !present.registration.address().equals(worker.address())) {
-            present = new WorkerState();
-            present.idHash = RendezvousHashing.hash(id);
-            present.slowStartFrom = first ? present.slowStartFrom : environment.nowMs();
-            statesById.put(id, present);
-          }
-          present.registration = worker;
-          if (!present.hasListedSlots()) {
-            polling.begin(present);
-          }
-        });
+    workers.forEach((id, registration) -> updateWorker(id, registration, isFirstList));
+  }
+
+  private void updateWorker(String id, WorkerRegistration registration, boolean isFirstList) {
+    WorkerState state = statesById.get(id);
+    if (state == null || !state.registration.address().equals(registration.address())) {
+      state = new WorkerState(RendezvousHashing.hash(id));
+      if (!isFirstList) {
+        state.startSlowStart(environment.nowMs());
+      }
+      statesById.put(id, state);
+    }
+    state.registration = registration;
+    if (!state.hasListedSlots()) {
+      loadPoller.start(state);
+    }
   }
 
+  /** All listed workers, in the order of their ids; a live view. */
   public Collection<WorkerState> all() {
     return statesById.values();
   }
 
+  /** The worker with this id, or null if it is not listed. */
   public WorkerState get(String id) {
     return statesById.get(id);
   }
@@ -67,158 +80,157 @@
     return statesById.get(worker.registration.id()) == worker;
   }
 
-  /** Listed, heard of lately, not leaving, not at rest after a fault. */
+  /** Whether the worker is listed, recently polled if at all, not draining and not ejected. */
   public boolean isUsable(WorkerState worker) {
     long now = environment.nowMs();
     return isListed(worker)
         && !worker.isDraining()
-        && heardOfLately(worker)
-        && now >= worker.ejectedUntil;
+        && hasRecentLoad(worker)
+        && !worker.isEjected(now);
   }
 
-  private boolean heardOfLately(WorkerState worker) {
+  private boolean hasRecentLoad(WorkerState worker) {
     return worker.hasListedSlots()
-        || environment.nowMs() - worker.loadAt < WorkerConstants.LOAD_STALE_AFTER_MS;
+        || environment.nowMs() - worker.loadAt() < WorkerConstants.LOAD_STALE_AFTER_MS;
   }
 
   /**
-   * Neither its load nor a run there has been heard of for so long that what runs there is taken
-   * for lost.
+   * Whether neither the worker's load nor bytes of any call, of this one included, have come for so
+   * long that what runs there is presumed lost.
+   *
+   * @param lastTextAt when bytes of this call last came, in monotonic milliseconds
    */
   public boolean isPresumedLost(WorkerState worker, long lastTextAt) {
     long now = environment.nowMs();
-    long heardAt = Math.max(worker.loadAt, worker.lastActivityAt);
-    return now - heardAt > WorkerConstants.LOAD_STALE_AFTER_MS
+    long lastContactAt = Math.max(worker.loadAt(), worker.lastActivityAt);
+    return now - lastContactAt > WorkerConstants.LOAD_STALE_AFTER_MS
         && now - lastTextAt > WorkerConstants.LOAD_STALE_AFTER_MS;
   }
 
-  /** Usable now, or as soon as a rest ends that ends before the expiry. */
+  /** Whether the worker is usable, or will be once an ejection ends before this time. */
   public boolean isUsableBefore(WorkerState worker, long expiresAt) {
     return isListed(worker)
         && !worker.isDraining()
-        && heardOfLately(worker)
-        && worker.ejectedUntil < expiresAt;
+        && hasRecentLoad(worker)
+        && worker.ejectedUntil() < expiresAt;
   }
 
   /**
-   * How long until the worker may be usable as far as is known: its rest, or the time its silence
-   * needs to show.
+   * Milliseconds until the worker may be usable, as far as is known: the rest of its ejection, and
+   * at least the time after which a load is stale if the worker is draining or its load is stale. 0
+   * or negative if it may be usable now.
    */
   public long unavailableMs(WorkerState worker) {
     long now = environment.nowMs();
-    boolean silent = !heardOfLately(worker) || worker.isDraining();
-    return Math.max(worker.ejectedUntil - now, silent ? WorkerConstants.LOAD_STALE_AFTER_MS : 0);
+    boolean unavailable = !hasRecentLoad(worker) || worker.isDraining();
+    return Math.max(
+        worker.ejectionRemainingMs(now), unavailable ? WorkerConstants.LOAD_STALE_AFTER_MS : 0);
   }
 
-  public void onCallStart(Consumer<WorkerState> then) {
-    whenBegan = then;
+  /** Sets the listener that is called before each call starts; replaces the one before. */
+  public void onCallStart(Consumer<WorkerState> listener) {
+    callStartListener = listener;
   }
 
+  /** A call of this edge is about to be sent; each start is followed by one end. */
   public void recordCallStart(WorkerState worker, boolean batch) {
-    whenBegan.accept(worker);
-    worker.callsSinceReport++;
-    if (batch) {
-      worker.batchCalls++;
-    } else {
-      worker.liveCalls++;
-    }
+    callStartListener.accept(worker);
+    worker.recordCallStart(batch);
   }
 
+  /** A call of this edge has ended in any way. */
   public void recordCallEnd(WorkerState worker, boolean batch) {
-    worker.callsSinceReport--;
-    if (batch) {
-      worker.batchCalls--;
-    } else {
-      worker.liveCalls--;
-    }
+    worker.recordCallEnd(batch);
   }
 
-  /** The worker or the way to it failed: it is left to rest. */
+  /** The worker or the connection to it failed: it is ejected. */
   public void recordConnectionFailure(WorkerState worker) {
-    outcomes.recordConnectionFailure(worker);
+    outlierDetection.recordConnectionFailure(worker);
   }
 
-  /** It answered, but with a failure of its own. */
+  /** The worker answered with an error of its own: it is not ejected. */
   public void recordErrorResponse(WorkerState worker) {
-    outcomes.recordErrorResponse(worker);
+    outlierDetection.recordErrorResponse(worker);
   }
 
-  /** Part of its recent runs that failed; what is long past counts less. */
+  /** Share of the worker's recent calls that failed, 0 to 1. */
   double failureRate(WorkerState worker) {
-    return outcomes.failureRate(worker);
+    return outlierDetection.failureRate(worker);
   }
 
-  /** Bytes of any run came: it is there. */
+  /** Bytes of any call came from the worker: it is responsive. */
   public void recordActivity(WorkerState worker) {
-    outcomes.recordActivity(worker);
+    outlierDetection.recordActivity(worker);
   }
 
-  /** What another edge of the zone has at workers; it counts less the longer ago that was. */
-  public void recordPeerLoad(String peer, Message.PeerLoadReport told) {
+  /** Records the calls that another edge of the zone reports; unlisted workers are ignored. */
+  public void recordPeerLoad(String peerId, Message.PeerLoadReport report) {
     long now = environment.nowMs();
-    for (Message.PeerLoadReport.OwnLoad load : told.loads()) {
+    for (Message.PeerLoadReport.OwnLoad load : report.loads()) {
       WorkerState worker = statesById.get(load.worker());
       if (worker != null) {
-        worker
-            .peers
-            .values()
-            .removeIf(each -> now - each.at() > WorkerConstants.PEER_LOAD_EXPIRY_MS);
-        worker.peers.put(peer, new PeerLoad(load.running(), load.unreadPromptTokens(), now));
+        worker.recordPeerLoad(
+            peerId, new PeerLoad(load.running(), load.unreadPromptTokens(), now), now);
       }
     }
   }
 
-  /** What a response told of the worker's load; this edge's own runs are in it. */
+  /**
+   * Records the load that a worker reported with a response, which includes this edge's own calls.
+   * Ignored for workers that are polled.
+   */
   public void recordLoad(WorkerState worker, WorkerLoad load) {
     if (worker.hasListedSlots()) {
-      worker.otherCalls =
-          Math.max(0, load.running() + load.queued() - worker.liveCalls - worker.batchCalls);
-      worker.otherCallsAt = environment.nowMs();
+      int others = load.running() + load.queued() - worker.ownCalls();
+      worker.recordOtherCalls(Math.max(0, others), environment.nowMs());
     }
   }
 
-  /** From 1 at full strength down to a small part of it for a worker that is new or was at rest. */
+  /** Weight of the worker's capacity, 0 to 1; less than 1 during its slow start. */
   public double slowStartWeight(WorkerState worker) {
-    return outcomes.slowStartWeight(worker);
+    return outlierDetection.slowStartWeight(worker);
   }
 
-  /** How long a further request is likely to wait there for a slot. */
+  /** Expected wait of a further call for a slot, in milliseconds, with this many calls there. */
   double waitMs(WorkerState worker, double running) {
     int slots = Math.max(1, worker.capacity());
-    return Math.max(0, running + 1 - slots) * worker.serviceMs / slots;
+    return Math.max(0, running + 1 - slots) * worker.serviceTimeMs() / slots;
   }
 
-  /** It said that it is full: it is left alone for a moment. */
+  /** The worker rejected a call for want of capacity. */
   public void recordRejection(WorkerState worker) {
-    outcomes.recordRejection(worker);
+    outlierDetection.recordRejection(worker);
   }
 
-  /** A refusal for want of room, which says nothing against the request. */
+  /** Whether an error is a worker's rejection for want of capacity, not because of the request. */
   public static boolean isCapacityRejection(ApiError error) {
-    return error instanceof ApiError.WorkerRejected refused
-        && (refused.status() == 429 || refused.status() == 503);
+    return error instanceof ApiError.WorkerRejected rejected
+        && (rejected.status() == 429 || rejected.status() == 503);
   }
 
+  /** A call has completed without error. */
   public void recordSuccess(WorkerState worker) {
-    outcomes.recordSuccess(worker);
+    outlierDetection.recordSuccess(worker);
   }
 
+  /** A call has completed without error, and its duration is typical of the worker's calls. */
   public void recordSuccess(WorkerState worker, long tookMs) {
     recordSuccess(worker);
-    worker.serviceMs += (tookMs - worker.serviceMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
+    worker.recordServiceTime(tookMs);
   }
 
+  /** Adds one row for each worker to the edge's status. */
   public void describe(ArrayNode rows) {
-    for (WorkerState each : statesById.values()) {
+    for (WorkerState worker : statesById.values()) {
       rows.addObject()
-          .put("id", each.registration.id())
-          .put("state", each.registration.state())
-          .put("usable", isUsable(each))
-          .put("running", each.runningCalls())
-          .put("capacity", each.capacity())
-          .put("leaving", each.isDraining())
-          .put("ownLive", each.liveCalls)
-          .put("ownBatch", each.batchCalls);
+          .put("id", worker.registration.id())
+          .put("state", worker.registration.state())
+          .put("usable", isUsable(worker))
+          .put("running", worker.runningCalls())
+          .put("capacity", worker.capacity())
+          .put("leaving", worker.isDraining())
+          .put("ownLive", worker.liveCalls())
+          .put("ownBatch", worker.batchCalls);
     }
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
@@ -287,7 +287,8 @@
     fixture.last().worker.fail(new ApiError.InvalidInput(List.of()), false);
     assertThat(fixture.sent).hasSize(1);
     assertThat(client.heard).containsExactly("refused 400");
-    assertThat(fixture.registry.all().stream().noneMatch(worker -> worker.consecutiveFailures > 0))
+    assertThat(
+            fixture.registry.all().stream().noneMatch(worker -> worker.consecutiveFailures() > 0))
         .isTrue();
   }
 
@@ -409,7 +410,7 @@
     silent.worker.head(GOOD);
     silent.worker.end();
     assertThat(client.heard).containsExactly("head 200", "end").inOrder();
-    assertThat(fixture.registry.get(silent.call.workerId()).unresponsive).isFalse();
+    assertThat(fixture.registry.get(silent.call.workerId()).isUnresponsive()).isFalse();
   }
 
   @Test
@@ -426,7 +427,7 @@
       fixture.run(100);
       speaking.worker.chunk(new ResponseChunk("", new byte[] {'.'}));
     }
-    assertThat(fixture.registry.get("w1").unresponsive).isFalse();
+    assertThat(fixture.registry.get("w1").isUnresponsive()).isFalse();
     assertThat(other.cut).isNull();
   }
 
@@ -437,7 +438,7 @@
       fixture.pass(request("r" + index));
     }
     fixture.run(1_900);
-    assertThat(fixture.registry.all().stream().filter(worker -> worker.unresponsive).count())
+    assertThat(fixture.registry.all().stream().filter(worker -> worker.isUnresponsive()).count())
         .isAtMost(1L);
   }
 
@@ -517,6 +518,6 @@
     assertThat(fixture.last().cancelled).isTrue();
     fixture.last().worker.chunk(event(1));
     assertThat(client.heard).isEmpty();
-    assertThat(fixture.registry.get(fixture.last().call.workerId()).liveCalls).isEqualTo(0);
+    assertThat(fixture.registry.get(fixture.last().call.workerId()).liveCalls()).isEqualTo(0);
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
@@ -56,7 +56,7 @@
     for (int index = 0; index < 12; index++) {
       fixture.pass(request("r" + index));
     }
-    fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls).isEqualTo(4));
+    fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls()).isEqualTo(4));
   }
 
   @Test
@@ -171,7 +171,7 @@
     for (int index = 0; index < 24; index++) {
       fixture.pass(request("r" + index, "shared", "own" + index));
     }
-    fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls).isAtLeast(5));
+    fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls()).isAtLeast(5));
   }
 
   @Test
@@ -203,7 +203,7 @@
     for (int index = 0; index < 9; index++) {
       fixture.pass(request("r" + index));
     }
-    assertThat(fixture.registry.get("w1").liveCalls).isAtLeast(2);
+    assertThat(fixture.registry.get("w1").liveCalls()).isAtLeast(2);
   }
 
   /** Nobody tells what runs in other zones: silence is no sign of an idle worker. */
@@ -274,7 +274,7 @@
     for (int index = 0; index < 9; index++) {
       fixture.pass(request("r" + index));
     }
-    assertThat(fixture.registry.get("w2").liveCalls).isAtMost(3);
+    assertThat(fixture.registry.get("w2").liveCalls()).isAtMost(3);
     fixture.run(WorkerConstants.SLOW_START_MS);
     assertThat(fixture.registry.slowStartWeight(fixture.registry.get("w2"))).isEqualTo(1.0);
   }
@@ -298,6 +298,6 @@
     for (int index = 0; index < 6; index++) {
       fixture.pass(request("s" + index));
     }
-    assertThat(fixture.registry.get(faulty).liveCalls).isAtMost(1);
+    assertThat(fixture.registry.get(faulty).liveCalls()).isAtMost(1);
   }
 }
