--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxiedResponseListener.java
@@ -6,25 +6,29 @@
 import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 
 /**
- * Hears one head, any number of pieces and the end; or a refusal instead of a head; or a cut after
- * the head.
+ * Receives the response of a proxied request: either {@link #rejected} alone, or one {@link #head},
+ * any number of chunks, and one {@link #end} or {@link #truncated}. Nothing comes after the client
+ * has cancelled. Called on the logic thread.
  */
 public interface ProxiedResponseListener {
+  /** Status and headers of a worker's response. */
   void head(ResponseHead head);
 
-  void chunk(ResponseChunk piece);
+  /** The next chunk of the body. */
+  void chunk(ResponseChunk chunk);
 
-  /** Every piece of the worker's body was told: the response is whole. */
+  /** The response is complete: every chunk of the worker's body was forwarded. */
   void end();
 
   /**
-   * Our own response. Statuses 408, 421, 429 and 503 say that the request has not run and never
-   * will.
+   * There is no worker's response; this one is the edge's own. Statuses 408, 421, 429 and 503 say
+   * that the request has not run and never will.
    */
   void rejected(Response response);
 
   /**
-   * The response must be shown as incomplete: the connection is closed without the format's end.
+   * The response is incomplete and must be shown as such: the connection is closed without the
+   * format's end mark.
    */
   void truncated(ApiError error);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/live/StreamText.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/StreamText.java
@@ -5,9 +5,10 @@
 import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
 
 /**
- * The text of one item's event stream, put together over one or more runs. Holds the data of every
- * whole event once, in order; after event n only a run that was asked to go on behind n may add to
- * it.
+ * The text of one item's event stream, assembled over one or more attempts.
+ *
+ * <p>Holds the data of every complete event once, in order. Invariant: after an event with id n,
+ * only an attempt that was asked to resume after n may add events. Confined to the logic thread.
  */
 public final class StreamText {
   private static final String DATA_FIELD = "data:";
@@ -16,23 +17,28 @@
   private boolean hasData;
   private String lastEventId = "";
 
-  /** False once an event without an id was taken: no run can be asked to go on behind it. */
+  /** False once an event without an id was added: no attempt can be asked to resume after it. */
   private boolean resumable = true;
 
+  /** Creates an empty text for an attempt from the start. */
   public StreamText() {}
 
-  /** What was brought up to an event; nothing if that is empty. */
+  /**
+   * Creates the text that earlier attempts have brought.
+   *
+   * @param lastEventId id of the last event in the text; empty if there is none
+   */
   public StreamText(String lastEventId, String text) {
     this.lastEventId = lastEventId;
     this.text.append(text);
     hasData = !text.isEmpty();
   }
 
-  /** Takes a whole event; one that is held already is passed over. */
+  /** Adds a complete event unless it was added already. */
   public void add(ResponseChunk event) {
     if (event.eventId().isEmpty()) {
       resumable = false;
-    } else if (!isBehind(event.eventId(), lastEventId)) {
+    } else if (!isAfter(event.eventId(), lastEventId)) {
       return;
     } else {
       lastEventId = event.eventId();
@@ -45,14 +51,14 @@
     }
   }
 
-  /** The value of a data line: what stands behind the colon, less one leading space. */
+  /** The value of a data line: what follows the colon, without one leading space. */
   private static String dataOf(String line) {
     String value = line.length() <= DATA_FIELD.length() ? "" : line.substring(DATA_FIELD.length());
     return value.startsWith(" ") ? value.substring(1) : value;
   }
 
-  /** Ids that are numbers rise; of others only a repeat is told. */
-  private static boolean isBehind(String eventId, String earlierId) {
+  /** Ids that are numbers increase; of other ids only a repetition of the last is recognised. */
+  private static boolean isAfter(String eventId, String earlierId) {
     try {
       return earlierId.isEmpty() || Long.parseLong(eventId) > Long.parseLong(earlierId);
     } catch (NumberFormatException notNumbered) {
@@ -60,11 +66,15 @@
     }
   }
 
-  /** Behind which event another run may go on; empty: only from the start, with a new text. */
+  /**
+   * Id of the event after which another attempt may resume; empty if it must start from the
+   * beginning with a new text.
+   */
   public String resumeAfter() {
     return resumable ? lastEventId : "";
   }
 
+  /** The data of all events, joined by line feeds. */
   public String text() {
     return text.toString();
   }
