--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
@@ -26,7 +26,7 @@
 import java.util.function.Consumer;
 
 /**
- * One dispatcher of opaque requests on simulated time; the test acts as its workers and clients.
+ * One dispatcher of proxied requests on simulated time; the test acts as its workers and clients.
  */
 final class ProxyDispatcherFixture extends FakeEnvironment implements EdgeContext {
   static final ResponseHead GOOD = new ResponseHead(200, List.of());
@@ -34,10 +34,10 @@
 
   final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
   final WorkerRegistry registry = new WorkerRegistry(this, () -> {});
-  final ProxyDispatcher desk = new ProxyDispatcher(this, "near", this, registry);
+  final ProxyDispatcher dispatcher = new ProxyDispatcher(this, "near", this, registry);
   RoutingConfiguration configuration;
-  ApiError mayBegin;
-  ApiError mayGoOn;
+  ApiError newWorkRejection;
+  ApiError admittedWorkRejection;
 
   ProxyDispatcherFixture() {
     super(1_000);
@@ -57,7 +57,7 @@
     return this;
   }
 
-  void mark(String id, String state) {
+  void setState(String id, String state) {
     WorkerRegistration old = workers.get(id);
     workers.put(
         id, new WorkerRegistration(id, old.address(), old.pool(), state, old.zone(), old.slots()));
@@ -80,20 +80,20 @@
     return sent.get(sent.size() - 1);
   }
 
-  Client pass(ProxiedRequest request) {
+  Client submit(ProxiedRequest request) {
     Client client = new Client();
-    client.handle = desk.submit(request, client);
+    client.handle = dispatcher.submit(request, client);
     return client;
   }
 
   @Override
   public ApiError rejectionOfNewWork() {
-    return mayBegin == null ? mayGoOn : mayBegin;
+    return newWorkRejection == null ? admittedWorkRejection : newWorkRejection;
   }
 
   @Override
   public ApiError rejectionOfAdmittedWork() {
-    return mayGoOn;
+    return admittedWorkRejection;
   }
 
   @Override
@@ -115,38 +115,38 @@
   @Override
   public void incrementCounter(String counter) {}
 
-  /** Writes down what it hears. */
+  /** Records the callbacks it gets. */
   static final class Client implements ProxiedResponseListener {
-    final List<String> heard = new ArrayList<>();
-    Response refusal;
-    ApiError cut;
+    final List<String> events = new ArrayList<>();
+    Response rejection;
+    ApiError truncation;
     RequestHandle handle;
 
     @Override
     public void head(ResponseHead head) {
-      heard.add("head " + head.status());
+      events.add("head " + head.status());
     }
 
     @Override
-    public void chunk(ResponseChunk piece) {
-      heard.add(new String(piece.bytes(), UTF_8));
+    public void chunk(ResponseChunk chunk) {
+      events.add(new String(chunk.bytes(), UTF_8));
     }
 
     @Override
     public void end() {
-      heard.add("end");
+      events.add("end");
     }
 
     @Override
     public void rejected(Response response) {
-      refusal = response;
-      heard.add("refused " + response.status());
+      rejection = response;
+      events.add("rejected " + response.status());
     }
 
     @Override
     public void truncated(ApiError error) {
-      cut = error;
-      heard.add("cut");
+      truncation = error;
+      events.add("truncated");
     }
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherWorkerChoiceTest.java
@@ -26,12 +26,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which worker a request goes to. */
+/** Which worker a proxied request is sent to, and what edges report to each other for it. */
 final class ProxyDispatcherWorkerChoiceTest {
   @Test
-  void tellsTheWorkerItsIdRankAndWhatIsLeft() {
+  void sendsWorkerIdRankAndRemainingTime() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
-    fixture.pass(request("1"));
+    fixture.submit(request("1"));
     WorkerExchange call = fixture.last().call;
     assertThat(call.workerId()).isEqualTo(fixture.workers.get(call.workerId()).id());
     assertThat(call.address()).isEqualTo(fixture.workers.get(call.workerId()).address());
@@ -40,38 +40,38 @@
   }
 
   @Test
-  void neverSendsToALeavingWorker() {
+  void neverSendsToADrainingWorker() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
-    fixture.mark("w1", WorkerRegistration.LEAVING);
-    fixture.mark("w2", WorkerRegistration.LEAVING);
-    fixture.pass(request("1"));
+    fixture.setState("w1", WorkerRegistration.LEAVING);
+    fixture.setState("w2", WorkerRegistration.LEAVING);
+    fixture.submit(request("1"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w3");
-    fixture.mark("w3", WorkerRegistration.LEAVING);
-    assertThat(fixture.pass(request("2")).heard).containsExactly("refused 503");
+    fixture.setState("w3", WorkerRegistration.LEAVING);
+    assertThat(fixture.submit(request("2")).events).containsExactly("rejected 503");
   }
 
   @Test
   void spreadsRequestsOverIdleWorkers() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     for (int index = 0; index < 12; index++) {
-      fixture.pass(request("r" + index));
+      fixture.submit(request("r" + index));
     }
     fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls()).isEqualTo(4));
   }
 
   @Test
-  void passesOverAWorkerThatReadsWhatAFellowSentThere() {
+  void avoidsAWorkerWithPendingPrefillOfAnotherEdge() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     for (String busy : List.of("w1", "w3")) {
       fixture.registry.recordPeerLoad(
           "other", new PeerLoadReport(List.of(new OwnLoad(busy, 1, 1_500))));
     }
-    fixture.pass(request("1", "a", "b"));
+    fixture.submit(request("1", "a", "b"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w2");
   }
 
   @Test
-  void whatAFellowToldFadesAsTheWorkerReads() {
+  void pendingPrefillReportedByAPeerDecreasesAtThePrefillRate() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     fixture.registry.recordPeerLoad(
         "other",
@@ -91,11 +91,11 @@
   }
 
   @Test
-  void learnsHowFastAWorkerReads() {
+  void measuresThePrefillRateOfAWorker() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
-    double guessed = fixture.registry.get("w1").prefillTokensPerMs();
+    double initialRate = fixture.registry.get("w1").prefillTokensPerMs();
     for (int index = 0; index < 60; index++) {
-      fixture.pass(request("r" + index, "a" + index, "b" + index));
+      fixture.submit(request("r" + index, "a" + index, "b" + index));
       fixture.run(50);
       fixture.last().worker.head(GOOD);
       fixture.last().worker.chunk(event(1));
@@ -105,80 +105,80 @@
         .registry
         .all()
         .forEach(worker -> assertThat(worker.prefillTokensPerMs()).isWithin(2.0).of(16.0));
-    assertThat(guessed).isGreaterThan(18.0);
+    assertThat(initialRate).isGreaterThan(18.0);
   }
 
   @Test
-  void keptPartsDoNotOutweighAPauseThatStreamsCanNotBear() {
+  void cachedPartsDoNotOutweighATooLongStreamPause() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
-    fixture.pass(request("1", "a", "b", "c"));
-    String keeper = fixture.last().call.workerId();
+    fixture.submit(request("1", "a", "b", "c"));
+    String cacheWorker = fixture.last().call.workerId();
     fixture.last().worker.head(GOOD);
     fixture.last().worker.chunk(event(1));
     fixture.last().worker.end();
-    fixture.pass(request("2", "a", "b", "d"));
-    assertThat(fixture.last().call.workerId()).isEqualTo(keeper);
+    fixture.submit(request("2", "a", "b", "d"));
+    assertThat(fixture.last().call.workerId()).isEqualTo(cacheWorker);
     fixture.registry.recordPeerLoad(
-        "other", new PeerLoadReport(List.of(new OwnLoad(keeper, 1, 5_000))));
-    fixture.pass(request("3", "a", "b", "e"));
-    assertThat(fixture.last().call.workerId()).isNotEqualTo(keeper);
+        "other", new PeerLoadReport(List.of(new OwnLoad(cacheWorker, 1, 5_000))));
+    fixture.submit(request("3", "a", "b", "e"));
+    assertThat(fixture.last().call.workerId()).isNotEqualTo(cacheWorker);
   }
 
   @Test
-  void tellsItsFellowsOfTheZoneOnceForAllThatBeganMeanwhile() {
+  void reportsAllCallsStartedWithinTheDelayToZonePeersOnce() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
-    List<NodeRegistration> fellows =
+    List<NodeRegistration> peers =
         List.of(
             new NodeRegistration("e2", 1, "e2", "near", "edge", "10.0.0.2:1", "", true),
             new NodeRegistration("e3", 1, "e3", "near", "edge", "10.0.0.3:1", "", true));
-    List<String> told = new ArrayList<>();
+    List<String> receivers = new ArrayList<>();
     List<OwnLoad> loads = new ArrayList<>();
     fixture.registry.onCallStart(
         new PeerLoadReporter(
                 fixture,
                 fixture.registry,
-                () -> fellows,
+                () -> peers,
                 (address, id, message) -> {
-                  told.add(id);
+                  receivers.add(id);
                   loads.addAll(((PeerLoadReport) message).loads());
                 })
             ::reportCallStart);
-    fixture.pass(request("1", "a", "b"));
-    fixture.pass(request("2", "c", "d"));
+    fixture.submit(request("1", "a", "b"));
+    fixture.submit(request("2", "c", "d"));
     fixture.run(2 * WorkerConstants.PEER_LOAD_REPORT_DELAY_MS - 1);
-    assertThat(told).isEmpty();
+    assertThat(receivers).isEmpty();
     fixture.run(1);
-    assertThat(told).containsExactly("e2", "e3").inOrder();
+    assertThat(receivers).containsExactly("e2", "e3").inOrder();
     assertThat(loads.stream().mapToInt(OwnLoad::unreadPromptTokens).sum()).isEqualTo(2 * 2 * 800);
     fixture.run(1_000);
-    assertThat(told).hasSize(2);
+    assertThat(receivers).hasSize(2);
   }
 
   @Test
-  void meetsTheSameWorkerForTheSameSharedPartsFromEveryEdge() {
+  void allEdgesChooseTheSameWorkerForTheSameSharedParts() {
     Set<String> chosen = new HashSet<>();
     for (int edge = 0; edge < 5; edge++) {
       ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
-      fixture.pass(request("r" + edge, "shared", "also", "own" + edge));
+      fixture.submit(request("r" + edge, "shared", "also", "own" + edge));
       chosen.add(fixture.last().call.workerId());
     }
     assertThat(chosen).hasSize(1);
   }
 
   @Test
-  void takesAnotherWorkerOnceThatOneIsClearlyMoreLoaded() {
+  void choosesAnotherWorkerOnceThePreferredOneIsClearlyMoreLoaded() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
     for (int index = 0; index < 24; index++) {
-      fixture.pass(request("r" + index, "shared", "own" + index));
+      fixture.submit(request("r" + index, "shared", "own" + index));
     }
     fixture.registry.all().forEach(worker -> assertThat(worker.liveCalls()).isAtLeast(5));
   }
 
   @Test
-  void doesNotLetOneWorkerReadManyPromptsAtOnce() {
+  void spreadsTheConcurrentPrefillOfManyPrompts() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.STREAM, 1, false));
     for (int index = 0; index < 3; index++) {
-      fixture.pass(
+      fixture.submit(
           request("r" + index, "shared", "a" + index, "b" + index, "c" + index, "d" + index));
     }
     assertThat(fixture.sent.stream().map(sent -> sent.call.workerId()).distinct().count())
@@ -191,38 +191,38 @@
   }
 
   @Test
-  void prefersItsOwnZoneUntilThatIsMoreLoaded() {
+  void prefersItsOwnZoneUntilItIsMoreLoaded() {
     ProxyDispatcherFixture fixture =
         new ProxyDispatcherFixture()
             .worker("w1", POOL, "far", 8)
             .worker("w2", POOL, "near", 8)
             .worker("w3", POOL, "far", 8)
             .routes(route(RouteType.ONCE, 1, false));
-    fixture.pass(request("1"));
+    fixture.submit(request("1"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w2");
     for (int index = 0; index < 9; index++) {
-      fixture.pass(request("r" + index));
+      fixture.submit(request("r" + index));
     }
     assertThat(fixture.registry.get("w1").liveCalls()).isAtLeast(2);
   }
 
-  /** Nobody tells what runs in other zones: silence is no sign of an idle worker. */
+  /** Edges of other zones report nothing, so that a missing report does not mean an idle worker. */
   @Test
-  void takesWorkersOfOtherZonesForAsBusyAsItsOwn() {
+  void assumesWorkersOfOtherZonesToBeAsBusyAsItsOwn() {
     ProxyDispatcherFixture fixture = nearAndFar();
     List<OwnLoad> loads = List.of(new OwnLoad("w1", 5, 0), new OwnLoad("w2", 5, 0));
     fixture.registry.recordPeerLoad("other", new PeerLoadReport(loads));
-    fixture.pass(request("1"));
+    fixture.submit(request("1"));
     assertThat(fixture.workers.get(fixture.last().call.workerId()).zone()).isEqualTo("near");
   }
 
   @Test
-  void takesAWorkerOfAnotherZoneThatToldThatItIsIdle() {
+  void choosesAWorkerOfAnotherZoneThatReportedToBeIdle() {
     ProxyDispatcherFixture fixture = nearAndFar();
     fixture.registry.recordLoad(fixture.registry.get("w3"), new WorkerLoad(0, 0, 8, false));
     List<OwnLoad> loads = List.of(new OwnLoad("w1", 5, 0), new OwnLoad("w2", 5, 0));
     fixture.registry.recordPeerLoad("other", new PeerLoadReport(loads));
-    fixture.pass(request("1"));
+    fixture.submit(request("1"));
     assertThat(fixture.last().call.workerId()).isEqualTo("w3");
   }
 
@@ -236,17 +236,17 @@
   }
 
   @Test
-  void avoidsAWorkerThatToldOfALoadUntilThatIsOld() {
+  void avoidsAWorkerThatReportedLoadUntilTheReportIsOld() {
     ProxyDispatcherFixture fixture =
         new ProxyDispatcherFixture()
             .worker("w1", POOL, "near", 8)
             .worker("w2", POOL, "near", 8)
             .routes(route(RouteType.ONCE, 1, false));
-    fixture.pass(request("1"));
+    fixture.submit(request("1"));
     Sent first = fixture.last();
     first.worker.load(new WorkerLoad(8, 2, 8, false));
     for (int index = 0; index < 6; index++) {
-      fixture.pass(request("r" + index));
+      fixture.submit(request("r" + index));
       assertThat(fixture.last().call.workerId()).isNotEqualTo(first.call.workerId());
     }
     fixture
@@ -264,7 +264,7 @@
   }
 
   @Test
-  void givesAWorkerJustListedFewRequestsAtFirst() {
+  void aNewlyListedWorkerStartsSlowly() {
     ProxyDispatcherFixture fixture =
         new ProxyDispatcherFixture()
             .worker("w1", POOL, "near", 8)
@@ -272,7 +272,7 @@
     fixture.run(10_000);
     fixture.worker("w2", POOL, "near", 8);
     for (int index = 0; index < 9; index++) {
-      fixture.pass(request("r" + index));
+      fixture.submit(request("r" + index));
     }
     assertThat(fixture.registry.get("w2").liveCalls()).isAtMost(3);
     fixture.run(WorkerConstants.SLOW_START_MS);
@@ -280,13 +280,13 @@
   }
 
   @Test
-  void avoidsAWorkerAfterAFaultAndTriesItWithOneAtATimeLater() {
+  void avoidsAnEjectedWorkerAndThenSendsItOneCallAtATime() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.REPEATABLE, 3, false));
-    fixture.pass(request("1"));
+    fixture.submit(request("1"));
     String faulty = fixture.last().call.workerId();
     fixture.last().worker.fail(new ApiError.WorkerStreamTruncated(faulty), true);
     for (int index = 0; index < 10; index++) {
-      fixture.pass(request("r" + index));
+      fixture.submit(request("r" + index));
       assertThat(fixture.last().call.workerId()).isNotEqualTo(faulty);
     }
     fixture.sent.forEach(
@@ -296,7 +296,7 @@
         });
     fixture.run(WorkerConstants.BASE_EJECTION_MS + WorkerConstants.SLOW_START_MS);
     for (int index = 0; index < 6; index++) {
-      fixture.pass(request("s" + index));
+      fixture.submit(request("s" + index));
     }
     assertThat(fixture.registry.get(faulty).liveCalls()).isAtMost(1);
   }
--- a/core-logic/src/test/java/applespindle/corelogic/live/StreamTextTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/StreamTextTest.java
@@ -14,7 +14,7 @@
   }
 
   @Test
-  void joinsTheDataOfAllEventsByLineFeeds() {
+  void joinsTheDataOfAllEventsWithLineFeeds() {
     add("1", "id: 1\ndata: Dear\n\n");
     add("2", "id: 2\ndata:guest,\ndata:  come\n\n");
     add("3", "data\nid: 3\r\n\r\n");
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void passesOverOtherFieldsCommentsAndOtherLines() {
+  void ignoresOtherFieldsCommentsAndOtherLines() {
     add("1", "some-versions: 4\nevent: x\n: data: no\nid: 1\ndata: a\nretry: 3\n\n");
     add("2", "id: 2\n\n");
     add("3", "id: 3\ndata: b\n\n");
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void anEventWithoutAnIdLeavesNoPlaceToGoOnFrom() {
+  void isNotResumableAfterAnEventWithoutAnId() {
     add("1", "id: 1\ndata: a\n\n");
     add("", "data: b\n\n");
     assertThat(text.text()).isEqualTo("a\nb");
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void goesOnFromWhatWasHandedOver() {
+  void resumesFromAnEarlierText() {
     StreamText later = new StreamText("2", "a\nb");
     later.add(new ResponseChunk("2", "id: 2\ndata: b\n\n".getBytes(UTF_8)));
     later.add(new ResponseChunk("3", "id: 3\ndata: c\n\n".getBytes(UTF_8)));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void beginsEmptyWhereNothingWasHandedOver() {
+  void startsEmptyWithoutAnEarlierText() {
     StreamText anew = new StreamText("", "");
     anew.add(new ResponseChunk("1", "id: 1\ndata: a\n\n".getBytes(UTF_8)));
     assertThat(anew.text()).isEqualTo("a");
--- a/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
@@ -20,13 +20,13 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
-/** How long a worker rests after what was heard of it, and how long a crowd at it is remembered. */
+/** Duration of ejections, and decay of the peak of live calls. */
 final class WorkerRegistryTest {
-  /** Time and load as the test sets them; the load is read when the test says so. */
-  private static final class World implements Environment {
+  /** An environment whose time, load and polls the test controls. */
+  private static final class ControlledEnvironment implements Environment {
     long now = 10_000;
     int running;
-    Runnable readNext;
+    Runnable scheduledTask;
 
     @Override
     public long nowMs() {
@@ -35,7 +35,7 @@
 
     @Override
     public ScheduledTask schedule(long millis, Runnable task) {
-      readNext = task;
+      scheduledTask = task;
       return () -> {};
     }
 
@@ -52,7 +52,7 @@
 
     @Override
     public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
-      throw new AssertionError("nothing is run here");
+      throw new AssertionError("unexpected call of a worker");
     }
 
     @Override
@@ -70,8 +70,8 @@
     public void log(String part, String sentence) {}
   }
 
-  private final World world = new World();
-  private final WorkerRegistry registry = new WorkerRegistry(world, () -> {});
+  private final ControlledEnvironment environment = new ControlledEnvironment();
+  private final WorkerRegistry registry = new WorkerRegistry(environment, () -> {});
 
   private WorkerState worker(int slots) {
     registry.updateWorkers(
@@ -82,63 +82,63 @@
   }
 
   @Test
-  void refusalsOfRequestsSentTogetherMakeOneRest() {
+  void rejectionsOfConcurrentCallsCauseOneEjection() {
     WorkerState worker = worker(0);
     for (int number = 0; number < 8; number++) {
       registry.recordRejection(worker);
     }
-    world.now += WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
+    environment.now += WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
     assertThat(registry.isUsable(worker)).isFalse();
-    world.now++;
+    environment.now++;
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
-  void aRefusalAfterTheRestMakesALongerOne() {
+  void aRejectionAfterAnEjectionCausesALongerOne() {
     WorkerState worker = worker(0);
     registry.recordRejection(worker);
-    world.now += WorkerConstants.LOAD_POLL_INTERVAL_MS;
+    environment.now += WorkerConstants.LOAD_POLL_INTERVAL_MS;
     registry.recordRejection(worker);
-    world.now += 2 * WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
+    environment.now += 2 * WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
     assertThat(registry.isUsable(worker)).isFalse();
-    world.now++;
+    environment.now++;
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
-  void runsThatFallTogetherMakeOneRest() {
+  void concurrentFailuresCauseOneEjection() {
     WorkerState worker = worker(8);
     for (int number = 0; number < 8; number++) {
       registry.recordConnectionFailure(worker);
     }
-    world.now += WorkerConstants.BASE_EJECTION_MS - 1;
+    environment.now += WorkerConstants.BASE_EJECTION_MS - 1;
     assertThat(registry.isUsable(worker)).isFalse();
-    world.now++;
+    environment.now++;
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
-  void aFaultAfterTheRestMakesALongerOne() {
+  void aFailureAfterAnEjectionCausesALongerOne() {
     WorkerState worker = worker(8);
     registry.recordConnectionFailure(worker);
-    world.now += WorkerConstants.BASE_EJECTION_MS;
+    environment.now += WorkerConstants.BASE_EJECTION_MS;
     registry.recordConnectionFailure(worker);
-    world.now += 2 * WorkerConstants.BASE_EJECTION_MS - 1;
+    environment.now += 2 * WorkerConstants.BASE_EJECTION_MS - 1;
     assertThat(registry.isUsable(worker)).isFalse();
-    world.now++;
+    environment.now++;
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
   @Test
-  void aPastCrowdIsForgottenByHalves() {
-    world.running = 8;
+  void thePeakOfLiveCallsHalvesWithEachHalfLife() {
+    environment.running = 8;
     WorkerState worker = worker(0);
-    world.running = 0;
-    world.now += WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
-    world.readNext.run();
+    environment.running = 0;
+    environment.now += WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
+    environment.scheduledTask.run();
     assertThat(worker.peakLiveCalls).isWithin(0.01).of(4);
-    world.now += 2 * WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
-    world.readNext.run();
+    environment.now += 2 * WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
+    environment.scheduledTask.run();
     assertThat(worker.peakLiveCalls).isWithin(0.01).of(1);
   }
 }
