--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
@@ -23,11 +23,14 @@
  * reports, both discounted by age. Confined to the logic thread.
  */
 public final class WorkerRegistry {
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
   private final Environment environment;
   private final WorkerLoadPoller loadPoller;
   private final OutlierDetection outlierDetection;
   private final Map<String, WorkerState> statesById = new TreeMap<>();
-  private Consumer<WorkerState> callStartListener = unheard -> {};
+  private Consumer<WorkerState> callStartListener = ignored -> {};
 
   /** When the first list came; -1 before. Workers listed soon after are new to this edge only. */
   private long firstListAt = -1;
@@ -205,7 +208,7 @@
   /** Whether an error is a worker's rejection for want of capacity, not because of the request. */
   public static boolean isCapacityRejection(ApiError error) {
     return error instanceof ApiError.WorkerRejected rejected
-        && (rejected.status() == 429 || rejected.status() == 503);
+        && (rejected.status() == TOO_MANY_REQUESTS || rejected.status() == SERVICE_UNAVAILABLE);
   }
 
   /** A call has completed without error. */
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherTest.java
@@ -29,40 +29,8 @@
 
   @Test
   void matchesTheLongestPathPrefixAndIgnoresPortAndCaseOfTheHost() {
-    Route shorter =
-        new Route(
-            "short",
-            "a.example",
-            "/a/",
-            RouteType.ONCE,
-            4_000,
-            200,
-            0,
-            1,
-            0,
-            false,
-            false,
-            List.of(new PoolWeight("q", 1)),
-            0,
-            0,
-            0);
-    Route longer =
-        new Route(
-            "long",
-            "a.example",
-            "/a/b/",
-            RouteType.ONCE,
-            4_000,
-            200,
-            0,
-            1,
-            0,
-            false,
-            false,
-            List.of(new PoolWeight(POOL, 1)),
-            0,
-            0,
-            0);
+    Route shorter = onceRoute("short", "/a/", "q");
+    Route longer = onceRoute("long", "/a/b/", POOL);
     ProxyDispatcherFixture fixture =
         new ProxyDispatcherFixture()
             .worker("w1", POOL, "near", 8)
@@ -75,6 +43,25 @@
         .inOrder();
   }
 
+  private static Route onceRoute(String name, String pathPrefix, String pool) {
+    return new Route(
+        name,
+        "a.example",
+        pathPrefix,
+        RouteType.ONCE,
+        4_000,
+        200,
+        0,
+        1,
+        0,
+        false,
+        false,
+        List.of(new PoolWeight(pool, 1)),
+        0,
+        0,
+        0);
+  }
+
   @Test
   void rejectsWith404IfNoRouteMatches() {
     ProxyDispatcherFixture fixture = fixture(route(RouteType.ONCE, 1, false));
