--- a/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRanges.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRanges.java
@@ -60,7 +60,7 @@
   int countStartingRuns(WorkerState worker) {
     int starting = 0;
     for (AssignedRange range : byName.values()) {
-      if (range.worker.equals(worker.worker.id())) {
+      if (range.worker.equals(worker.registration.id())) {
         for (ItemRun run : range.running.values()) {
           starting += run.status == 0 ? 1 : 0;
         }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -63,12 +63,12 @@
   /** The worker has that many tokens of this item's prompt still to read. */
   void setUnreadPrompt(double tokens) {
     unreadPromptTokens = tokens;
-    worker.unreadPromptTokens += tokens;
+    worker.pendingPrefillTokens += tokens;
   }
 
   /** The worker has begun to answer, so it has read the whole prompt. */
   void clearUnreadPrompt() {
-    worker.unreadPromptTokens -= unreadPromptTokens;
+    worker.pendingPrefillTokens -= unreadPromptTokens;
     unreadPromptTokens = 0;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -79,7 +79,7 @@
     }
     ProxiedItemAssignment assignment = JSON.convertValue(body, ProxiedItemAssignment.class);
     Route route = edge.routes().findBatch(assignment.host(), assignment.path());
-    if (route == null || !route.sendsTo(worker.worker.pool())) {
+    if (route == null || !route.sendsTo(worker.registration.pool())) {
       reporter.returnRange(range);
       return false;
     }
@@ -116,7 +116,7 @@
     long timeoutMs = edge.configuration().limits().batch().itemExpiryMs();
     run.exchange =
         environment.callWorker(
-            new WorkerCall(run.worker.worker.address(), Json.bytes(body), timeoutMs),
+            new WorkerCall(run.worker.registration.address(), Json.bytes(body), timeoutMs),
             new PromptListener(environment, registry, completion, run));
   }
 
@@ -128,8 +128,8 @@
     run.exchange =
         environment.exchange(
             new WorkerExchange(
-                run.worker.worker.address(),
-                run.worker.worker.id(),
+                run.worker.registration.address(),
+                run.worker.registration.id(),
                 createRequest(assignment, timeoutMs),
                 Math.max(1, route.rank()),
                 timeoutMs,
@@ -177,7 +177,7 @@
    * later than its silence shows.
    */
   void failIfLost(ItemRun run) {
-    boolean lost = run.isProxied() ? isSilent(run) : registry.lost(run.worker, run.lastActivityAt);
+    boolean lost = run.isProxied() ? isSilent(run) : registry.isPresumedLost(run.worker, run.lastActivityAt);
     if (lost) {
       run.exchange.cancel();
       completion.fail(run, new ApiError.WorkerTimeout(run.range.worker));
@@ -194,7 +194,7 @@
         Math.max(
             BatchConstants.MIN_SILENCE_TIMEOUT_MS,
             BatchConstants.SILENCE_TIMEOUT_GAPS * run.route.gapTargetMs());
-    long workerSilentFor = now - run.worker.lastHeardAt;
+    long workerSilentFor = now - run.worker.lastActivityAt;
     return now - run.lastActivityAt > limit
         && (workerSilentFor > limit || now - run.lastActivityAt > SILENT_RUN_FACTOR * limit);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerDispatcher.java
@@ -59,12 +59,12 @@
 
   @Override
   public void dispatch(WorkerState worker) {
-    String workerId = worker.worker.id();
+    String workerId = worker.registration.id();
     boolean dispatches = edge.dispatchesTo(workerId) && !edge.isStopping();
     DeadlineOrder order = new DeadlineOrder(environment.nowMs(), capacity.itemDurationMs());
     List<AssignedRange> workerRanges = ranges.ofWorker(workerId, order);
     if (!dispatches
-        || !registry.comesBackBy(
+        || !registry.isUsableBefore(
             worker, environment.nowMs() + WorkerConstants.LOAD_POLL_INTERVAL_MS)) {
       workerRanges.forEach(reporter::returnRange);
       capacity.clearDispatching(workerId);
@@ -77,7 +77,7 @@
     returnRangesIfLongFull(workerRanges, workerId, free);
     int unsent = workerRanges.stream().mapToInt(range -> range.unsent.size()).sum();
     int ahead = free > 0 ? BatchConstants.PREFETCH_RANGES * BatchConstants.ITEMS_PER_RANGE : 0;
-    rangeRequester.requestRanges(worker.worker, free + ahead - unsent, order);
+    rangeRequester.requestRanges(worker.registration, free + ahead - unsent, order);
   }
 
   /** Sends as many items as there is capacity for, and returns how much of it is left. */
@@ -103,7 +103,7 @@
         range.unsent.add(range.unsent.poll());
       } else if (runner.start(range, worker)) {
         freeNow--;
-        fullSince.remove(worker.worker.id());
+        fullSince.remove(worker.registration.id());
       } else {
         return freeNow;
       }
@@ -141,7 +141,7 @@
    * to the front of their ranges; the output of prompts is dropped.
    */
   private void cancelForLiveRequests(WorkerState worker, int free) {
-    if (worker.worker.slots() != 0 || worker.free() > 0 || free >= 0) {
+    if (worker.registration.slots() != 0 || worker.free() > 0 || free >= 0) {
       return;
     }
     RoutingConfiguration.BatchLimits limits = edge.configuration().limits().batch();
@@ -151,7 +151,7 @@
   }
 
   private void cancelNewest(WorkerState worker, int number) {
-    ranges.newestRunsOf(worker.worker.id()).stream()
+    ranges.newestRunsOf(worker.registration.id()).stream()
         .limit(number)
         .forEach(
             run -> {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -105,7 +105,7 @@
     leaders = new BatchLeaders(environment, this, this);
     registry = new WorkerRegistry(environment, this::pump);
     registry.onCallStart(
-        new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::began);
+        new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::reportCallStart);
     liveRequests = new LiveRequestDispatcher(environment, identity.id(), this, registry);
     proxiedRequests = new ProxyDispatcher(environment, identity.zone(), this, registry);
     startupHold = new StartupHold(environment, proxiedRequests, this::routes);
@@ -139,7 +139,7 @@
   }
 
   private void pump() {
-    liveRequests.pump();
+    liveRequests.dispatchQueued();
     batchDispatcher.dispatch();
   }
 
@@ -199,7 +199,7 @@
 
   /** Dispatches a live prompt. */
   public RequestHandle complete(LiveRequest request, LiveResponseListener listener) {
-    return liveRequests.take(request, listener);
+    return liveRequests.submit(request, listener);
   }
 
   @Override
@@ -207,7 +207,7 @@
     if (isStarting() && !startupHold.isFull()) {
       return startupHold.hold(request, listener);
     }
-    return proxiedRequests.take(request, listener);
+    return proxiedRequests.submit(request, listener);
   }
 
   @Override
--- a/core-logic/src/main/java/applespindle/corelogic/edge/StartupHold.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/StartupHold.java
@@ -70,13 +70,13 @@
       Route route = routes.get().find(request.host(), request.path());
       if (route != null && route.type() == RouteType.BATCH) {
         // Without routes it was not known that this is a batch: its client has to submit it again.
-        listener.refused(
+        listener.rejected(
             Response.ofRetryAfterMs(
                 new ApiError.NoConfiguration(), LiveRequestConstants.MIN_RETRY_AFTER_MS));
         return;
       }
       long waitedMs = environment.nowMs() - arrivedAt;
-      dispatched = dispatcher.take(request.after(waitedMs), listener, arrivedAt);
+      dispatched = dispatcher.submit(request.after(waitedMs), listener, arrivedAt);
     }
 
     @Override
