--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
@@ -12,31 +12,36 @@
 import java.util.Map;
 
 /**
- * The unfinished items of every open batch, as the leader of the batch room's key counts them.
- * Invariant: a batch is listed only while it has unfinished items, and has a group only while it is
- * listed.
+ * The number of unfinished items of every open batch, as the leader of the batch capacity key
+ * counts them. It is rebuilt from the key's log, in which a change of one batch is an event and a
+ * snapshot of the ledger follows every so many changes.
+ *
+ * <p>Invariant: a batch is listed only while it has unfinished items, and has a group only while it
+ * is listed.
  */
 final class BatchCapacityLedger {
-  /** An event to append: one batch's change, or now and then the whole ledger. */
-  record LedgerEvent(boolean whole, byte[] content) {}
+  /** An event to append: the change of one batch, or if complete, a snapshot of the ledger. */
+  record LedgerEvent(boolean complete, byte[] content) {}
 
+  /** Unfinished items by batch, in the order in which the batches were admitted. */
   private final Map<String, Long> items = new LinkedHashMap<>();
 
   /** By batch, the group whose ceiling it counts against; absent for batches of prompts. */
   private final Map<String, String> groups = new HashMap<>();
 
-  /** When the leader of each batch last spoke of it; only for the audit. */
+  /** When the leader of each batch last reported, in milliseconds; only for the audit. */
   private final Map<String, Long> touchedAt = new HashMap<>();
 
-  private int changesSinceWhole;
+  private int changesSinceSnapshot;
 
+  /** Applies an entry of the key's log. */
   void replay(LogEntry entry) {
     if (entry.whole()) {
-      BatchCapacityUsage whole = Json.read(entry.event(), BatchCapacityUsage.class);
+      BatchCapacityUsage snapshot = Json.read(entry.event(), BatchCapacityUsage.class);
       items.clear();
-      items.putAll(whole.items());
+      items.putAll(snapshot.items());
       groups.clear();
-      groups.putAll(whole.groups());
+      groups.putAll(snapshot.groups());
       return;
     }
     BatchCapacityChange change = Json.read(entry.event(), BatchCapacityChange.class);
@@ -61,14 +66,15 @@
     if (unfinished == 0) {
       touchedAt.remove(batch);
     }
-    changesSinceWhole++;
-    if (changesSinceWhole < ReplicationConstants.SNAPSHOT_INTERVAL_ENTRIES) {
+    changesSinceSnapshot++;
+    if (changesSinceSnapshot < ReplicationConstants.SNAPSHOT_INTERVAL_ENTRIES) {
       return new LedgerEvent(false, Json.bytes(new BatchCapacityChange(batch, unfinished, group)));
     }
-    changesSinceWhole = 0;
+    changesSinceSnapshot = 0;
     return new LedgerEvent(true, Json.bytes(new BatchCapacityUsage(items, groups)));
   }
 
+  /** Unfinished items of the batch; 0 if it is not listed. */
   long itemsOf(String batch) {
     return items.getOrDefault(batch, 0L);
   }
@@ -86,20 +92,22 @@
         .sum();
   }
 
+  /** Unfinished items of all batches. */
   long waiting() {
     return items.values().stream().mapToLong(Long::longValue).sum();
   }
 
+  /** Notes that a batch's leader reported, or that its audit was requested, at this time. */
   void touch(String batch, long now) {
     touchedAt.put(batch, now);
   }
 
-  /** Batches whose leader has not spoken of them for the audit interval. */
+  /** The batches that were not touched for the audit interval. */
   List<String> untouched(long now) {
     return items.keySet().stream()
         .filter(
             batch ->
-                now - touchedAt.computeIfAbsent(batch, unseen -> now)
+                now - touchedAt.computeIfAbsent(batch, unknown -> now)
                     >= BatchConstants.CAPACITY_AUDIT_INTERVAL_MS)
         .toList();
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityManager.java
@@ -1,133 +1,147 @@
 package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.common.Json.JSON;
-
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.batch.BatchKeys;
 import applespindle.corelogic.changefeed.MetadataTable;
 import applespindle.corelogic.common.RendezvousHashing;
 import applespindle.corelogic.environment.Environment;
+import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.protocol.Message.LeaderlessBatches;
 import applespindle.corelogic.protocol.Message.PeerRequest;
 import applespindle.corelogic.protocol.MessageSender;
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What the leader of the batch room's key does: admits batches while their items fit under the
- * ceiling, and audits entries of which nobody speaks any more. Invariant: only a first reservation
- * is ever refused, and a refusal writes nothing.
+ * Admits batches while their items fit under the ceiling of their group, and audits batches whose
+ * leader has not reported for long.
+ *
+ * <p>It owns the batch capacity key with its {@link BatchCapacityLedger} while this node leads it,
+ * and the recent rate at which items ended. A batch enters the ledger with its reservation, is
+ * updated by reports, and leaves it when a report says that no item is unfinished. Invariants: only
+ * the first reservation of a batch can be refused; a refusal writes nothing.
  */
-final class BatchCapacityManager {
-  /** A batch's leader says how many items are unfinished; a reservation may be refused. */
-  private record CapacityRequest(
-      String batch, long items, long ceiling, boolean reserves, String group) {
-    static CapacityRequest parse(JsonNode body, BatchCapacityLedger ledger) {
-      String batch = body.get("batch").asText();
-      return new CapacityRequest(
-          batch,
-          body.get("items").asLong(),
-          body.path("ceiling").asLong(0),
-          body.path("reserve").asBoolean(),
-          body.path("group").asText(ledger.groupOf(batch)));
-    }
-
-    boolean unbounded() {
-      return !group.isEmpty() && ceiling == 0;
-    }
-  }
+final class BatchCapacityManager implements KeyManager {
+  /** The number of unfinished items in the batch's group. */
+  private record WaitingResponse(long waiting) {}
 
   private final Environment environment;
   private final MetadataTable table;
+  private final LedKeys keys;
   private final CommandResponder responder;
   private final MessageSender sender;
-  private final CapacityReleaseRate pace;
+  private final CapacityReleaseRate releaseRate;
 
-  BatchCapacityManager(
-      Environment environment,
-      MetadataTable table,
-      CommandResponder responder,
-      MessageSender sender) {
-    this.environment = environment;
-    this.table = table;
-    this.responder = responder;
+  BatchCapacityManager(ControlPlaneContext context, MessageSender sender) {
+    this.environment = context.environment();
+    this.table = context.table();
+    this.keys = context.keys();
+    this.responder = context.responder();
     this.sender = sender;
-    this.pace = new CapacityReleaseRate(environment);
+    this.releaseRate = new CapacityReleaseRate(environment);
   }
 
-  /** Sets a batch's unfinished items and responds with the items that wait in its group. */
-  void set(PeerRequest request, LedKey ledKey, JsonNode body) {
-    BatchCapacityLedger ledger = ledKey.capacityLedger;
-    CapacityRequest capacityRequest = CapacityRequest.parse(body, ledger);
-    long present = ledger.itemsOf(capacityRequest.batch());
-    ledger.touch(capacityRequest.batch(), environment.nowMs());
-    if (capacityRequest.reserves() && present == 0 && !capacityRequest.unbounded()) {
-      Response refusal = refusal(capacityRequest, ledger);
-      if (refusal != null) {
-        responder.respond(request, refusal);
-        return;
-      }
+  /** Has batches audited whose leader has not reported for long. */
+  @Override
+  public void tick() {
+    LedKey ledKey = keys.get(MetadataKeys.BATCH_CAPACITY);
+    if (ledKey != null) {
+      audit(ledKey.capacityLedger());
     }
-    boolean known =
-        capacityRequest.reserves()
-            ? present > 0
-            : present == 0 || present == capacityRequest.items();
-    if (known) {
-      ledKey.leader.confirmLeadership(
-          error -> respondWaiting(request, ledger, capacityRequest.group(), error));
-      return;
+  }
+
+  // ---- reservations and reports
+
+  /**
+   * Sets a batch's number of unfinished items and responds with the number in its group, or refuses
+   * a first reservation that does not fit.
+   */
+  void set(PeerRequest request, LedKey ledKey, BatchCapacityRequest body) {
+    BatchCapacityLedger ledger = ledKey.capacityLedger();
+    BatchCapacityRequest change = body.withDefaultGroup(ledger.groupOf(body.batch()));
+    long current = ledger.itemsOf(change.batch());
+    ledger.touch(change.batch(), environment.nowMs());
+    Optional<Response> refusal = refusal(change, current, ledger);
+    if (refusal.isPresent()) {
+      responder.respond(request, refusal.get());
+    } else if (isApplied(change, current)) {
+      ledKey.confirmLeadership(error -> respondWaiting(request, ledger, change.group(), error));
+    } else {
+      append(request, ledKey, change, current);
     }
-    pace.freed(Math.max(0, present - capacityRequest.items()));
+  }
+
+  /** True if the ledger already holds what the request asks for. */
+  private static boolean isApplied(BatchCapacityRequest change, long current) {
+    if (change.reserve()) {
+      return current > 0;
+    }
+    return current == 0 || current == change.items();
+  }
+
+  private void append(
+      PeerRequest request, LedKey ledKey, BatchCapacityRequest change, long current) {
+    BatchCapacityLedger ledger = ledKey.capacityLedger();
+    releaseRate.recordReleased(Math.max(0, current - change.items()));
     BatchCapacityLedger.LedgerEvent event =
-        ledger.set(capacityRequest.batch(), capacityRequest.items(), capacityRequest.group());
-    ledKey.leader.append(
-        event.whole(),
-        event.content(),
-        error -> respondWaiting(request, ledger, capacityRequest.group(), error));
+        ledger.set(change.batch(), change.items(), change.group());
+    ledKey
+        .leader()
+        .append(
+            event.complete(),
+            event.content(),
+            error -> respondWaiting(request, ledger, change.group(), error));
   }
 
-  /** Null if the reservation fits. */
-  private Response refusal(CapacityRequest capacityRequest, BatchCapacityLedger ledger) {
-    long waiting = ledger.waitingOf(capacityRequest.group());
-    long items = capacityRequest.items();
-    long ceiling = capacityRequest.ceiling();
-    if (items > ceiling && capacityRequest.group().isEmpty()) {
-      return Response.of(new ApiError.BatchTooLarge((int) items, ceiling));
+  /** Empty if the request is no first reservation, or if the reservation fits. */
+  private Optional<Response> refusal(
+      BatchCapacityRequest change, long current, BatchCapacityLedger ledger) {
+    if (!change.reserve() || current > 0 || change.isUnlimited()) {
+      return Optional.empty();
+    }
+    long items = change.items();
+    long ceiling = change.ceiling();
+    if (items > ceiling && change.group().isEmpty()) {
+      return Optional.of(Response.of(new ApiError.BatchTooLarge((int) items, ceiling)));
     }
+    long waiting = ledger.waitingOf(change.group());
     long excess = waiting + items - ceiling;
-    return excess > 0
-        ? Response.of(new ApiError.CapacityExceeded(waiting, ceiling), pace.secondsUntil(excess))
-        : null;
+    if (excess <= 0) {
+      return Optional.empty();
+    }
+    ApiError exceeded = new ApiError.CapacityExceeded(waiting, ceiling);
+    return Optional.of(Response.of(exceeded, releaseRate.secondsUntilReleased(excess)));
   }
 
   private void respondWaiting(
       PeerRequest request, BatchCapacityLedger ledger, String group, ApiError error) {
-    responder.respond(
-        request, error, () -> JSON.createObjectNode().put("waiting", ledger.waitingOf(group)));
+    responder.respond(request, error, () -> new WaitingResponse(ledger.waitingOf(group)));
   }
 
-  /** Has an edge look whether a batch still exists of which nobody has spoken for long. */
-  void audit(LedKey ledKey) {
+  // ---- audit
+
+  /** Asks one edge for each such batch to check whether the batch still exists. */
+  private void audit(BatchCapacityLedger ledger) {
     List<NodeRegistration> edges = table.live("edge");
     long now = environment.nowMs();
-    List<String> untouched = ledKey.capacityLedger.untouched(now);
+    List<String> untouched = ledger.untouched(now);
     if (edges.isEmpty()) {
       return;
     }
     List<String> edgeIds = edges.stream().map(NodeRegistration::id).toList();
     for (String batch : untouched) {
-      ledKey.capacityLedger.touch(batch, now);
-      String chosenId = RendezvousHashing.first(batch, edgeIds);
+      ledger.touch(batch, now);
+      String auditorId = RendezvousHashing.first(batch, edgeIds);
       edges.stream()
-          .filter(member -> member.id().equals(chosenId))
+          .filter(edge -> edge.id().equals(auditorId))
           .findFirst()
-          .ifPresent(edge -> sendAudit(edge, batch));
+          .ifPresent(edge -> requestAudit(edge, batch));
     }
   }
 
-  private void sendAudit(NodeRegistration edge, String batch) {
+  private void requestAudit(NodeRegistration edge, String batch) {
     sender.send(
         edge.peerAddress(), edge.id(), new LeaderlessBatches(List.of(BatchKeys.keyOf(batch))));
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CapacityReleaseRate.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CapacityReleaseRate.java
@@ -6,15 +6,18 @@
 import java.util.ArrayDeque;
 
 /**
- * How fast waiting batch items have ended of late; only to tell a refused sender when to come back.
+ * The rate at which batch items ended recently, from which a refused sender is told when to retry.
+ *
+ * <p>Invariant: sum is the number of items of the recorded releases, none of which is older than
+ * {@link BatchConstants#CAPACITY_RELEASE_WINDOW_MS} after each call.
  */
 final class CapacityReleaseRate {
   private record Release(long atMs, long items) {}
 
   private final Environment environment;
 
-  /** Not older than the time measured over, in order of time. */
-  private final ArrayDeque<Release> freed = new ArrayDeque<>();
+  /** The releases within the window, in order of time. */
+  private final ArrayDeque<Release> releases = new ArrayDeque<>();
 
   private long sum;
 
@@ -22,24 +25,29 @@
     this.environment = environment;
   }
 
-  void freed(long items) {
+  /** Records that this many items ended now. */
+  void recordReleased(long items) {
     if (items > 0) {
-      freed.add(new Release(environment.nowMs(), items));
+      releases.add(new Release(environment.nowMs(), items));
       sum += items;
     }
-    forgetOld();
+    removeExpired();
   }
 
-  private void forgetOld() {
-    while (!freed.isEmpty()
-        && environment.nowMs() - freed.peek().atMs() > BatchConstants.CAPACITY_RELEASE_WINDOW_MS) {
-      sum -= freed.poll().items();
+  private void removeExpired() {
+    while (!releases.isEmpty()
+        && environment.nowMs() - releases.peek().atMs()
+            > BatchConstants.CAPACITY_RELEASE_WINDOW_MS) {
+      sum -= releases.poll().items();
     }
   }
 
-  /** Without any pace to go by: as long as the pace is measured over. */
-  int secondsUntil(long items) {
-    forgetOld();
+  /**
+   * The seconds until this many items will have ended at the present rate, at least 1 and at most
+   * the longest retry interval; without a release in the window, the window's length.
+   */
+  int secondsUntilReleased(long items) {
+    removeExpired();
     long waitMs =
         sum == 0
             ? BatchConstants.CAPACITY_RELEASE_WINDOW_MS
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandResponder.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandResponder.java
@@ -1,5 +1,7 @@
 package applespindle.corelogic.controlplane;
 
+import static applespindle.corelogic.common.Json.JSON;
+
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.changefeed.UpdateAcknowledgements;
@@ -10,10 +12,15 @@
 import java.util.function.Supplier;
 
 /**
- * How the leader of a core key responds to a command. Invariant: a change that edges work by is
- * acknowledged only once it is in force, so that no edge can still begin work by the older value.
+ * Sends the responses of a key's leader to commands. It owns no state.
+ *
+ * <p>Invariant: a change on which edges base their work is acknowledged only once it is in force,
+ * that is, once no edge can begin work by the older value any more.
  */
 final class CommandResponder {
+  /** The HTTP status of a command that succeeded. */
+  static final int STATUS_OK = 200;
+
   private final BiConsumer<PeerRequest, Response> responder;
   private final UpdateAcknowledgements updateAcknowledgements;
   private final TraceLog traceLog;
@@ -27,37 +34,41 @@
     this.traceLog = traceLog;
   }
 
+  /** Sends the response as it is. */
   void respond(PeerRequest request, Response response) {
     responder.accept(request, response);
   }
 
+  /** Responds with the error. */
   void reject(PeerRequest request, ApiError error) {
     responder.accept(request, Response.of(error));
   }
 
-  /** Responds with the body, or with the fault if there is one. */
+  /** Responds with the error, or with the body if the error is null. */
   void respond(PeerRequest request, ApiError error, Supplier<Object> body) {
-    responder.accept(request, error == null ? Response.of(200, body.get()) : Response.of(error));
+    responder.accept(
+        request, error == null ? Response.of(STATUS_OK, body.get()) : Response.of(error));
   }
 
   /**
-   * Responds with the fault if there is one, else with the body once the key's value is in force.
+   * Responds with the error, or if it is null, with the body as soon as the key's present value is
+   * in force.
    */
-  void respondOnceInForce(PeerRequest request, LedKey ledKey, ObjectNode body, ApiError error) {
+  void respondOnceInForce(PeerRequest request, LedKey ledKey, Object body, ApiError error) {
     if (error != null) {
       reject(request, error);
       return;
     }
-    String key = ledKey.leader.key;
+    String key = ledKey.key();
     updateAcknowledgements.await(
         key,
-        ledKey.valueSequence,
-        body,
+        ledKey.valueSequence(),
+        JSON.<ObjectNode>valueToTree(body),
         response -> {
           traceLog.add(
               response.isSuccess() ? "acknowledged" : "not-acknowledged",
               key,
-              "sequence " + ledKey.valueSequence);
+              "sequence " + ledKey.valueSequence());
           respond(request, response);
         });
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
@@ -14,11 +14,11 @@
 import java.util.function.Consumer;
 
 /**
- * Sends the commands of operators and of the platform, which came in over HTTP here, to the leaders
- * of the keys they are about. Invariant: the callback runs once for each command.
+ * Sends the commands that operators and the platform gave to this process to the leaders of their
+ * keys. It owns no state. Invariant: the callback of each command runs exactly once.
  */
 final class CommandSender {
-  /** The body of a command that has none. */
+  /** The body of a command without parameters: an empty JSON object. */
   static final byte[] NO_BODY = {'{', '}'};
 
   private final Node node;
@@ -29,6 +29,11 @@
     this.quorum = quorum;
   }
 
+  /**
+   * Sends a command. The body is written as JSON unless it is a byte array, which is sent as it is.
+   * The callback gets the leader's response, or an error if this process is stopping, is isolated,
+   * or got no response in time.
+   */
   void send(String operation, String key, Object body, Consumer<Response> then) {
     if (node.stopping) {
       then.accept(Response.of(new ApiError.NodeStopping()));
@@ -38,14 +43,15 @@
       then.accept(Response.of(new ApiError.NoQuorum(key)));
       return;
     }
-    boolean cutOffSoFar = quorum.isMember() && !quorum.isInContactWithMajority();
+    boolean maySoonBeIsolated = quorum.isMember() && !quorum.isInContactWithMajority();
     long expiryMs =
-        cutOffSoFar
+        maySoonBeIsolated
             ? MembershipConstants.QUORUM_PEER_TIMEOUT_MS
             : PeerRequestConstants.REQUEST_TIMEOUT_MS;
     node.sendRequest(this::target, operation, key, body, expiryMs, then);
   }
 
+  /** This process if it is a member, else one member after the other. */
   private NodeAddress target(int attempt) {
     List<QuorumMember> members = quorum.current().members();
     if (quorum.isMember() || members.isEmpty()) {
@@ -55,16 +61,18 @@
     return new NodeAddress(member.id(), member.peerAddress());
   }
 
+  /** Has the storage node of this name drained; the callback gets its state or the refusal. */
   void drainStorageNode(String name, Consumer<Response> then) {
     withStorageId(
         name,
         then,
         id -> {
-          StorageNodeState emptying = new StorageNodeState(id, name, StorageNodeState.EMPTYING);
-          send("storage", MetadataKeys.STORAGE_PREFIX + id, emptying, then);
+          StorageNodeState draining = new StorageNodeState(id, name, StorageNodeState.EMPTYING);
+          send("storage", MetadataKeys.STORAGE_PREFIX + id, draining, then);
         });
   }
 
+  /** Checks whether the storage node of this name may be removed. */
   void isStorageNodeDrained(String name, Consumer<Response> then) {
     withStorageId(
         name, then, id -> send("storage-place", MetadataKeys.STORAGE_PREFIX + id, NO_BODY, then));
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -20,120 +20,130 @@
 import java.util.Map;
 
 /**
- * What the leader of the bundle's key does with a bundle that is sent. Invariant: numbers only
- * rise, and a bundle that is known to have been accepted is acknowledged again.
+ * Accepts or refuses configurations and patches of configurations that operators send.
+ *
+ * <p>It owns the configuration's key while this node leads it. The key's value is the configuration
+ * in force, with the digests of those accepted before it; each accepted configuration or patch
+ * replaces it by one with a higher number. Invariants: numbers only rise; a configuration that is
+ * known to have been accepted is acknowledged again when it is sent again; a configuration is
+ * acknowledged only once it is in force.
  */
 public final class ConfigurationManager {
-  private static final byte[] PATCH_MARK = "patch:".getBytes(UTF_8);
-  private static final ApiError.Field NOT_FROM_TEXT =
+  /** Distinguishes a patch's content from every complete configuration, which is JSON. */
+  private static final byte[] PATCH_PREFIX = "patch:".getBytes(UTF_8);
+
+  private static final ApiError.Field HAS_NO_SOURCE =
       new ApiError.Field("$", "what is in force was not sent in this format: send a whole one");
 
+  /** The response to an accepted configuration: its number. */
+  private record NumberResponse(long number) {}
+
   private final NodeSettings settings;
+
+  /** Public keys of the operators by key id. */
   private final Map<String, String> operatorKeys;
+
   private final ConfigurationFormat format;
   private final LedKeys keys;
   private final CommandResponder responder;
 
   ConfigurationManager(
-      NodeSettings settings,
-      Map<String, String> operatorKeys,
-      ConfigurationFormat format,
-      LedKeys keys,
-      CommandResponder responder) {
-    this.settings = settings;
+      ControlPlaneContext context, Map<String, String> operatorKeys, ConfigurationFormat format) {
+    this.settings = context.settings();
     this.operatorKeys = operatorKeys;
     this.format = format;
-    this.keys = keys;
-    this.responder = responder;
+    this.keys = context.keys();
+    this.responder = context.responder();
   }
 
-  /** Accepts a bundle and responds once it is in force, or refuses it. */
+  /** Accepts a configuration and responds once it is in force, or refuses it. */
   void set(PeerRequest request, LedKey ledKey, SignedConfiguration sent) {
-    RoutingConfiguration.ValidationResult checked = check(sent);
-    if (checked.error() != null) {
-      responder.reject(request, checked.error());
+    RoutingConfiguration.ValidationResult validated = validate(sent);
+    if (validated.error() != null) {
+      responder.reject(request, validated.error());
       return;
     }
-    long number = checked.configuration().number();
-    byte[] content = content(checked.configuration(), sent);
-    if (mayBeTaken(request, ledKey, number, content, sent.buildsOn())) {
-      take(request, ledKey, number, content, sent);
+    long number = validated.configuration().number();
+    byte[] content = content(validated.configuration(), sent);
+    if (isAcceptable(request, ledKey, number, content, sent.buildsOn())) {
+      accept(request, ledKey, number, content, sent);
     }
   }
 
   /**
-   * Changes the bundle in force by a patch, or refuses it. It is folded here, where the version
-   * that it builds on is compared: what results is checked, signed off and kept as a whole bundle.
+   * Applies a patch to the configuration in force, or refuses it. The patch is applied here because
+   * the version that it builds on is compared here: the result is validated and stored as a
+   * complete configuration.
    */
   void patch(PeerRequest request, LedKey ledKey, ConfigurationPatchRequest sent) {
-    ConfigurationPatch.ParsedPatch read = ConfigurationPatch.parse(format, sent.bytes());
-    if (read.patch() == null) {
-      responder.reject(request, new ApiError.InvalidConfiguration(read.errors()));
+    ConfigurationPatch.ParsedPatch parsed = ConfigurationPatch.parse(format, sent.bytes());
+    if (parsed.patch() == null) {
+      responder.reject(request, new ApiError.InvalidConfiguration(parsed.errors()));
       return;
     }
-    long number = read.patch().revision();
+    long number = parsed.patch().revision();
     byte[] content = patchContent(sent.bytes());
-    if (!mayBeTaken(request, ledKey, number, content, sent.buildsOn())) {
+    if (!isAcceptable(request, ledKey, number, content, sent.buildsOn())) {
       return;
     }
-    ConfigurationFormat.ParsedConfiguration whole =
-        fold(read.patch(), ledKey.as(SignedConfiguration.class));
-    if (!whole.errors().isEmpty()) {
-      responder.reject(request, new ApiError.InvalidConfiguration(whole.errors()));
+    ConfigurationFormat.ParsedConfiguration patched =
+        apply(parsed.patch(), ledKey.as(SignedConfiguration.class));
+    if (!patched.errors().isEmpty()) {
+      responder.reject(request, new ApiError.InvalidConfiguration(patched.errors()));
       return;
     }
     var result =
         new SignedConfiguration(
-            number, whole.configuration(), sent.keyId(), sent.signature(), sent.buildsOn());
-    RoutingConfiguration.ValidationResult checked = check(result);
-    if (checked.error() != null) {
-      responder.reject(request, checked.error());
+            number, patched.configuration(), sent.keyId(), sent.signature(), sent.buildsOn());
+    RoutingConfiguration.ValidationResult validated = validate(result);
+    if (validated.error() != null) {
+      responder.reject(request, validated.error());
       return;
     }
-    take(request, ledKey, number, content, result);
+    accept(request, ledKey, number, content, result);
   }
 
-  private ConfigurationFormat.ParsedConfiguration fold(
+  /** The configuration in force, null if there is none yet, with the patch applied. */
+  private ConfigurationFormat.ParsedConfiguration apply(
       ConfigurationPatch patch, SignedConfiguration inForce) {
-    ObjectNode written =
+    ObjectNode source =
         inForce == null ? JSON.createObjectNode() : format.sourceOf(inForce.bytes());
-    if (written == null) {
-      return new ConfigurationFormat.ParsedConfiguration(null, List.of(NOT_FROM_TEXT));
+    if (source == null) {
+      return new ConfigurationFormat.ParsedConfiguration(null, List.of(HAS_NO_SOURCE));
     }
-    ConfigurationPatch.PatchResult applied = patch.applyTo(written);
+    ConfigurationPatch.PatchResult applied = patch.applyTo(source);
     return applied.configuration() == null
         ? new ConfigurationFormat.ParsedConfiguration(null, applied.errors())
         : format.parse(applied.configuration());
   }
 
-  private RoutingConfiguration.ValidationResult check(SignedConfiguration sent) {
+  private RoutingConfiguration.ValidationResult validate(SignedConfiguration sent) {
     return settings.signedConfigurations()
         ? RoutingConfiguration.validate(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
         : RoutingConfiguration.validate(sent.bytes());
   }
 
   /**
-   * Whether the change is new and builds on what is in force; else it is answered here, once it is
-   * confirmed that this node still leads.
+   * True if the change is new and builds on the configuration in force. Otherwise this method
+   * responds, once it is confirmed that this node still leads the key.
    */
-  private boolean mayBeTaken(
+  private boolean isAcceptable(
       PeerRequest request, LedKey ledKey, long number, byte[] content, Long buildsOn) {
     SignedConfiguration inForce = ledKey.as(SignedConfiguration.class);
-    RevisionStatus standing = acceptedSoFar(inForce).standing(number, content);
-    if (standing == RevisionStatus.ACCEPTED) {
-      ledKey.leader.confirmLeadership(error -> acknowledge(request, ledKey, number, error));
+    RevisionStatus status = acceptedSoFar(inForce).standing(number, content);
+    if (status == RevisionStatus.ACCEPTED) {
+      ledKey.confirmLeadership(error -> acknowledge(request, ledKey, number, error));
       return false;
     }
-    ApiError refusal = refusal(ledKey.leader.key, buildsOn, number, inForce, standing);
+    ApiError refusal = refusal(ledKey.key(), buildsOn, number, inForce, status);
     if (refusal != null) {
-      ledKey.leader.confirmLeadership(
-          error -> responder.reject(request, error == null ? refusal : error));
+      ledKey.confirmLeadership(error -> responder.reject(request, error == null ? refusal : error));
       return false;
     }
     return true;
   }
 
-  private void take(
+  private void accept(
       PeerRequest request, LedKey ledKey, long number, byte[] content, SignedConfiguration sent) {
     AcceptedRevisions accepted = acceptedSoFar(ledKey.as(SignedConfiguration.class));
     keys.put(
@@ -148,27 +158,28 @@
         error -> acknowledge(request, ledKey, number, error));
   }
 
-  /** Apart from the content of every whole bundle, which does not begin so. */
+  /** The content by which a patch that is sent again is recognized. */
   private static byte[] patchContent(byte[] patch) {
-    byte[] content = Arrays.copyOf(PATCH_MARK, PATCH_MARK.length + patch.length);
-    System.arraycopy(patch, 0, content, PATCH_MARK.length, patch.length);
+    byte[] content = Arrays.copyOf(PATCH_PREFIX, PATCH_PREFIX.length + patch.length);
+    System.arraycopy(patch, 0, content, PATCH_PREFIX.length, patch.length);
     return content;
   }
 
   private void acknowledge(PeerRequest request, LedKey ledKey, long number, ApiError error) {
-    responder.respondOnceInForce(
-        request, ledKey, JSON.createObjectNode().put("number", number), error);
+    responder.respondOnceInForce(request, ledKey, new NumberResponse(number), error);
   }
 
   /**
-   * What makes two sent bundles the same: the operator's own text where the bundle was made from
-   * it, so that it does not matter which release made it.
+   * The content by which a configuration that is sent again is recognized: the operator's own text
+   * if the configuration was generated from it, so that the release that generated it is
+   * irrelevant.
    */
   private byte[] content(RoutingConfiguration configuration, SignedConfiguration sent) {
-    boolean madeHere = !settings.signedConfigurations() && configuration.origin() != null;
-    return madeHere ? configuration.origin().getBytes(UTF_8) : sent.bytes();
+    boolean generatedHere = !settings.signedConfigurations() && configuration.origin() != null;
+    return generatedHere ? configuration.origin().getBytes(UTF_8) : sent.bytes();
   }
 
+  /** The configurations accepted up to the one in force, which is null before the first. */
   private AcceptedRevisions acceptedSoFar(SignedConfiguration inForce) {
     if (inForce == null) {
       return AcceptedRevisions.NONE;
@@ -183,19 +194,15 @@
   }
 
   /**
-   * Null if the bundle may be taken. One that may have been accepted before the memory begins can
-   * not be told from one that lost: neither is refused. Whoever builds on its own number or a
-   * higher one was never accepted.
+   * Null if the configuration can be accepted. If its number is older than all remembered ones, it
+   * is not known whether it was accepted, so it is not refused; but one that builds on its own
+   * number or a higher one was never accepted.
    */
   private static ApiError refusal(
-      String key,
-      Long buildsOn,
-      long number,
-      SignedConfiguration inForce,
-      RevisionStatus standing) {
+      String key, Long buildsOn, long number, SignedConfiguration inForce, RevisionStatus status) {
     long present = inForce == null ? 0 : inForce.number();
-    boolean mayHaveBuiltOn = buildsOn == null || buildsOn < number;
-    if (standing == RevisionStatus.FORGOTTEN && mayHaveBuiltOn) {
+    boolean mayHaveBeenAccepted = buildsOn == null || buildsOn < number;
+    if (status == RevisionStatus.FORGOTTEN && mayHaveBeenAccepted) {
       return new ApiError.OutcomeUnknown(key);
     }
     if (buildsOn != null && buildsOn != present) {
@@ -205,21 +212,31 @@
   }
 
   /**
-   * What the feed carries: only what edges work by, neither what the owner remembers of earlier
-   * bundles nor the text that an unsigned one was made from, which is as long as the bundle itself.
+   * The part of a committed configuration that the change feed carries to the edges: neither the
+   * digests of earlier configurations nor the text from which an unsigned configuration was
+   * generated, which is as long as the configuration itself.
+   *
+   * @param event the committed event of the configuration's key
+   * @return a configuration as JSON
    */
   public static byte[] forFeed(byte[] event) {
-    SignedConfiguration whole = Json.read(event, SignedConfiguration.class);
-    boolean signed = whole.signature() != null && whole.signature().length > 0;
-    byte[] bytes = signed ? whole.bytes() : withoutOrigin(whole.bytes());
+    SignedConfiguration complete = Json.read(event, SignedConfiguration.class);
+    boolean signed = complete.signature() != null && complete.signature().length > 0;
+    byte[] bytes = signed ? complete.bytes() : withoutOrigin(complete.bytes());
     return Json.bytes(
         new SignedConfiguration(
-            whole.number(), bytes, whole.keyId(), whole.signature(), whole.buildsOn(), null));
+            complete.number(),
+            bytes,
+            complete.keyId(),
+            complete.signature(),
+            complete.buildsOn(),
+            null));
   }
 
   private static byte[] withoutOrigin(byte[] bytes) {
-    return Json.tree(bytes) instanceof ObjectNode bundle && bundle.remove("origin") != null
-        ? Json.bytes(bundle)
+    return Json.tree(bytes) instanceof ObjectNode configuration
+            && configuration.remove("origin") != null
+        ? Json.bytes(configuration)
         : bytes;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -1,200 +1,197 @@
 package applespindle.corelogic.controlplane;
 
+import static applespindle.corelogic.common.Json.JSON;
+
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
-import applespindle.corelogic.changefeed.UpdateAcknowledgements;
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.configuration.ConfigurationFormat;
 import applespindle.corelogic.configuration.ConfigurationPatchRequest;
-import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.NodeSettings;
-import applespindle.corelogic.membership.QuorumView;
 import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.MessageSender;
 import applespindle.corelogic.replication.FaultToleranceMonitor;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
 import java.util.Map;
 
 /**
- * What a core node does for the keys that it leads: takes the steps that are due at each tick, and
- * runs the commands on a key. Invariant: a command is run only by a leader that is in contact with
- * a majority, and every command gets one response.
+ * Owns the managers of a control plane process, lets them take the steps that are due at each tick,
+ * and dispatches each command to the manager of its key.
+ *
+ * <p>Invariants: a command runs only at a leader that is in contact with a majority, and every
+ * command gets one response; at each tick the managers run in a fixed order, after the elections
+ * for keys without a leader.
  */
 final class ControlManagers {
-  private final Environment environment;
-  private final NodeSettings settings;
-  private final QuorumView quorum;
+  private final ControlPlaneContext context;
   private final LedKeys keys;
   private final CommandResponder responder;
-  private final QuorumMembershipManager membershipChange;
+  private final QuorumMembershipManager quorumMembership;
   private final MemberLeaseManager leases;
-  private final ConfigurationManager bundles;
-  private final WorkerRegistrationManager workerCommands;
+  private final ConfigurationManager configurations;
+  private final WorkerRegistrationManager workers;
   private final WorkerListSynchronizer workerList;
-  private final BatchCapacityManager batchRoom;
-  private final EdgeListManager edgeList;
-  private final ShardReplicaManager storage;
+  private final BatchCapacityManager batchCapacity;
+  private final StorageNodeDirectory storageNodes;
+  private final ShardHealth shardHealth;
+  private final ShardReplicaManager shardReplicas;
+  private final StorageDrainManager drains;
+  private final DrainPlanner drainPlanner;
   private final FaultToleranceMonitor faultTolerance;
 
-  /** A core of fewer than wantedMembers is grown; 0 if it is to stay as it was founded. */
+  /** In the order in which they run at each tick. */
+  private final List<KeyManager> tickOrder;
+
+  /**
+   * The quorum is grown while it has fewer than targetMemberCount members; 0 keeps it as it was
+   * formed. The operators' public keys are by key id.
+   */
   ControlManagers(
-      Environment environment,
-      ControlPlaneNode core,
-      NodeSettings settings,
+      ControlPlaneContext context,
       Map<String, String> operatorKeys,
       ConfigurationFormat format,
-      int wantedMembers,
-      UpdateAcknowledgements updateAcknowledgements,
-      CommandResponder responder,
-      CommandSender commands) {
-    this.environment = environment;
-    this.settings = settings;
-    this.quorum = core.quorum;
-    this.keys = core.keys;
-    this.responder = responder;
-    this.membershipChange =
-        new QuorumMembershipManager(environment, core.identity(), quorum, keys, wantedMembers);
-    this.leases =
-        new MemberLeaseManager(
-            environment,
-            core.table,
-            keys,
-            responder,
-            key -> commands.send("leave", key, CommandSender.NO_BODY, response -> {}));
-    this.bundles = new ConfigurationManager(settings, operatorKeys, format, keys, responder);
-    this.workerCommands = new WorkerRegistrationManager(keys, responder);
-    this.workerList =
-        new WorkerListSynchronizer(
-            environment,
-            settings,
-            ledKey -> core.keys.get(MetadataKeys.WORKER_LIST) == ledKey,
-            keys::put,
-            () -> core.keys.transfer(MetadataKeys.WORKER_LIST));
-    this.batchRoom = new BatchCapacityManager(environment, core.table, responder, core::send);
-    this.edgeList =
-        new EdgeListManager(environment, core.table, quorum, keys, updateAcknowledgements);
-    this.storage = new ShardReplicaManager(environment, core, settings);
-    this.faultTolerance = new FaultToleranceMonitor(settings.faultTolerance());
+      int targetMemberCount,
+      MessageSender sender) {
+    int replicationFactor = context.settings().replicas();
+    this.context = context;
+    this.keys = context.keys();
+    this.responder = context.responder();
+    this.quorumMembership = new QuorumMembershipManager(context, targetMemberCount);
+    this.leases = new MemberLeaseManager(context);
+    this.configurations = new ConfigurationManager(context, operatorKeys, format);
+    this.workers = new WorkerRegistrationManager(keys, responder);
+    this.workerList = new WorkerListSynchronizer(context);
+    this.batchCapacity = new BatchCapacityManager(context, sender);
+    this.storageNodes = new StorageNodeDirectory(context.table());
+    this.shardHealth = new ShardHealth(context.table(), storageNodes, replicationFactor);
+    this.shardReplicas = new ShardReplicaManager(context, storageNodes, shardHealth);
+    this.drains = new StorageDrainManager(context, storageNodes, shardHealth);
+    this.drainPlanner = new DrainPlanner(context.table(), storageNodes, replicationFactor);
+    this.faultTolerance = new FaultToleranceMonitor(context.settings().faultTolerance());
+    this.tickOrder =
+        List.of(
+            quorumMembership,
+            leases,
+            new EdgeListManager(context),
+            workerList,
+            shardReplicas,
+            batchCapacity);
   }
 
   void settingsChanged(NodeSettings newer) {
     workerList.settingsChanged(newer);
   }
 
-  ShardReplicaManager storage() {
-    return storage;
+  /** The storage nodes as known here. */
+  StorageNodeDirectory storageNodes() {
+    return storageNodes;
   }
 
-  /** Called when this node has just taken the leadership of a key. */
-  void leadershipTaken(LedKey ledKey) {
-    if (ledKey.leader.key.equals(MetadataKeys.WORKER_LIST) && settings.listCallsPerS() > 0) {
-      workerList.begin(ledKey);
-    }
+  StorageDrainManager drains() {
+    return drains;
   }
 
-  // ---- what is due at each tick
+  DrainPlanner drainPlanner() {
+    return drainPlanner;
+  }
 
-  /** Claims the keys that are this node's to lead, and takes the next step for those it leads. */
-  void tick() {
-    keys.electForLeaderlessKeys();
-    membershipChange.advance();
-    leases.expire();
-    edgeList.tick();
-    claimWorkerList();
-    storage.tick();
-    auditBatchRoom();
-    faultTolerance.update(
-        FaultToleranceMonitor.remainingTolerableFailures(
-            quorum.replicaSets(), quorum.liveMembers()::contains),
-        storage.remainingTolerableFailures(),
-        environment.nowMs());
+  /** Called when a member or a storage node's state changed. */
+  void storageNodesChanged() {
+    shardReplicas.checkSoon();
   }
 
-  /** Somebody always reads the list, also before its key has a first value. */
-  private void claimWorkerList() {
-    if (settings.listCallsPerS() > 0 && keys.get(MetadataKeys.WORKER_LIST) == null) {
-      keys.electIfVacant(MetadataKeys.WORKER_LIST);
+  /** Called when this node has just become the leader of a key. */
+  void leadershipTaken(LedKey ledKey) {
+    if (ledKey.key().equals(MetadataKeys.WORKER_LIST)) {
+      workerList.leadershipTaken(ledKey);
     }
   }
 
-  private void auditBatchRoom() {
-    LedKey ledKey = keys.get(MetadataKeys.BATCH_CAPACITY);
-    if (ledKey != null) {
-      batchRoom.audit(ledKey);
-    }
+  /** Starts the elections that are this node's to start, and lets each manager take its steps. */
+  void tick() {
+    keys.electForLeaderlessKeys();
+    tickOrder.forEach(KeyManager::tick);
+    faultTolerance.update(
+        FaultToleranceMonitor.remainingTolerableFailures(
+            context.quorum().replicaSets(), context.quorum().liveMembers()::contains),
+        shardHealth.remainingTolerableFailures(),
+        context.environment().nowMs());
   }
 
   // ---- commands
 
-  /** Runs a command; the state is null if the leadership was lost since the command was taken. */
+  /** Runs a command; ledKey is null if the leadership was lost after the command arrived. */
   void run(PeerRequest request, LedKey ledKey) {
     if (ledKey == null) {
       responder.reject(request, new ApiError.NotLeader(request.key()));
       return;
     }
-    if (!ledKey.leader.isInContactWithQuorum()) {
+    if (!ledKey.leader().isInContactWithQuorum()) {
       responder.reject(request, new ApiError.NoQuorum(request.key()));
       return;
     }
     switch (request.operation()) {
-      case "grant" ->
-          leases.renew(request, ledKey, Json.read(request.body(), NodeRegistration.class));
+      case "grant" -> leases.renew(request, ledKey, decode(request, NodeRegistration.class));
       case "leave" -> leases.leave(request, ledKey);
       case "bundle" ->
-          bundles.set(request, ledKey, Json.read(request.body(), SignedConfiguration.class));
+          configurations.set(request, ledKey, decode(request, SignedConfiguration.class));
       case "patch-bundle" ->
-          bundles.patch(
-              request, ledKey, Json.read(request.body(), ConfigurationPatchRequest.class));
-      case "worker" ->
-          workerCommands.set(request, ledKey, Json.read(request.body(), WorkerRegistration.class));
+          configurations.patch(request, ledKey, decode(request, ConfigurationPatchRequest.class));
+      case "worker" -> workers.set(request, ledKey, decode(request, WorkerRegistration.class));
       case "list-version" ->
-          workerCommands.raiseListVersion(request, ledKey, Json.tree(request.body()));
-      case "room" -> batchRoom.set(request, ledKey, Json.tree(request.body()));
-      case "copied" -> copied(request, ledKey, Json.tree(request.body()));
-      case "storage" ->
-          storage.mark(request, ledKey, Json.read(request.body(), StorageNodeState.class));
-      case "storage-place" -> storage.respondWhetherDrained(request, ledKey);
+          workers.raiseListVersion(request, ledKey, decode(request, WorkerListVersionCheck.class));
+      case "room" ->
+          batchCapacity.set(request, ledKey, decode(request, BatchCapacityRequest.class));
+      case "copied" -> recordCaughtUp(request, ledKey, decode(request, CaughtUpReport.class));
+      case "storage" -> drains.mark(request, ledKey, decode(request, StorageNodeState.class));
+      case "storage-place" -> drains.respondWhetherDrained(request, ledKey);
       case "read" -> read(request, ledKey);
       default -> responder.reject(request, new ApiError.UnknownRequest(request.operation()));
     }
   }
 
+  private static <T> T decode(PeerRequest request, Class<T> type) {
+    return Json.read(request.body(), type);
+  }
+
   /**
-   * Responds with the value as it was when the command came: all of it is committed once that is
-   * confirmed, which can't be said of what is appended meanwhile.
+   * Responds with the value at the time the command arrived: all of it is committed once the
+   * leadership is confirmed, unlike a value that is appended in the meantime.
    */
   private void read(PeerRequest request, LedKey ledKey) {
-    JsonNode value = ledKey.value;
-    ledKey.leader.confirmLeadership(error -> responder.respond(request, error, () -> value));
+    JsonNode value = ledKey.value();
+    ledKey.confirmLeadership(error -> responder.respond(request, error, () -> value));
   }
 
-  /** A newcomer of a replica set reports that it has copied. */
-  private void copied(PeerRequest request, LedKey ledKey, JsonNode body) {
-    ledKey.caughtUpVersions.put(body.path("id").asText(), body.path("number").asLong());
-    responder.respond(request, Response.of(200, body));
-    if (ledKey.leader.key.equals(MetadataKeys.MEMBERSHIP)) {
-      membershipChange.advance();
+  /** A new member of a replica set reports that it has copied the data. */
+  private void recordCaughtUp(PeerRequest request, LedKey ledKey, CaughtUpReport report) {
+    ledKey.recordCaughtUp(report);
+    responder.respond(request, Response.of(CommandResponder.STATUS_OK, report));
+    if (ledKey.key().equals(MetadataKeys.MEMBERSHIP)) {
+      quorumMembership.advance();
     } else {
-      storage.checkSoon();
+      shardReplicas.checkSoon();
     }
   }
 
   // ---- status
 
-  /** Adds the storage nodes, how many losses can be borne, and the waiting batch items. */
+  /** Adds the storage nodes, the fault tolerance, and the number of waiting batch items. */
   void describe(ObjectNode status) {
-    status.set("storage", storage.nodes());
-    status.put("replicas", settings.replicas());
-    status.put("shardsWithReducedRedundancy", storage.reduced());
-    faultTolerance.describe(status, environment.nowMs());
-    LedKey room = keys.get(MetadataKeys.BATCH_CAPACITY);
-    if (room != null) {
-      status.put("waitingBatchItems", room.capacityLedger.waiting());
+    status.set("storage", JSON.<JsonNode>valueToTree(storageNodes.summaries()));
+    status.put("replicas", context.settings().replicas());
+    status.put("shardsWithReducedRedundancy", shardHealth.shardsWithReducedRedundancy());
+    faultTolerance.describe(status, context.environment().nowMs());
+    LedKey capacityKey = keys.get(MetadataKeys.BATCH_CAPACITY);
+    if (capacityKey != null) {
+      status.put("waitingBatchItems", capacityKey.capacityLedger().waiting());
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -1,5 +1,6 @@
 package applespindle.corelogic.controlplane;
 
+import static applespindle.corelogic.common.Json.JSON;
 import static applespindle.corelogic.metadata.WorkerRegistration.GONE;
 import static applespindle.corelogic.metadata.WorkerRegistration.LEAVING;
 import static applespindle.corelogic.metadata.WorkerRegistration.READY;
@@ -10,7 +11,6 @@
 import applespindle.corelogic.changefeed.MetadataTable;
 import applespindle.corelogic.changefeed.UpdateAcknowledgements;
 import applespindle.corelogic.common.Json;
-import applespindle.corelogic.common.RendezvousHashing;
 import applespindle.corelogic.configuration.ConfigurationFormat;
 import applespindle.corelogic.constants.ChangeFeedConstants;
 import applespindle.corelogic.constants.MembershipConstants;
@@ -48,30 +48,41 @@
 import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
 import applespindle.corelogic.protocol.Message.VoteRequest;
 import applespindle.corelogic.protocol.Message.VoteResponse;
-import applespindle.corelogic.replication.ElectionOutcome;
-import applespindle.corelogic.replication.LogReplica;
 import applespindle.corelogic.replication.LogReplicas;
 import applespindle.corelogic.replication.ReplicaCatchUp;
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 
 /**
- * A process of the control plane. It holds copies of the core keys, leads some of them, and
- * publishes their changes. This class puts the duties together and routes messages and commands to
- * them; each duty is a class of its own.
+ * A process of the control plane. It holds replicas of the control plane's keys, leads some of
+ * them, and publishes their changes to the rest of the fleet. This class assembles the parts of the
+ * process and passes timers, messages and commands on to them.
+ *
+ * <p>State owned: whether the process has started; all other state belongs to its parts. The
+ * process goes from recovering through started to stopping and terminated. Invariants: a heartbeat
+ * that is received before the start triggers no other; a process that is not a member of the quorum
+ * rejects commands; one that is not a replica leads no key.
  */
 public final class ControlPlaneNode extends Node {
+  /** The readiness text of a process that is no member of the quorum. */
+  private static final String NOT_A_MEMBER = "not in the core's roster";
+
+  /** The readiness text of a process whose metadata may be out of date. */
+  static final String NO_MAJORITY_IN_CONTACT = "no majority of the core heard";
+
   private final NodeSettings settings;
 
   /** The committed values known here. */
-  final MetadataTable table = new MetadataTable();
+  private final MetadataTable table = new MetadataTable();
 
-  final QuorumView quorum;
+  private final QuorumView quorum;
   private final HeartbeatExchange heartbeat;
   private final QuorumDiscovery discovery;
   private final QuorumBootstrap bootstrap;
@@ -81,8 +92,8 @@
   private final LogReplicas replicas;
   private final ReplicaCatchUp catchUp;
 
-  /** The core keys that this node leads. */
-  final LedKeys keys;
+  /** The keys that this node leads. */
+  private final LedKeys keys;
 
   private final ChangeFeedExchange feed;
   private final UpdateAcknowledgements updateAcknowledgements;
@@ -90,10 +101,16 @@
   private final CommandResponder responder;
   private final CommandSender commands;
   private final ControlManagers managers;
+  private final CommandRouter router;
   private final MetadataView view;
   private boolean started;
 
-  /** The founders are the peer addresses of the first members, as told to each of them. */
+  /**
+   * Creates a process with default settings.
+   *
+   * @param operatorKeys public keys of the operators by key id
+   * @param founders the peer addresses of the first members, the same at each of them
+   */
   public ControlPlaneNode(
       Environment environment,
       NodeIdentity identity,
@@ -108,7 +125,14 @@
         ConfigurationFormat.OWN);
   }
 
-  /** Without founders the first members are found by the seeds. */
+  /**
+   * Creates a process.
+   *
+   * @param operatorKeys public keys of the operators by key id
+   * @param founders the peer addresses of the first members, the same at each of them; if empty,
+   *     the first members discover each other through the seeds
+   * @param format how operators write configurations
+   */
   public ControlPlaneNode(
       Environment environment,
       NodeIdentity identity,
@@ -119,31 +143,13 @@
     super(environment, identity);
     this.settings = settings;
     this.quorum = new QuorumView(environment, identity, () -> membership);
-    this.bootstrap =
-        new QuorumBootstrap(
-            environment,
-            identity,
-            settings,
-            quorum.self(),
-            quorum.peers(),
-            quorum::isAlive,
-            this::learnMembership);
+    this.bootstrap = newBootstrap();
     this.staticBootstrap = new StaticBootstrap(environment, identity, quorum, founders);
     this.replicas =
         new LogReplicas(environment, this::send, this::committed, key -> QuorumView.SET_NAME);
     this.catchUp = new ReplicaCatchUp(environment, this, replicas, new HashMap<>(), id -> "");
     this.joiningMember = new JoiningMember(environment, this, quorum, catchUp);
-    this.keys =
-        new LedKeys(
-            environment,
-            identity,
-            quorum,
-            replicas,
-            table,
-            traceLog,
-            this::send,
-            () -> stopping,
-            this::beginLeading);
+    this.keys = newLedKeys();
     this.heartbeat = newHeartbeat();
     this.feed =
         new ChangeFeedExchange(
@@ -151,24 +157,41 @@
     this.discovery =
         new QuorumDiscovery(
             identity, settings, quorum, feed.freshness()::ageMs, () -> seeds, this::send);
-    this.updateAcknowledgements = newNewsInForce();
+    this.updateAcknowledgements = newUpdateAcknowledgements();
     this.responder = new CommandResponder(this::respond, updateAcknowledgements, traceLog);
     this.commands = new CommandSender(this, quorum);
-    int wantedMembers = founders.isEmpty() ? settings.replicas() : 0;
+    ControlPlaneContext context = newContext();
+    int targetMemberCount = founders.isEmpty() ? settings.replicas() : 0;
     this.managers =
-        new ControlManagers(
-            environment,
-            this,
-            settings,
-            operatorKeys,
-            format,
-            wantedMembers,
-            updateAcknowledgements,
-            responder,
-            commands);
+        new ControlManagers(context, operatorKeys, format, targetMemberCount, this::send);
+    this.router = new CommandRouter(context, replicas, managers, () -> stopping, this::forward);
     this.view = new MetadataView(table, feed.freshness());
   }
 
+  private QuorumBootstrap newBootstrap() {
+    return new QuorumBootstrap(
+        environment,
+        identity,
+        settings,
+        quorum.self(),
+        quorum.peers(),
+        quorum::isAlive,
+        this::learnMembership);
+  }
+
+  private LedKeys newLedKeys() {
+    return new LedKeys(
+        environment,
+        identity,
+        quorum,
+        replicas,
+        table,
+        traceLog,
+        this::send,
+        () -> stopping,
+        this::leadershipTaken);
+  }
+
   private HeartbeatExchange newHeartbeat() {
     return new HeartbeatExchange(
         environment,
@@ -183,7 +206,7 @@
         this::learnMembership);
   }
 
-  private UpdateAcknowledgements newNewsInForce() {
+  private UpdateAcknowledgements newUpdateAcknowledgements() {
     return new UpdateAcknowledgements(
         environment,
         settings.edgesAcknowledge(),
@@ -192,7 +215,22 @@
         address -> send(address, "", new AppliedPositionsRequest(environment.nowMs())));
   }
 
-  // ---- start, timers, end
+  private ControlPlaneContext newContext() {
+    return new ControlPlaneContext(
+        environment,
+        identity,
+        settings,
+        table,
+        quorum,
+        keys,
+        traceLog,
+        updateAcknowledgements,
+        responder,
+        commands,
+        () -> !isTerminated() && !stopping);
+  }
+
+  // ---- start, timers, stop
 
   @Override
   protected void settingsChanged(NodeSettings newer) {
@@ -214,7 +252,7 @@
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>();
     if (membership.number() > 0) {
-      records.add(rosterRecord());
+      records.add(membershipRecord());
     } else {
       records.addAll(bootstrap.records());
     }
@@ -222,7 +260,7 @@
     return records;
   }
 
-  private LogRecord rosterRecord() {
+  private LogRecord membershipRecord() {
     return new LogRecord(
         Kind.ROSTER,
         MetadataKeys.MEMBERSHIP,
@@ -238,14 +276,10 @@
     quorum.started();
     replicas.finishRecovery();
     joiningMember.catchUpIfJoining();
-    boolean unfounded = staticBootstrap.isEmpty() && membership.number() == 0;
-    for (String address : unfounded ? seeds : staticBootstrap.addresses()) {
-      if (!address.equals(identity.peerAddress())) {
-        quorum.peers().put(address, new QuorumPeer());
-      }
-    }
+    boolean discoversFounders = staticBootstrap.isEmpty() && membership.number() == 0;
+    addPeers(discoversFounders ? seeds : staticBootstrap.addresses());
     quorum.addMembersAsPeers();
-    if (unfounded) {
+    if (discoversFounders) {
       bootstrap.start();
     }
     if (quorum.isMember()) {
@@ -257,12 +291,20 @@
     repeatEvery(ChangeFeedConstants.POLL_INTERVAL_MS, feed::pollAll);
   }
 
+  private void addPeers(Collection<String> addresses) {
+    for (String address : addresses) {
+      if (!address.equals(identity.peerAddress())) {
+        quorum.peers().put(address, new QuorumPeer());
+      }
+    }
+  }
+
   private void tick() {
     if (settings.voter() || membership.number() == 0 && bootstrap.isCoordinator()) {
       heartbeat.send();
     }
     if (membership.number() == 0) {
-      bootstrap();
+      formQuorum();
     }
     if (quorum.isMember() && !stopping) {
       managers.tick();
@@ -270,11 +312,13 @@
     updateAcknowledgements.tick();
   }
 
-  private void beginLeading(LedKey ledKey) {
+  /** The managers are created after the led keys, which report to this method. */
+  private void leadershipTaken(LedKey ledKey) {
     managers.leadershipTaken(ledKey);
   }
 
-  private void bootstrap() {
+  /** Takes the next step towards the first membership. */
+  private void formQuorum() {
     if (staticBootstrap.isEmpty()) {
       bootstrap.tick();
     } else {
@@ -306,7 +350,7 @@
     quorum.addMembersAsPeers();
     quorum.removeFormerPeers();
     if (quorum.isReplica() || settings.voter()) {
-      environment.write(List.of(rosterRecord()), () -> {});
+      environment.write(List.of(membershipRecord()), () -> {});
     }
     if (!quorum.isReplica()) {
       keys.resignAll();
@@ -317,17 +361,20 @@
     keys.reconfigure();
   }
 
+  /** Called for each entry that was committed in a log with a replica here. */
   private void committed(String key, LogEntry entry) {
-    if (!entry.isTakeover() && entry.whole() && !key.equals(MetadataKeys.BATCH_CAPACITY)) {
-      byte[] value =
-          key.equals(MetadataKeys.CONFIGURATION)
-              ? ConfigurationManager.forFeed(entry.event())
-              : entry.event();
-      learn(new MetadataRecord(key, entry.sequence(), value));
+    boolean isValue = !entry.isTakeover() && entry.whole();
+    if (!isValue || key.equals(MetadataKeys.BATCH_CAPACITY)) {
+      return;
     }
+    byte[] value =
+        key.equals(MetadataKeys.CONFIGURATION)
+            ? ConfigurationManager.forFeed(entry.event())
+            : entry.event();
+    learn(new MetadataRecord(key, entry.sequence(), value));
   }
 
-  /** Takes a committed value, from this node's own log or from a peer's feed. */
+  /** Adopts a committed value from a log with a replica here or from a peer's feed. */
   private void learn(MetadataRecord metadataRecord) {
     replicas.committedElsewhere(metadataRecord.key(), metadataRecord.sequence());
     if (!table.put(metadataRecord)) {
@@ -336,14 +383,17 @@
     if (metadataRecord.key().equals(MetadataKeys.MEMBERSHIP)) {
       learnMembership(Json.read(metadataRecord.value(), QuorumMembership.class));
     }
-    if (quorum.isMember()
-        && (metadataRecord.key().startsWith(MetadataKeys.MEMBER_PREFIX)
-            || metadataRecord.key().startsWith(MetadataKeys.STORAGE_PREFIX))) {
-      managers.storage().checkSoon();
+    if (quorum.isMember() && concernsStorageNodes(metadataRecord.key())) {
+      managers.storageNodesChanged();
     }
     feed.publish(metadataRecord);
   }
 
+  private static boolean concernsStorageNodes(String key) {
+    return key.startsWith(MetadataKeys.MEMBER_PREFIX)
+        || key.startsWith(MetadataKeys.STORAGE_PREFIX);
+  }
+
   // ---- commands
 
   @Override
@@ -353,94 +403,65 @@
       return;
     }
     if (!quorum.isMember()) {
-      responder.reject(request, new ApiError.NotReady("this process is not in the core's roster"));
+      responder.reject(request, new ApiError.NotReady("this process is " + NOT_A_MEMBER));
       return;
     }
     if (request.operation().equals("storage-id")) {
-      managers.storage().respondWithId(request, feed.freshness().isFresh());
-      return;
-    }
-    LedKey ledKey = keys.get(request.key());
-    if (ledKey != null) {
-      managers.run(request, ledKey);
+      managers.drains().respondWithId(request, feed.freshness().isFresh());
       return;
     }
-    if (quorum.isIsolated()) {
-      responder.reject(request, new ApiError.NoQuorum(request.key()));
-      return;
-    }
-    forwardOrClaim(request);
-  }
-
-  /** Forwards a command to the key's leader, or else to the one that is first to claim the key. */
-  private void forwardOrClaim(PeerRequest request) {
-    String first = RendezvousHashing.first(request.key(), quorum.liveMembers());
-    LogReplica replica = replicas.replicas().get(request.key());
-    if (replica != null
-        && !replicas.isLeaderSilent(replica)
-        && !replica.leaderId.equals(identity.id())) {
-      forward(request, replica.leaderId, replica.leaderAddress);
-    } else if (!identity.id().equals(first)) {
-      forward(request, first, quorum.addressOf(first));
-    } else if (stopping) {
-      responder.reject(request, new ApiError.NodeStopping());
-    } else {
-      keys.elect(request.key(), outcome -> claimed(request, outcome));
-    }
-  }
-
-  private void claimed(PeerRequest request, ElectionOutcome outcome) {
-    switch (outcome.result()) {
-      case ELECTED -> managers.run(request, keys.get(request.key()));
-      case LEADER_ALIVE -> forward(request, outcome.leaderId(), outcome.leaderAddress());
-      case NO_QUORUM -> responder.reject(request, new ApiError.NoQuorum(request.key()));
-    }
+    router.route(request);
   }
 
   // ---- messages
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof QuorumHeartbeat ping) {
-      pinged(ping, fromAddress);
+    if (message instanceof QuorumHeartbeat received) {
+      handleHeartbeat(received, fromAddress);
     } else if (message instanceof ChangeFeedPoll poll) {
       feed.handlePoll(poll, fromId, fromAddress);
     } else if (message instanceof ChangeFeedUpdate update) {
       feed.handleUpdate(update, fromAddress);
-    } else if (message instanceof AppliedPositions known) {
-      updateAcknowledgements.handleAppliedPositions(known);
-    } else if (message instanceof VoteResponse promised) {
-      keys.handleVoteResponse(promised, fromId);
-    } else if (message instanceof LogFetchResponse part) {
-      keys.handleLogFetchResponse(part);
+    } else if (message instanceof AppliedPositions positions) {
+      updateAcknowledgements.handleAppliedPositions(positions);
+    } else if (message instanceof VoteResponse vote) {
+      keys.handleVoteResponse(vote, fromId);
+    } else if (message instanceof LogFetchResponse fetched) {
+      keys.handleLogFetchResponse(fetched);
     } else if (message instanceof AppendResponse appended) {
       keys.handleAppendResponse(appended, fromId);
     } else if (message instanceof LeadershipTransfer transfer) {
-      if (quorum.isMember() && !stopping && keys.get(transfer.key()) == null) {
-        keys.acceptTransfer(transfer.key());
-      }
+      handleTransfer(transfer);
     } else if (quorum.isReplica()) {
       handleAsReplica(message, fromId, fromAddress);
     }
   }
 
+  private void handleTransfer(LeadershipTransfer transfer) {
+    if (quorum.isMember() && !stopping && keys.get(transfer.key()) == null) {
+      keys.acceptTransfer(transfer.key());
+    }
+  }
+
   private void handleAsReplica(Message message, String fromId, String fromAddress) {
     if (message instanceof AppendRequest append) {
       replicas.handleAppendRequest(append, fromId, fromAddress);
       feed.respondToDeferredPolls();
-    } else if (message instanceof VoteRequest promise) {
-      replicas.handleVoteRequest(promise, fromId, fromAddress);
-    } else if (message instanceof LogFetchRequest logAsk) {
-      replicas.handleLogFetchRequest(logAsk, fromId, fromAddress);
+    } else if (message instanceof VoteRequest vote) {
+      replicas.handleVoteRequest(vote, fromId, fromAddress);
+    } else if (message instanceof LogFetchRequest fetch) {
+      replicas.handleLogFetchRequest(fetch, fromId, fromAddress);
     }
   }
 
   /**
-   * After a start or a partition a member is answered at once: what the rest of the fleet waits for
-   * is that members hear each other.
+   * Heartbeats are usually sent at intervals. A member that is in contact again after a start or a
+   * partition gets one at once, because the rest of the fleet waits until the members are in
+   * contact with each other.
    */
-  private void pinged(QuorumHeartbeat ping, String fromAddress) {
-    HeartbeatExchange.ContactChange contact = heartbeat.receive(ping, fromAddress);
+  private void handleHeartbeat(QuorumHeartbeat received, String fromAddress) {
+    HeartbeatExchange.ContactChange contact = heartbeat.receive(received, fromAddress);
     if (!started || !quorum.isMember() || !quorum.includes(fromAddress)) {
       return;
     }
@@ -453,55 +474,62 @@
     }
   }
 
-  // ---- interface of operators and of the platform
+  // ---- interface for operators and the platform
 
+  /** The replicas of the control plane's logs that this process holds. */
   public LogReplicas replicas() {
     return replicas;
   }
 
-  /** What emptying a node would move where; nothing is changed. */
-  public ObjectNode planDrain(String id) {
-    return managers.storage().planDrain(id);
+  /** Where a drain of the storage node with this id would move its replicas; changes nothing. */
+  public JsonNode planDrain(String id) {
+    return JSON.valueToTree(managers.drainPlanner().plan(id));
   }
 
-  /** A storage node's id by its id or its name; the text itself if neither is known. */
+  /** A storage node's id by its id or its name; the argument itself if no node is known by it. */
   public String storageId(String idOrName) {
-    return managers.storage().idOf(idOrName).orElse(idOrName);
+    return managers.storageNodes().findId(idOrName).orElse(idOrName);
   }
 
-  /** Every storage node known, with its state and how many shards name it. */
-  public ArrayNode storageNodes() {
-    return managers.storage().nodes();
+  /** Every storage node known, with its state and the number of shards that name it. */
+  public JsonNode storageNodes() {
+    return JSON.valueToTree(managers.storageNodes().summaries());
   }
 
   /**
-   * Has a storage node emptied by its name: all shards keep all of their replicas, so it is refused
-   * unless enough others remain. durationMs is how long the caller expects it to take; moving
-   * begins at once whatever it says.
+   * Has a storage node drained. All shards keep all of their replicas, so the callback gets a
+   * refusal unless enough other nodes remain.
+   *
+   * @param name the node's name or id
+   * @param durationMs how long the caller expects the drain to take, in milliseconds; not used, the
+   *     drain begins at once
    */
   public void drainStorageNode(String name, long durationMs, Consumer<Response> then) {
     commands.drainStorageNode(name, then);
   }
 
   /**
-   * Whether a storage node may be taken away: complete is true once nothing is on it and nothing
-   * lacks a replica.
+   * Checks whether a storage node may be removed: in the response, complete is true once no shard
+   * names the node and every shard has all of its replicas.
    */
   public void isStorageNodeDrained(String name, Consumer<Response> then) {
     commands.isStorageNodeDrained(name, then);
   }
 
-  /** Sends a command of an operator or of the platform to the leader of a key. */
+  /**
+   * Sends a command of an operator or of the platform to the leader of a key; the callback gets the
+   * response or an error once.
+   */
   public void command(String operation, String key, Object body, Consumer<Response> then) {
     commands.send(operation, key, body, then);
   }
 
-  /** The workers as committed and known here, with the age of this knowledge. */
+  /** The workers as known here, with the age of the metadata in milliseconds. */
   public ObjectNode workers() {
     return view.workers();
   }
 
-  /** Ids of the workers that were listed one by one. */
+  /** Ids of the workers that were registered one by one. */
   public List<String> workerIds() {
     return view.workerIds();
   }
@@ -511,7 +539,7 @@
     return new WorkerRegistration(id, "", "", leaving ? LEAVING : GONE);
   }
 
-  /** The body of a command that lists a worker. */
+  /** The body of a command that registers a worker. */
   public static WorkerRegistration workerListed(WorkerInput input) {
     return new WorkerRegistration(
         input.id(), input.address(), input.pool(), input.state() == null ? READY : input.state());
@@ -523,10 +551,10 @@
       return "stopping";
     }
     if (!quorum.isMember()) {
-      return "not in the core's roster";
+      return NOT_A_MEMBER;
     }
     return feed.freshness().ageMs() > MembershipConstants.QUORUM_PEER_TIMEOUT_MS
-        ? "no majority of the core heard"
+        ? NO_MAJORITY_IN_CONTACT
         : "";
   }
 
@@ -537,7 +565,7 @@
     ArrayNode live = status.putArray("liveCore");
     quorum.liveMembers().forEach(live::add);
     ObjectNode epochs = status.putObject("owned");
-    keys.all().forEach((key, ledKey) -> epochs.put(key, ledKey.leader.epoch().counter()));
+    keys.all().forEach((key, ledKey) -> epochs.put(key, ledKey.leader().epoch().counter()));
     view.describe(status);
     managers.describe(status);
     return status;
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
@@ -6,14 +6,17 @@
 import applespindle.corelogic.membership.QuorumView;
 import applespindle.corelogic.metadata.EdgeList;
 import applespindle.corelogic.metadata.MetadataKeys;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * What the leader of the edge list's key does: keeps the list of edges whose confirmation counts in
- * step with the live ones. Invariant: lists change one address at a time, each only once a majority
- * of the listed edges knows the present one.
+ * Keeps the list of edges whose acknowledgements count in step with the live edges.
+ *
+ * <p>It owns the key of the edge list while this node leads it; {@link EdgeListPolicy} decides what
+ * the next list is. Invariant: successive lists differ in one address, and the next is written only
+ * once a majority of the listed edges has applied the present one.
  */
-final class EdgeListManager {
+final class EdgeListManager implements KeyManager {
   private static final String PART = "core";
 
   private final Environment environment;
@@ -21,42 +24,51 @@
   private final QuorumView quorum;
   private final LedKeys keys;
   private final UpdateAcknowledgements updateAcknowledgements;
-  private final EdgeListPolicy listing;
-
-  EdgeListManager(
-      Environment environment,
-      MetadataTable table,
-      QuorumView quorum,
-      LedKeys keys,
-      UpdateAcknowledgements updateAcknowledgements) {
-    this.environment = environment;
-    this.table = table;
-    this.quorum = quorum;
-    this.keys = keys;
-    this.updateAcknowledgements = updateAcknowledgements;
-    this.listing = new EdgeListPolicy(environment);
+  private final EdgeListPolicy policy;
+
+  EdgeListManager(ControlPlaneContext context) {
+    this.environment = context.environment();
+    this.table = context.table();
+    this.quorum = context.quorum();
+    this.keys = context.keys();
+    this.updateAcknowledgements = context.updateAcknowledgements();
+    this.policy = new EdgeListPolicy(environment);
   }
 
-  void tick() {
+  @Override
+  public void tick() {
     LedKey ledKey = keys.get(MetadataKeys.EDGE_LIST);
     Set<String> live = UpdateAcknowledgements.KnownEdges.of(table).live().keySet();
     if (ledKey == null) {
-      boolean needed = !table.has(MetadataKeys.EDGE_LIST) && !live.isEmpty();
-      if (needed && quorum.isPreferredLeaderOf(MetadataKeys.EDGE_LIST)) {
-        keys.elect(MetadataKeys.EDGE_LIST);
-      }
-      return;
+      electForFirstList(live);
+    } else {
+      advance(ledKey, live);
+    }
+  }
+
+  /** Before the first list, one process has to lead the key once there are edges. */
+  private void electForFirstList(Set<String> live) {
+    boolean needed = !table.has(MetadataKeys.EDGE_LIST) && !live.isEmpty();
+    if (needed && quorum.isPreferredLeaderOf(MetadataKeys.EDGE_LIST)) {
+      keys.elect(MetadataKeys.EDGE_LIST);
     }
-    EdgeList list = ledKey.as(EdgeList.class);
-    boolean knownToMost =
-        list != null
-            && updateAcknowledgements.isAppliedByMajority(
-                MetadataKeys.EDGE_LIST, ledKey.valueSequence);
-    EdgeList next = listing.next(list, live, knownToMost);
-    if (next != null) {
-      environment.log(
-          PART, "Edges that count: list " + next.number() + " of " + next.addresses().size() + ".");
-      keys.put(ledKey, next, error -> {});
+  }
+
+  private void advance(LedKey ledKey, Set<String> live) {
+    EdgeList current = ledKey.as(EdgeList.class);
+    Optional<EdgeList> next = policy.next(current, live, isAppliedByMajority(ledKey, current));
+    if (next.isEmpty()) {
+      return;
     }
+    environment.log(
+        PART,
+        "Edge list " + next.get().number() + " has " + next.get().addresses().size() + " edges.");
+    keys.put(ledKey, next.get(), error -> {});
+  }
+
+  private boolean isAppliedByMajority(LedKey ledKey, EdgeList current) {
+    return current != null
+        && updateAcknowledgements.isAppliedByMajority(
+            MetadataKeys.EDGE_LIST, ledKey.valueSequence());
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -30,9 +30,14 @@
 import java.util.function.Consumer;
 
 /**
- * The core keys that this node leads, and its claims to lead others. Invariant: a key is listed
- * from a won claim until its leadership is lost, transferred or given up; of the live members the
- * first in the key's agreed order claims it, and only once its leader has been silent.
+ * The keys of the control plane that this node leads, and the elections by which it becomes the
+ * leader of others.
+ *
+ * <p>State owned: the led keys and the elections in progress. A key is added when an election is
+ * won and removed when its leadership is lost, transferred or resigned. Invariants: a key is listed
+ * exactly while this node believes to lead it; except for a transfer, an election starts only at
+ * the live member that is first in the key's rendezvous order, and only once the key's leader has
+ * been silent.
  */
 final class LedKeys implements KeyLeadership {
   private final Environment environment;
@@ -45,6 +50,8 @@
   private final BooleanSupplier stopping;
   private final Consumer<LedKey> leadershipListener;
   private final Elections elections;
+
+  /** By key, in the order of the keys. */
   private final Map<String, LedKey> ledKeys = new TreeMap<>();
 
   LedKeys(
@@ -56,7 +63,7 @@
       TraceLog traceLog,
       MessageSender sender,
       BooleanSupplier stopping,
-      Consumer<LedKey> whenLed) {
+      Consumer<LedKey> leadershipListener) {
     this.environment = environment;
     this.identity = identity;
     this.quorum = quorum;
@@ -65,10 +72,15 @@
     this.traceLog = traceLog;
     this.sender = sender;
     this.stopping = stopping;
-    this.leadershipListener = whenLed;
+    this.leadershipListener = leadershipListener;
     this.elections =
         new Elections(
-            environment, identity.id(), sender, key -> quorum.replicaSets(), this::begin, true);
+            environment,
+            identity.id(),
+            sender,
+            key -> quorum.replicaSets(),
+            this::leadershipTaken,
+            true);
   }
 
   /** By key, in the order of the keys. */
@@ -76,7 +88,7 @@
     return ledKeys;
   }
 
-  /** Null if this node does not lead the key. */
+  /** The key with its state; null if this node does not lead it. */
   LedKey get(String key) {
     return ledKeys.get(key);
   }
@@ -84,32 +96,34 @@
   @Override
   public List<String> keysInContactWithQuorum() {
     return ledKeys.values().stream()
-        .filter(ledKey -> ledKey.leader.isInContactWithQuorum())
-        .map(ledKey -> ledKey.leader.key)
+        .filter(ledKey -> ledKey.leader().isInContactWithQuorum())
+        .map(ledKey -> ledKey.key())
         .toList();
   }
 
   @Override
   public void noteContact(String replicaId) {
-    ledKeys.values().forEach(ledKey -> ledKey.leader.noteContact(replicaId));
+    ledKeys.values().forEach(ledKey -> ledKey.leader().noteContact(replicaId));
   }
 
   // ---- taking the leadership
 
+  /** Starts an election for the key, or joins the one in progress. */
   void elect(String key) {
     elect(key, outcome -> {});
   }
 
+  /** The same; the callback gets the outcome once. */
   void elect(String key, Consumer<ElectionOutcome> then) {
     elections.elect(key, false, then);
   }
 
-  /** Takes a key that its leader transfers to this node. */
+  /** Starts an election for a key whose leader transfers the leadership to this node. */
   void acceptTransfer(String key) {
     elections.elect(key, true, outcome -> {});
   }
 
-  /** Claims a key if nobody is heard to lead it and this node comes first for it. */
+  /** Starts an election if the key has no leader in contact and this node is preferred for it. */
   void electIfVacant(String key) {
     LogReplica replica = replicas.replicas().get(key);
     if ((replica == null || replicas.isLeaderSilent(replica)) && quorum.isPreferredLeaderOf(key)) {
@@ -117,7 +131,10 @@
     }
   }
 
-  /** Claims the keys held here that have lost their leader and for which this node comes first. */
+  /**
+   * Starts elections for the keys with a replica here that have no leader in contact and for which
+   * this node is preferred. Does nothing without contact to a majority.
+   */
   void electForLeaderlessKeys() {
     if (!quorum.isInContactWithMajority()) {
       return;
@@ -136,10 +153,7 @@
             });
   }
 
-  /**
-   * Keys of members that have gone and of workers that were removed rest until a command asks for
-   * them.
-   */
+  /** Keys of members that are not live need no leader until a command is sent for them. */
   private boolean needsLeader(String key) {
     MetadataRecord metadataRecord = table.get(key);
     if (metadataRecord != null && key.startsWith(MetadataKeys.MEMBER_PREFIX)) {
@@ -148,10 +162,10 @@
     return metadataRecord != null || key.equals(MetadataKeys.BATCH_CAPACITY);
   }
 
-  private void begin(ReplicatedLogLeader logLeader) {
+  private void leadershipTaken(ReplicatedLogLeader logLeader) {
     LedKey ledKey = new LedKey(logLeader);
     logLeader.entries().forEach(ledKey::replay);
-    ledKey.leaseExpiresAt = environment.nowMs() + MembershipConstants.LEASE_DURATION_MS;
+    ledKey.setLeaseExpiry(environment.nowMs() + MembershipConstants.LEASE_DURATION_MS);
     ledKeys.put(logLeader.key, ledKey);
     logLeader.onLeadershipLost(
         () -> {
@@ -164,17 +178,18 @@
 
   // ---- leading
 
-  /** Appends the key's whole new value; the callback runs once it is on a majority. */
+  /**
+   * Appends a complete new value of the key. The callback gets null once a majority has stored it,
+   * or an error if that took too long or the leadership was lost.
+   */
   void put(LedKey ledKey, Object value, Consumer<ApiError> then) {
-    byte[] event = Json.bytes(value);
-    ledKey.value = Json.tree(event);
-    ledKey.valueSequence = ledKey.leader.append(true, event, then);
+    ledKey.append(value, then);
   }
 
-  /** Lets every key and every claim go on with the membership as it is known now. */
+  /** Lets every led key and every election continue with the membership as it is known now. */
   void reconfigure() {
     List.copyOf(ledKeys.values())
-        .forEach(ledKey -> ledKey.leader.reconfigure(quorum.replicaSets()));
+        .forEach(ledKey -> ledKey.leader().reconfigure(quorum.replicaSets()));
     elections.reconfigure();
   }
 
@@ -189,27 +204,28 @@
   void handleAppendResponse(AppendResponse message, String fromId) {
     LedKey ledKey = ledKeys.get(message.key());
     ReplicatedLogLeader logLeader =
-        ledKey != null ? ledKey.leader : elections.inProgress(message.key());
+        ledKey != null ? ledKey.leader() : elections.inProgress(message.key());
     if (logLeader != null) {
       logLeader.handleAppendResponse(message, fromId);
     }
   }
 
-  // ---- giving the leadership up
+  // ---- ending the leadership
 
-  /** Gives all keys up at once, without a successor: this node is no replica any more. */
+  /** Resigns from all keys without a successor, because this node is no longer a replica. */
   void resignAll() {
-    List.copyOf(ledKeys.values()).forEach(ledKey -> ledKey.leader.resign());
+    List.copyOf(ledKeys.values()).forEach(ledKey -> ledKey.leader().resign());
     ledKeys.clear();
   }
 
+  /** Transfers all keys, because this process stops. */
   void transferAll() {
     List.copyOf(ledKeys.keySet()).forEach(this::transfer);
   }
 
   /**
-   * Gives a key up and tells the next live member to take it. With no such member the key is kept,
-   * unless this process stops.
+   * Resigns from a key and has the next live member in the key's order start an election. Without
+   * such a member the leadership is kept, unless this process stops.
    */
   void transfer(String key) {
     String successor =
@@ -220,7 +236,7 @@
     if (successor.isEmpty() && !stopping.getAsBoolean()) {
       return;
     }
-    ReplicatedLogLeader logLeader = ledKeys.remove(key).leader;
+    ReplicatedLogLeader logLeader = ledKeys.remove(key).leader();
     logLeader.resign();
     if (!successor.isEmpty()) {
       sender.send(
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
@@ -16,8 +16,8 @@
 import java.util.List;
 
 /**
- * What a core node tells of the committed keys as they are known here. Invariant: it only reads,
- * and a view that may be old carries its age.
+ * Describes the committed metadata as this process knows it, for operators and the platform. It
+ * owns no state. Invariant: it only reads, and a view that may be out of date carries its age.
  */
 final class MetadataView {
   private final MetadataTable table;
@@ -28,7 +28,7 @@
     this.freshness = freshness;
   }
 
-  /** The listed workers, the version of their list, and the age of this knowledge. */
+  /** The listed workers, the version of their list, and the age of the metadata in milliseconds. */
   ObjectNode workers() {
     ObjectNode body = JSON.createObjectNode();
     ArrayNode workers = body.putArray("workers");
@@ -45,7 +45,7 @@
     return body.put("ageMs", freshness.ageMs());
   }
 
-  /** Ids of the workers that were listed by commands of their own. */
+  /** Ids of the workers that were registered one by one and are not gone. */
   List<String> workerIds() {
     return table
         .withPrefix(MetadataKeys.WORKER_PREFIX)
@@ -55,17 +55,19 @@
         .toList();
   }
 
-  /** Adds members, workers, edges, the bundle's number and shards to a status. */
+  /** Adds members, workers, edges, the configuration's number and shards to a status. */
   void describe(ObjectNode status) {
     ArrayNode members = status.putArray("members");
     table.live().forEach(member -> members.add(JSON.<JsonNode>valueToTree(member)));
     status.set("workers", workers().get("workers"));
     ArrayNode edges = status.putArray("edges");
     UpdateAcknowledgements.KnownEdges.of(table).listed().forEach(edges::add);
-    MetadataRecord bundle = table.get(MetadataKeys.CONFIGURATION);
+    MetadataRecord configuration = table.get(MetadataKeys.CONFIGURATION);
     status.put(
         "bundle",
-        bundle == null ? 0 : Json.read(bundle.value(), SignedConfiguration.class).number());
+        configuration == null
+            ? 0
+            : Json.read(configuration.value(), SignedConfiguration.class).number());
     ObjectNode shards = status.putObject("shards");
     table
         .withPrefix(MetadataKeys.SHARD_PREFIX)
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
@@ -16,12 +16,19 @@
 import java.util.Optional;
 
 /**
- * What the leader of the membership's key does: replaces a member that has been silent for long by
- * a candidate, and grows a core that is too small. Invariants: one member changes at a time; while
- * it does, both sets are in force, and the new one alone only once the newcomer has copied; each
- * step is taken only when the one before is committed and in use here.
+ * Changes the membership of the quorum: replaces a member that has been unreachable for long by a
+ * candidate, and grows a quorum that is too small.
+ *
+ * <p>State owned: the membership's key while this node leads it, and since when each member has
+ * been unreachable. The membership is either stable (next is empty) or changing: then next holds
+ * the new set of members, and both sets are in force. A change is completed once the new member has
+ * caught up, and cancelled if the new member becomes unreachable.
+ *
+ * <p>Invariants: one member changes at a time; the new set alone is in force only once the new
+ * member reported that it caught up under the number of this very change; each step is taken only
+ * once the one before is committed and in use here.
  */
-final class QuorumMembershipManager {
+final class QuorumMembershipManager implements KeyManager {
   private static final String PART = "core";
 
   private final Environment environment;
@@ -29,26 +36,32 @@
   private final QuorumView quorum;
   private final LedKeys keys;
 
-  /** A core of fewer members than this is grown; 0 where the founders are listed. */
-  private final int wantedMembers;
-
-  /** By member id; only known to this process. */
-  private final Map<String, Long> silentSince = new HashMap<>();
-
-  QuorumMembershipManager(
-      Environment environment,
-      NodeIdentity identity,
-      QuorumView quorum,
-      LedKeys keys,
-      int wantedMembers) {
-    this.environment = environment;
-    this.identity = identity;
-    this.quorum = quorum;
-    this.keys = keys;
-    this.wantedMembers = wantedMembers;
+  /** A quorum of fewer members than this is grown; 0 if the first members are configured. */
+  private final int targetMemberCount;
+
+  /**
+   * Since when each member has been unreachable, by member id, in milliseconds of this node's
+   * clock; known to this process only.
+   */
+  private final Map<String, Long> unreachableSinceMs = new HashMap<>();
+
+  QuorumMembershipManager(ControlPlaneContext context, int targetMemberCount) {
+    this.environment = context.environment();
+    this.identity = context.identity();
+    this.quorum = context.quorum();
+    this.keys = context.keys();
+    this.targetMemberCount = targetMemberCount;
+  }
+
+  @Override
+  public void tick() {
+    advance();
   }
 
-  /** Takes the next step, if there is one to take and this node leads the key. */
+  /**
+   * Takes the next step if one is due and this node leads the key; starts an election if nobody
+   * leads the key and this node is preferred.
+   */
   void advance() {
     LedKey ledKey = keys.get(MetadataKeys.MEMBERSHIP);
     if (ledKey == null) {
@@ -56,75 +69,93 @@
       return;
     }
     QuorumMembership present =
-        ledKey.value.isNull() ? quorum.current() : ledKey.as(QuorumMembership.class);
-    if (present.number() != quorum.current().number()) {
+        ledKey.hasValue() ? ledKey.as(QuorumMembership.class) : quorum.current();
+    boolean presentIsInUse = present.number() == quorum.current().number();
+    if (!presentIsInUse) {
       return;
     }
     if (!present.next().isEmpty()) {
-      settle(ledKey, present);
-    } else if (!replaceLost(ledKey, present)) {
+      completeOrCancelChange(ledKey, present);
+    } else if (!replaceLostMember(ledKey, present)) {
       grow(ledKey, present);
     }
   }
 
-  /** Ends a change once the newcomer has copied, or calls it off if the newcomer is silent. */
-  private void settle(LedKey ledKey, QuorumMembership present) {
-    QuorumMember newcomer =
-        present.next().stream()
-            .filter(member -> !present.members().contains(member))
-            .findFirst()
-            .get();
-    if (ledKey.caughtUpVersions.getOrDefault(newcomer.id(), 0L) == present.number()) {
-      environment.log(PART, "Core member taken in: " + newcomer.name() + ".");
+  private void completeOrCancelChange(LedKey ledKey, QuorumMembership present) {
+    QuorumMember added = addedMember(present);
+    if (ledKey.hasCaughtUp(added.id(), present.number())) {
+      environment.log(PART, "Quorum member added: " + added.name() + ".");
       put(ledKey, present, present.next(), List.of());
-    } else if (!isThere(newcomer)) {
+    } else if (!isReachable(added)) {
       put(ledKey, present, present.members(), List.of());
     }
   }
 
-  private boolean isThere(QuorumMember member) {
+  private static QuorumMember addedMember(QuorumMembership changing) {
+    return changing.next().stream()
+        .filter(member -> !changing.members().contains(member))
+        .findFirst()
+        .orElseThrow(
+            () ->
+                new IllegalStateException(
+                    "membership " + changing.number() + " is changing but adds no member"));
+  }
+
+  private boolean isReachable(QuorumMember member) {
     QuorumPeer peer = quorum.peers().get(member.peerAddress());
     return peer != null && quorum.isAlive(peer) && peer.member.id().equals(member.id());
   }
 
-  /** True if a replacement was begun. */
-  private boolean replaceLost(LedKey ledKey, QuorumMembership present) {
+  /** Begins the replacement of the first lost member, if any; true if it did. */
+  private boolean replaceLostMember(LedKey ledKey, QuorumMembership present) {
     for (QuorumMember member : present.members()) {
       Optional<QuorumMember> replacement = replacementOf(member);
       if (replacement.isPresent()) {
         List<QuorumMember> next = new ArrayList<>(present.members());
         next.set(next.indexOf(member), replacement.get());
-        String names = member.name() + " is being replaced by " + replacement.get().name();
-        begin(ledKey, present, next, "Core member " + names + ".");
+        environment.log(
+            PART,
+            "Quorum member %s is being replaced by %s."
+                .formatted(member.name(), replacement.get().name()));
+        beginChange(ledKey, present, next);
         return true;
       }
     }
     return false;
   }
 
-  /** Empty while the member is there, or may come back, or nobody can take its place. */
+  /**
+   * The candidate that replaces the member; empty while the member is reachable or may come back,
+   * or if there is no candidate.
+   */
   private Optional<QuorumMember> replacementOf(QuorumMember member) {
     QuorumPeer peer = quorum.peers().get(member.peerAddress());
-    if (member.id().equals(identity.id()) || isThere(member)) {
-      silentSince.remove(member.id());
+    if (member.id().equals(identity.id()) || isReachable(member)) {
+      unreachableSinceMs.remove(member.id());
       return Optional.empty();
     }
     long now = environment.nowMs();
-    long silentMs = now - silentSince.computeIfAbsent(member.id(), unseen -> now);
-    // Another process at the address says that the member's disk is gone: it never comes back, so
-    // nothing is waited for.
-    boolean sameProcess =
-        peer != null && peer.member != null && peer.member.id().equals(member.id());
-    if (peer != null && !sameProcess && quorum.isAlive(peer) && peer.joinCandidate) {
+    long unreachableMs = now - unreachableSinceMs.computeIfAbsent(member.id(), unknown -> now);
+    if (hasNewProcessAtAddress(member, peer)) {
       return Optional.of(peer.member);
     }
-    return silentMs >= MembershipConstants.QUORUM_MEMBER_REPLACEMENT_DELAY_MS
+    return unreachableMs >= MembershipConstants.QUORUM_MEMBER_REPLACEMENT_DELAY_MS
         ? candidateFor(member)
         : Optional.empty();
   }
 
+  /**
+   * True if another process at the member's address wants to join. That proves that the member's
+   * disk is lost and that the member never comes back, so it is replaced without delay.
+   */
+  private boolean hasNewProcessAtAddress(QuorumMember member, QuorumPeer peer) {
+    boolean sameProcess =
+        peer != null && peer.member != null && peer.member.id().equals(member.id());
+    return peer != null && !sameProcess && quorum.isAlive(peer) && peer.joinCandidate;
+  }
+
   private void grow(LedKey ledKey, QuorumMembership present) {
-    if (present.members().size() >= wantedMembers) {
+    if (present.members().size() >= targetMemberCount) {
       return;
     }
     candidateFor(null)
@@ -132,21 +163,22 @@
             candidate -> {
               List<QuorumMember> next = new ArrayList<>(present.members());
               next.add(candidate);
-              begin(ledKey, present, next, "The core takes " + candidate.name() + " in.");
+              environment.log(PART, "Quorum member " + candidate.name() + " is being added.");
+              beginChange(ledKey, present, next);
             });
   }
 
   /**
-   * One of the leaver's zone first, then one of a zone with the fewest members; the leaver is null
-   * when the core grows.
+   * A candidate of the lost member's zone if there is one, else one of a zone with the fewest
+   * members. The lost member is null when the quorum grows.
    */
-  private Optional<QuorumMember> candidateFor(QuorumMember leaver) {
+  private Optional<QuorumMember> candidateFor(QuorumMember lost) {
     return quorum.peers().values().stream()
         .filter(peer -> quorum.isAlive(peer) && peer.joinCandidate)
         .map(peer -> peer.member)
         .min(
             Comparator.comparing(
-                    (QuorumMember each) -> leaver != null && !each.zone().equals(leaver.zone()))
+                    (QuorumMember each) -> lost != null && !each.zone().equals(lost.zone()))
                 .thenComparing(each -> membersIn(each.zone()))
                 .thenComparing(QuorumMember::id));
   }
@@ -155,10 +187,8 @@
     return quorum.current().members().stream().filter(member -> member.zone().equals(zone)).count();
   }
 
-  private void begin(
-      LedKey ledKey, QuorumMembership present, List<QuorumMember> next, String sentence) {
-    environment.log(PART, sentence);
-    ledKey.caughtUpVersions.clear();
+  private void beginChange(LedKey ledKey, QuorumMembership present, List<QuorumMember> next) {
+    ledKey.forgetCaughtUpReports();
     put(ledKey, present, present.members(), next);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardPlacement.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardPlacement.java
@@ -12,9 +12,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which storage nodes should hold a shard; choices only, nothing is changed here. */
+/**
+ * Chooses the storage nodes for the replicas of a shard. It owns no state and changes nothing: the
+ * same arguments give the same choice.
+ */
 final class ShardPlacement {
-  static List<ShardReplica> placeShard(String key, List<NodeRegistration> storage, int replicas) {
+  /**
+   * The first replica set of a shard: nodes in the key's rendezvous order, as many zones as
+   * possible first.
+   */
+  static List<ShardReplica> placeShard(
+      String key, List<NodeRegistration> storage, int replicationFactor) {
     Map<String, NodeRegistration> byId = new HashMap<>();
     storage.forEach(member -> byId.put(member.id(), member));
     List<NodeRegistration> ordered =
@@ -24,56 +32,65 @@
     ordered.stream().filter(member -> zones.add(member.zone())).forEach(chosenMembers::add);
     ordered.stream().filter(member -> !chosenMembers.contains(member)).forEach(chosenMembers::add);
     return chosenMembers.stream()
-        .limit(replicas)
+        .limit(replicationFactor)
         .map(member -> new ShardReplica(member.id(), member.peerAddress(), member.zone()))
         .toList();
   }
 
   /**
-   * Spares that are not in the set: those of a zone the rest does not cover first, then those that
-   * hold least.
+   * The active nodes without a replica of the shard, best first: nodes in a zone that the remaining
+   * replicas do not cover, then nodes with fewer replicas.
+   *
+   * @param leaving the replicas that will be removed
+   * @param active the nodes that accept new replicas
+   * @param replicaCounts number of replicas by node id
    */
   static List<NodeRegistration> candidates(
       String key,
       ShardAssignment shard,
       List<ShardReplica> leaving,
-      List<NodeRegistration> spares,
-      Map<String, Long> holding) {
+      List<NodeRegistration> active,
+      Map<String, Long> replicaCounts) {
     Set<String> present = new LinkedHashSet<>();
     Set<String> zones = new LinkedHashSet<>();
-    for (ShardReplica each : shard.replicas()) {
-      present.add(each.id());
-      if (!leaving.contains(each)) {
-        zones.add(each.zone());
+    for (ShardReplica replica : shard.replicas()) {
+      present.add(replica.id());
+      if (!leaving.contains(replica)) {
+        zones.add(replica.zone());
       }
     }
-    return spares.stream()
+    return active.stream()
         .filter(member -> !present.contains(member.id()))
         .sorted(
             Comparator.comparing((NodeRegistration member) -> zones.contains(member.zone()))
-                .thenComparing(member -> holding.getOrDefault(member.id(), 0L))
+                .thenComparing(member -> replicaCounts.getOrDefault(member.id(), 0L))
                 .thenComparing(
                     member -> RendezvousHashing.mix(RendezvousHashing.hash(key + member.id()))))
         .toList();
   }
 
-  static long zonesWithout(ShardAssignment shard, ShardReplica leaver, NodeRegistration newcomer) {
+  /**
+   * The number of zones that the shard covers without one replica and with one more node; both may
+   * be null.
+   */
+  static long zonesWithout(ShardAssignment shard, ShardReplica removed, NodeRegistration added) {
     Set<String> zones = new LinkedHashSet<>();
     shard.replicas().stream()
-        .filter(each -> !each.equals(leaver))
-        .forEach(each -> zones.add(each.zone()));
-    if (newcomer != null) {
-      zones.add(newcomer.zone());
+        .filter(replica -> !replica.equals(removed))
+        .forEach(replica -> zones.add(replica.zone()));
+    if (added != null) {
+      zones.add(added.zone());
     }
     return zones.size();
   }
 
+  /** The shard's replicas without one replica and with one more node; both may be null. */
   static List<ShardReplica> replaced(
-      ShardAssignment shard, ShardReplica leaver, NodeRegistration newcomer) {
+      ShardAssignment shard, ShardReplica removed, NodeRegistration added) {
     List<ShardReplica> next = new ArrayList<>(shard.replicas());
-    next.remove(leaver);
-    if (newcomer != null) {
-      next.add(new ShardReplica(newcomer.id(), newcomer.peerAddress(), newcomer.zone()));
+    next.remove(removed);
+    if (added != null) {
+      next.add(new ShardReplica(added.id(), added.peerAddress(), added.zone()));
     }
     return next;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
@@ -1,13 +1,11 @@
 package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.common.Json.JSON;
-
-import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.constants.WorkerListConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ListedWorker;
 import applespindle.corelogic.environment.Environment.WorkerListPage;
 import applespindle.corelogic.environment.NodeSettings;
+import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.WorkerListSource;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import java.util.ArrayList;
@@ -16,179 +14,220 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.Consumer;
-import java.util.function.Predicate;
 
 /**
- * The duty of whoever owns the key of the outside list of workers: reads it, and writes one value
- * for all that changed in one read. A read that is not whole changes nothing; an owner that lost
- * the key writes nothing, as its epoch is refused.
+ * Polls the external list of workers while this node leads the worker list's key, and writes one
+ * value for all that changed between two polls.
+ *
+ * <p>State owned: the worker list's key while this node leads it, the poll in progress, and what
+ * the last polls found. A poll reads the pages of the list one after the other; it ends complete,
+ * failed or timed out, and schedules the next. After failures for {@link
+ * WorkerListConstants#LEADERSHIP_TRANSFER_DELAY_MS} the leadership is transferred to another node.
+ *
+ * <p>Invariants: at most one poll is in progress; an incomplete poll changes nothing; a single
+ * empty poll removes no worker; a leader that has lost the key writes nothing, since its epoch is
+ * rejected.
  */
-final class WorkerListSynchronizer {
-  /** Appends the key's whole new value. */
-  interface PutValue {
-    void put(LedKey ledKey, Object value, Consumer<ApiError> then);
-  }
-
+final class WorkerListSynchronizer implements KeyManager {
   private static final String PART = "workers";
 
+  /** Divided by the permitted calls per second, twice the shortest interval of all nodes, in ms. */
+  private static final long MIN_INTERVAL_FACTOR_MS = 2_000;
+
   private final Environment environment;
+  private final LedKeys keys;
+
+  /** Whether this process polls an external list at all; as set at the start. */
+  private final boolean enabled;
+
   private NodeSettings settings;
-  private final Predicate<LedKey> stillOwned;
-  private final PutValue put;
-  private final Runnable handOver;
 
   /**
-   * Rises with each read that begins or is given up: what answers under an older number is not
-   * heard.
+   * Rises when a poll begins and when it ends: a response that belongs to a lower number is
+   * ignored.
    */
-  private long reading;
+  private long pollNumber;
+
+  /** When the last poll was complete, in milliseconds of this node's clock. */
+  private long lastCompleteAtMs;
+
+  /** The number of empty polls in a row. */
+  private int emptyPolls;
 
-  private long goodAt;
-  private int emptyReads;
-  private int quickReads;
+  /** The number of further polls that follow at the short interval. */
+  private int fastPollsLeft;
 
   /**
-   * Workers that the last whole read of several pages lacked: pages may shift between two calls.
+   * Known workers that the last complete poll of several pages did not list: pages may shift
+   * between two calls, so a worker is removed only if two such polls in a row miss it.
    */
-  private Set<String> lacking = Set.of();
-
-  WorkerListSynchronizer(
-      Environment environment,
-      NodeSettings settings,
-      Predicate<LedKey> stillOwned,
-      PutValue put,
-      Runnable handOver) {
-    this.environment = environment;
-    this.settings = settings;
-    this.stillOwned = stillOwned;
-    this.put = put;
-    this.handOver = handOver;
+  private Set<String> missedOnce = Set.of();
+
+  WorkerListSynchronizer(ControlPlaneContext context) {
+    this.environment = context.environment();
+    this.keys = context.keys();
+    this.settings = context.settings();
+    this.enabled = settings.listCallsPerS() > 0;
   }
 
-  void begin(LedKey ledKey) {
-    goodAt = environment.nowMs();
-    emptyReads = 0;
-    quickReads = WorkerListConstants.FAST_POLLS;
-    lacking = Set.of();
-    read(ledKey);
+  /** Adopts the settings that can change while the process runs. */
+  void settingsChanged(NodeSettings newer) {
+    settings = settings.withReloadable(newer);
   }
 
-  private void read(LedKey ledKey) {
-    if (!stillOwned.test(ledKey)) {
+  /** Some node has to poll the list, also before the key has a first value. */
+  @Override
+  public void tick() {
+    if (enabled && keys.get(MetadataKeys.WORKER_LIST) == null) {
+      keys.electIfVacant(MetadataKeys.WORKER_LIST);
+    }
+  }
+
+  /** Begins to poll. */
+  void leadershipTaken(LedKey ledKey) {
+    if (!enabled) {
       return;
     }
-    long number = ++reading;
+    lastCompleteAtMs = environment.nowMs();
+    emptyPolls = 0;
+    fastPollsLeft = WorkerListConstants.FAST_POLLS;
+    missedOnce = Set.of();
+    poll(ledKey);
+  }
+
+  private boolean isStillLed(LedKey ledKey) {
+    return keys.get(MetadataKeys.WORKER_LIST) == ledKey;
+  }
+
+  // ---- one poll
+
+  private void poll(LedKey ledKey) {
+    if (!isStillLed(ledKey)) {
+      return;
+    }
+    long number = ++pollNumber;
     readPage(ledKey, number, "", new ArrayList<>(), 1);
-    environment.schedule(WorkerListConstants.READ_TIMEOUT_MS, () -> failed(ledKey, number));
+    environment.schedule(WorkerListConstants.READ_TIMEOUT_MS, () -> pollFailed(ledKey, number));
   }
 
   private void readPage(
-      LedKey ledKey, long number, String token, List<ListedWorker> before, int pages) {
+      LedKey ledKey, long number, String token, List<ListedWorker> listed, int pages) {
     environment.listWorkers(
         token,
         page -> {
-          if (number == reading && stillOwned.test(ledKey)) {
-            took(ledKey, number, page, before, pages);
+          if (number == pollNumber && isStillLed(ledKey)) {
+            addPage(ledKey, number, page, listed, pages);
           }
         },
-        error -> failed(ledKey, number));
+        error -> pollFailed(ledKey, number));
   }
 
-  private void took(
-      LedKey ledKey, long number, WorkerListPage page, List<ListedWorker> before, int pages) {
-    before.addAll(page.workers());
+  private void addPage(
+      LedKey ledKey, long number, WorkerListPage page, List<ListedWorker> listed, int pages) {
+    listed.addAll(page.workers());
     String next = page.nextToken();
     if (next == null || next.isEmpty()) {
-      reading++;
-      whole(ledKey, before, pages);
+      pollNumber++;
+      pollCompleted(ledKey, listed, pages);
     } else if (pages >= WorkerListConstants.MAX_PAGES) {
-      failed(ledKey, number);
+      pollFailed(ledKey, number);
     } else {
-      readPage(ledKey, number, next, before, pages + 1);
+      readPage(ledKey, number, next, listed, pages + 1);
     }
   }
 
-  private void failed(LedKey ledKey, long number) {
-    if (number != reading || !stillOwned.test(ledKey)) {
+  private void pollFailed(LedKey ledKey, long number) {
+    if (number != pollNumber || !isStillLed(ledKey)) {
       return;
     }
-    reading++;
-    if (environment.nowMs() - goodAt >= WorkerListConstants.LEADERSHIP_TRANSFER_DELAY_MS) {
-      goodAt = environment.nowMs();
+    pollNumber++;
+    long sinceCompleteMs = environment.nowMs() - lastCompleteAtMs;
+    if (sinceCompleteMs >= WorkerListConstants.LEADERSHIP_TRANSFER_DELAY_MS) {
+      lastCompleteAtMs = environment.nowMs();
       environment.log(PART, "The outside list can not be read from here.");
-      handOver.run();
-      if (!stillOwned.test(ledKey)) {
+      keys.transfer(MetadataKeys.WORKER_LIST);
+      if (!isStillLed(ledKey)) {
         return;
       }
     }
-    environment.schedule(pause(WorkerListConstants.RETRY_DELAY_MS), () -> read(ledKey));
+    schedulePoll(ledKey, WorkerListConstants.RETRY_DELAY_MS);
   }
 
-  void settingsChanged(NodeSettings newer) {
-    settings = settings.withReloadable(newer);
+  private void pollCompleted(LedKey ledKey, List<ListedWorker> listed, int pages) {
+    lastCompleteAtMs = environment.nowMs();
+    List<WorkerRegistration> known =
+        ledKey.hasValue() ? ledKey.as(WorkerListSource.class).workers() : List.of();
+    emptyPolls = listed.isEmpty() ? emptyPolls + 1 : 0;
+    boolean doubtful = emptyPolls == 1 && !known.isEmpty();
+    if (!doubtful) {
+      update(ledKey, known, next(known, listed, pages));
+    }
+    boolean fast = doubtful || fastPollsLeft > 0 || !missedOnce.isEmpty();
+    schedulePoll(
+        ledKey,
+        fast ? WorkerListConstants.FAST_POLL_INTERVAL_MS : WorkerListConstants.POLL_INTERVAL_MS);
   }
 
-  /** Never above half of the calls that all nodes together may make. */
-  private long pause(long wanted) {
-    return Math.max(wanted, (long) (2_000 / settings.listCallsPerS()));
+  private void update(
+      LedKey ledKey, List<WorkerRegistration> known, List<WorkerRegistration> next) {
+    if (!next.equals(known)) {
+      fastPollsLeft = WorkerListConstants.FAST_POLLS;
+      keys.put(ledKey, new WorkerListSource(next), error -> {});
+      environment.log(PART, "Outside list of " + next.size() + " workers taken.");
+    } else if (fastPollsLeft > 0) {
+      fastPollsLeft--;
+    }
   }
 
-  private void whole(LedKey ledKey, List<ListedWorker> listed, int pages) {
-    goodAt = environment.nowMs();
-    List<WorkerRegistration> known =
-        ledKey.value.isNull()
-            ? List.of()
-            : JSON.convertValue(ledKey.value, WorkerListSource.class).workers();
-    emptyReads = listed.isEmpty() ? emptyReads + 1 : 0;
-    boolean doubted = emptyReads == 1 && !known.isEmpty();
-    if (!doubted) {
-      List<WorkerRegistration> next = next(known, listed, pages);
-      if (!next.equals(known)) {
-        quickReads = WorkerListConstants.FAST_POLLS;
-        put.put(ledKey, new WorkerListSource(next), error -> {});
-        environment.log(PART, "Outside list of " + next.size() + " workers taken.");
-      } else if (quickReads > 0) {
-        quickReads--;
-      }
-    }
-    boolean quick = doubted || quickReads > 0 || !lacking.isEmpty();
-    environment.schedule(
-        pause(
-            quick
-                ? WorkerListConstants.FAST_POLL_INTERVAL_MS
-                : WorkerListConstants.POLL_INTERVAL_MS),
-        () -> read(ledKey));
+  /**
+   * Schedules the next poll after this many milliseconds, or later if the calls would otherwise
+   * exceed half of those that all nodes together may make.
+   */
+  private void schedulePoll(LedKey ledKey, long intervalMs) {
+    long shortestMs = (long) (MIN_INTERVAL_FACTOR_MS / settings.listCallsPerS());
+    environment.schedule(Math.max(intervalMs, shortestMs), () -> poll(ledKey));
   }
 
-  /** A leaving worker stays so while it is listed: what comes back is a new one under a new id. */
+  // ---- the next list
+
   private List<WorkerRegistration> next(
       List<WorkerRegistration> known, List<ListedWorker> listed, int pages) {
-    Map<String, WorkerRegistration> before = new TreeMap<>();
-    known.forEach(worker -> before.put(worker.id(), worker));
-    Map<String, WorkerRegistration> next = new TreeMap<>();
-    for (ListedWorker each : listed) {
-      WorkerRegistration present = before.get(each.id());
-      boolean leaving =
-          each.leaving() || present != null && present.state().equals(WorkerRegistration.LEAVING);
-      next.put(
-          each.id(),
-          new WorkerRegistration(
-              each.id(),
-              each.address(),
-              each.pool(),
-              leaving ? WorkerRegistration.LEAVING : WorkerRegistration.READY,
-              each.zone(),
-              each.slots()));
+    Map<String, WorkerRegistration> knownById = new TreeMap<>();
+    known.forEach(worker -> knownById.put(worker.id(), worker));
+    Map<String, WorkerRegistration> nextById = new TreeMap<>();
+    for (ListedWorker worker : listed) {
+      nextById.put(worker.id(), registration(worker, knownById.get(worker.id())));
     }
-    Set<String> nowLacking = new TreeSet<>(before.keySet());
-    nowLacking.removeAll(next.keySet());
-    if (pages > 1) {
-      nowLacking.stream()
-          .filter(id -> !lacking.contains(id))
-          .forEach(id -> next.put(id, before.get(id)));
+    keepMissedOnce(knownById, nextById, pages);
+    return List.copyOf(nextById.values());
+  }
+
+  /** A leaving worker stays leaving while it is listed: one that returns has a new id. */
+  private static WorkerRegistration registration(ListedWorker listed, WorkerRegistration known) {
+    boolean leaving =
+        listed.leaving() || known != null && known.state().equals(WorkerRegistration.LEAVING);
+    return new WorkerRegistration(
+        listed.id(),
+        listed.address(),
+        listed.pool(),
+        leaving ? WorkerRegistration.LEAVING : WorkerRegistration.READY,
+        listed.zone(),
+        listed.slots());
+  }
+
+  private void keepMissedOnce(
+      Map<String, WorkerRegistration> knownById,
+      Map<String, WorkerRegistration> nextById,
+      int pages) {
+    if (pages <= 1) {
+      missedOnce = Set.of();
+      return;
     }
-    lacking = pages > 1 ? nowLacking : Set.of();
-    return List.copyOf(next.values());
+    Set<String> missed = new TreeSet<>(knownById.keySet());
+    missed.removeAll(nextById.keySet());
+    missed.stream()
+        .filter(id -> !missedOnce.contains(id))
+        .forEach(id -> nextById.put(id, knownById.get(id)));
+    missedOnce = missed;
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerRegistrationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerRegistrationManager.java
@@ -1,16 +1,17 @@
 package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.common.Json.JSON;
-
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.metadata.WorkerListVersion;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.protocol.Message.PeerRequest;
-import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Commands on single workers and on the version of the worker list. Invariant: a mark never creates
- * a worker, and the version rises by one with each list that was accepted.
+ * Runs the commands on single workers and on the version of the worker list.
+ *
+ * <p>Each worker's key holds its registration, which goes from ready to leaving to gone; a worker
+ * that is gone can be registered anew. It owns no state besides these keys. Invariants: marking
+ * never creates a worker; the version rises by one with each list that was accepted; a change of a
+ * worker is acknowledged only once it is in force.
  */
 final class WorkerRegistrationManager {
   private final LedKeys keys;
@@ -21,45 +22,43 @@
     this.responder = responder;
   }
 
-  /** Lists a worker, or marks a known one; a mark is a worker without an address. */
-  void set(PeerRequest request, LedKey ledKey, WorkerRegistration sent) {
-    WorkerRegistration known =
-        ledKey.value.isNull() ? null : JSON.convertValue(ledKey.value, WorkerRegistration.class);
-    boolean absent = known == null || known.state().equals(WorkerRegistration.GONE);
-    boolean isMark = sent.address().isEmpty();
-    if (isMark && absent) {
-      ApiError unknown = new ApiError.NoSuchWorker(sent.id());
-      ledKey.leader.confirmLeadership(
-          error -> responder.reject(request, error == null ? unknown : error));
+  /**
+   * Registers a worker, or marks a known one as leaving or gone; a mark is a registration without
+   * an address. Marking a worker that is not registered is refused.
+   */
+  void set(PeerRequest request, LedKey ledKey, WorkerRegistration requested) {
+    WorkerRegistration current = ledKey.as(WorkerRegistration.class);
+    boolean isRegistered = current != null && !current.state().equals(WorkerRegistration.GONE);
+    boolean isMark = requested.address().isEmpty();
+    if (isMark && !isRegistered) {
+      ApiError unknownWorker = new ApiError.NoSuchWorker(requested.id());
+      ledKey.confirmLeadership(
+          error -> responder.reject(request, error == null ? unknownWorker : error));
       return;
     }
-    WorkerRegistration next = isMark ? marked(known, sent.state()) : sent;
-    if (next.equals(known)) {
-      ledKey.leader.confirmLeadership(
-          error -> responder.respondOnceInForce(request, ledKey, JSON.valueToTree(next), error));
+    WorkerRegistration next = isMark ? marked(current, requested.state()) : requested;
+    if (next.equals(current)) {
+      ledKey.confirmLeadership(error -> responder.respondOnceInForce(request, ledKey, next, error));
     } else {
-      keys.put(
-          ledKey,
-          next,
-          error -> responder.respondOnceInForce(request, ledKey, JSON.valueToTree(next), error));
+      keys.put(ledKey, next, error -> responder.respondOnceInForce(request, ledKey, next, error));
     }
   }
 
-  private static WorkerRegistration marked(WorkerRegistration known, String mark) {
+  private static WorkerRegistration marked(WorkerRegistration current, String state) {
     return new WorkerRegistration(
-        known.id(), known.address(), known.pool(), mark, known.zone(), known.slots());
+        current.id(), current.address(), current.pool(), state, current.zone(), current.slots());
   }
 
   /**
-   * Compare-and-set of the worker list's version: of two platforms that start from one version, one
-   * goes on.
+   * Raises the version of the worker list by one, if it is the expected one: of two platforms that
+   * start from the same version, only one succeeds.
    */
-  void raiseListVersion(PeerRequest request, LedKey ledKey, JsonNode body) {
-    long version = ledKey.value.path("version").asLong(0);
-    JsonNode from = body.path("from");
-    if (from.isIntegralNumber() && from.asLong() != version) {
+  void raiseListVersion(PeerRequest request, LedKey ledKey, WorkerListVersionCheck expected) {
+    WorkerListVersion current = ledKey.as(WorkerListVersion.class);
+    long version = current == null ? 0 : current.version();
+    if (expected.from() != null && expected.from() != version) {
       ApiError conflict = new ApiError.VersionConflict(version);
-      ledKey.leader.confirmLeadership(
+      ledKey.confirmLeadership(
           error -> responder.reject(request, error == null ? conflict : error));
       return;
     }
