--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -34,20 +34,9 @@
 import applespindle.corelogic.node.Node;
 import applespindle.corelogic.node.NodeIdentity;
 import applespindle.corelogic.protocol.Message;
-import applespindle.corelogic.protocol.Message.AppendRequest;
-import applespindle.corelogic.protocol.Message.AppendResponse;
-import applespindle.corelogic.protocol.Message.AppliedPositions;
 import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
-import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
-import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
-import applespindle.corelogic.protocol.Message.LeadershipTransfer;
-import applespindle.corelogic.protocol.Message.LogFetchRequest;
-import applespindle.corelogic.protocol.Message.LogFetchResponse;
 import applespindle.corelogic.protocol.Message.MetadataRecord;
 import applespindle.corelogic.protocol.Message.PeerRequest;
-import applespindle.corelogic.protocol.Message.QuorumHeartbeat;
-import applespindle.corelogic.protocol.Message.VoteRequest;
-import applespindle.corelogic.protocol.Message.VoteResponse;
 import applespindle.corelogic.replication.LogReplicas;
 import applespindle.corelogic.replication.ReplicaCatchUp;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -102,6 +91,7 @@
   private final CommandSender commands;
   private final ControlManagers managers;
   private final CommandRouter router;
+  private final PeerMessageHandler messageHandler;
   private final MetadataView view;
   private boolean started;
 
@@ -165,6 +155,8 @@
     this.managers =
         new ControlManagers(context, operatorKeys, format, targetMemberCount, this::send);
     this.router = new CommandRouter(context, replicas, managers, () -> stopping, this::forward);
+    this.messageHandler =
+        new PeerMessageHandler(context, heartbeat, feed, replicas, () -> started, () -> stopping);
     this.view = new MetadataView(table, feed.freshness());
   }
 
@@ -417,61 +409,7 @@
 
   @Override
   protected void handle(Message message, String fromId, String fromAddress) {
-    if (message instanceof QuorumHeartbeat received) {
-      handleHeartbeat(received, fromAddress);
-    } else if (message instanceof ChangeFeedPoll poll) {
-      feed.handlePoll(poll, fromId, fromAddress);
-    } else if (message instanceof ChangeFeedUpdate update) {
-      feed.handleUpdate(update, fromAddress);
-    } else if (message instanceof AppliedPositions positions) {
-      updateAcknowledgements.handleAppliedPositions(positions);
-    } else if (message instanceof VoteResponse vote) {
-      keys.handleVoteResponse(vote, fromId);
-    } else if (message instanceof LogFetchResponse fetched) {
-      keys.handleLogFetchResponse(fetched);
-    } else if (message instanceof AppendResponse appended) {
-      keys.handleAppendResponse(appended, fromId);
-    } else if (message instanceof LeadershipTransfer transfer) {
-      handleTransfer(transfer);
-    } else if (quorum.isReplica()) {
-      handleAsReplica(message, fromId, fromAddress);
-    }
-  }
-
-  private void handleTransfer(LeadershipTransfer transfer) {
-    if (quorum.isMember() && !stopping && keys.get(transfer.key()) == null) {
-      keys.acceptTransfer(transfer.key());
-    }
-  }
-
-  private void handleAsReplica(Message message, String fromId, String fromAddress) {
-    if (message instanceof AppendRequest append) {
-      replicas.handleAppendRequest(append, fromId, fromAddress);
-      feed.respondToDeferredPolls();
-    } else if (message instanceof VoteRequest vote) {
-      replicas.handleVoteRequest(vote, fromId, fromAddress);
-    } else if (message instanceof LogFetchRequest fetch) {
-      replicas.handleLogFetchRequest(fetch, fromId, fromAddress);
-    }
-  }
-
-  /**
-   * Heartbeats are usually sent at intervals. A member that is in contact again after a start or a
-   * partition gets one at once, because the rest of the fleet waits until the members are in
-   * contact with each other.
-   */
-  private void handleHeartbeat(QuorumHeartbeat received, String fromAddress) {
-    HeartbeatExchange.ContactChange contact = heartbeat.receive(received, fromAddress);
-    if (!started || !quorum.isMember() || !quorum.includes(fromAddress)) {
-      return;
-    }
-    if (contact.heardAgain()) {
-      heartbeat.send(List.of(fromAddress));
-      feed.poll(fromAddress);
-    }
-    if (contact.hearEachOtherAgain() && !stopping) {
-      keys.electForLeaderlessKeys();
-    }
+    messageHandler.handle(message, fromId, fromAddress);
   }
 
   // ---- interface for operators and the platform
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/package-info.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/package-info.java
@@ -9,8 +9,9 @@
  * <p>{@link applespindle.corelogic.controlplane.ControlPlaneNode} assembles a process. A command
  * goes from {@code CommandSender} at the process that received it through {@code CommandRouter} to
  * the leader of its key, whose {@code ControlManagers} dispatches it to one manager; {@code
- * CommandResponder} sends the response. {@code LedKeys} owns the led keys with their state ({@code
- * LedKey}). Each manager owns the keys of one kind:
+ * CommandResponder} sends the response. {@code PeerMessageHandler} passes the messages of other
+ * processes on. {@code LedKeys} owns the led keys with their state ({@code LedKey}). Each manager
+ * owns the keys of one kind:
  *
  * <ul>
  *   <li>{@code QuorumMembershipManager}: the members of the quorum
