--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlane.java
@@ -5,8 +5,12 @@
 import applespindle.adapters.Program;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 
-/** The control plane's program: one process in each zone. */
+/**
+ * Starts a process of the control plane. A fleet usually runs one in each zone; the processes form
+ * the quorum that keeps the fleet's metadata.
+ */
 public final class ControlPlane {
+  /** Starts the process; the arguments are those of every program of the fleet. */
   public static void main(String[] arguments) {
     Program.run(
         "control-plane",
