--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -1,6 +1,5 @@
 package applespindle.corelogic.controlplane;
 
-import static applespindle.corelogic.common.Json.JSON;
 import static applespindle.corelogic.metadata.WorkerRegistration.GONE;
 import static applespindle.corelogic.metadata.WorkerRegistration.LEAVING;
 import static applespindle.corelogic.metadata.WorkerRegistration.READY;
@@ -39,7 +38,6 @@
 import applespindle.corelogic.protocol.Message.PeerRequest;
 import applespindle.corelogic.replication.LogReplicas;
 import applespindle.corelogic.replication.ReplicaCatchUp;
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -420,8 +418,8 @@
   }
 
   /** Where a drain of the storage node with this id would move its replicas; changes nothing. */
-  public JsonNode planDrain(String id) {
-    return JSON.valueToTree(managers.drainPlanner().plan(id));
+  public DrainPlan planDrain(String id) {
+    return managers.drainPlanner().plan(id);
   }
 
   /** A storage node's id by its id or its name; the argument itself if no node is known by it. */
@@ -430,8 +428,8 @@
   }
 
   /** Every storage node known, with its state and the number of shards that name it. */
-  public JsonNode storageNodes() {
-    return JSON.valueToTree(managers.storageNodes().summaries());
+  public List<StorageNodeSummary> storageNodes() {
+    return managers.storageNodes().summaries();
   }
 
   /**
@@ -463,7 +461,7 @@
   }
 
   /** The workers as known here, with the age of the metadata in milliseconds. */
-  public ObjectNode workers() {
+  public WorkerListView workers() {
     return view.workers();
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/DrainPlanner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/DrainPlanner.java
@@ -14,12 +14,6 @@
  * that {@link ShardRepairPolicy} follows. It owns no state and changes nothing.
  */
 final class DrainPlanner {
-  /** A replica's target; the name is empty and waits is true if no node can take it now. */
-  record PlannedMove(String shard, String to, boolean waits) {}
-
-  /** The response to an operator; refused tells whether a drain would be refused now. */
-  record DrainPlan(String node, boolean refused, List<PlannedMove> moves) {}
-
   private final MetadataTable table;
   private final StorageNodeDirectory directory;
   private final int replicationFactor;
@@ -36,7 +30,7 @@
     List<NodeRegistration> targets =
         directory.active().stream().filter(member -> !member.id().equals(id)).toList();
     boolean refused = directory.activeBesides(id) < replicationFactor;
-    List<PlannedMove> moves = new ArrayList<>();
+    List<DrainPlan.PlannedMove> moves = new ArrayList<>();
     table
         .shards()
         .forEach(
@@ -52,7 +46,7 @@
   }
 
   /** Counts the replica at its target, so that the next moves take it into account. */
-  private static PlannedMove plannedMove(
+  private static DrainPlan.PlannedMove plannedMove(
       String key,
       ShardAssignment shard,
       ShardReplica leaving,
@@ -61,10 +55,10 @@
     List<NodeRegistration> candidates =
         ShardPlacement.candidates(key, shard, List.of(leaving), targets, replicaCounts);
     if (candidates.isEmpty()) {
-      return new PlannedMove(key, "", true);
+      return new DrainPlan.PlannedMove(key, "", true);
     }
     NodeRegistration target = candidates.get(0);
     replicaCounts.merge(target.id(), 1L, Long::sum);
-    return new PlannedMove(key, target.name(), false);
+    return new DrainPlan.PlannedMove(key, target.name(), false);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MetadataView.java
@@ -8,11 +8,13 @@
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.metadata.WorkerListVersion;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.protocol.Message.MetadataRecord;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
 import java.util.List;
 
 /**
@@ -29,9 +31,8 @@
   }
 
   /** The listed workers, the version of their list, and the age of the metadata in milliseconds. */
-  ObjectNode workers() {
-    ObjectNode body = JSON.createObjectNode();
-    ArrayNode workers = body.putArray("workers");
+  WorkerListView workers() {
+    List<JsonNode> workers = new ArrayList<>();
     table
         .withPrefix(MetadataKeys.WORKER_PREFIX)
         .map(metadataRecord -> Json.tree(metadataRecord.value()))
@@ -41,8 +42,9 @@
       Json.tree(table.get(MetadataKeys.WORKER_LIST).value()).path("workers").forEach(workers::add);
     }
     MetadataRecord version = table.get(MetadataKeys.WORKER_LIST_VERSION);
-    body.put("version", version == null ? 0 : Json.tree(version.value()).path("version").asLong());
-    return body.put("ageMs", freshness.ageMs());
+    long number =
+        version == null ? 0 : Json.read(version.value(), WorkerListVersion.class).version();
+    return new WorkerListView(workers, number, freshness.ageMs());
   }
 
   /** Ids of the workers that were registered one by one and are not gone. */
@@ -59,7 +61,7 @@
   void describe(ObjectNode status) {
     ArrayNode members = status.putArray("members");
     table.live().forEach(member -> members.add(JSON.<JsonNode>valueToTree(member)));
-    status.set("workers", workers().get("workers"));
+    status.putArray("workers").addAll(workers().workers());
     ArrayNode edges = status.putArray("edges");
     UpdateAcknowledgements.KnownEdges.of(table).listed().forEach(edges::add);
     MetadataRecord configuration = table.get(MetadataKeys.CONFIGURATION);
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardRepairPolicy.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardRepairPolicy.java
@@ -39,6 +39,7 @@
    */
   private final Map<String, Long> unreachableSinceMs = new HashMap<>();
 
+  /** As of the last refresh; null before the first. */
   private StorageNodes nodes;
 
   ShardRepairPolicy(MetadataTable table, StorageNodeDirectory directory, int replicationFactor) {
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageNodeDirectory.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageNodeDirectory.java
@@ -24,10 +24,6 @@
   /** Reported in place of "emptying" once no shard names the draining node any more. */
   private static final String DRAINED = "emptied";
 
-  /** One row of the operators' list of storage nodes. */
-  record StorageNodeSummary(
-      String id, String name, String zone, boolean live, long shards, String state) {}
-
   private final MetadataTable table;
 
   StorageNodeDirectory(MetadataTable table) {
