--- a/core-logic/src/test/java/applespindle/corelogic/controlplane/ShardMetadataFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/controlplane/ShardMetadataFixture.java
@@ -19,7 +19,7 @@
   final StorageNodeDirectory directory = new StorageNodeDirectory(table);
   private long sequence;
 
-  /** Registers a storage node whose address is that of its name, or ends its membership. */
+  /** Writes the registration of a storage node; not live ends its membership. */
   void register(String id, String zone, String address, boolean live) {
     put(
         MetadataKeys.MEMBER_PREFIX + id,
