--- a/adapters/src/main/java/applespindle/adapters/DiskLog.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskLog.java
@@ -45,7 +45,7 @@
   private final LogFolder folder;
   private final LogSizes sizes;
   private final Consumer<String> log;
-  private final PeerCodec codec = new PeerCodec();
+  private final LogRecordCodec codec = new LogRecordCodec();
 
   /** Whatever is written passes through here, so that no more than this lies outside the heap. */
   private final ByteBuffer buffer = ByteBuffer.allocateDirect(DiskConstants.WRITE_BUFFER_BYTES);
@@ -292,7 +292,7 @@
         if (content[0] == TYPE_END_OF_CHECKPOINT) {
           ended = true;
         } else {
-          replay.accept(codec.decodeRecord(Arrays.copyOfRange(content, 1, content.length)));
+          replay.accept(codec.decode(Arrays.copyOfRange(content, 1, content.length)));
         }
         good += HEAD_BYTES - 1 + content.length;
       }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -3,6 +3,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.adapters.FrameDeflation;
+import applespindle.adapters.LogRecordCodec;
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.api.ApiError;
@@ -198,7 +199,7 @@
     @Override
     public void write(List<LogRecord> records, Runnable whenSynced) {
       for (LogRecord record : records) {
-        meter.diskBytes += codec.encode(record).length + DISK_HEAD_BYTES;
+        meter.diskBytes += logRecordCodec.encode(record).length + DISK_HEAD_BYTES;
       }
       int inLife = life;
       at(nowUs + SYNC_US, () -> enter(inLife, whenSynced));
@@ -280,6 +281,7 @@
   private final Map<String, Integer> running = new HashMap<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final PeerCodec codec = new PeerCodec();
+  private final LogRecordCodec logRecordCodec = new LogRecordCodec();
   private final FrameDeflation deflation = new FrameDeflation();
   private final SplittableRandom random;
 
