--- a/adapters/src/main/java/applespindle/adapters/DiskLog.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskLog.java
@@ -37,6 +37,8 @@
   private static final byte TYPE_RECORD = 1;
   private static final byte TYPE_END_OF_CHECKPOINT = 2;
 
+  private static final int NODE_ID_LENGTH = 12;
+
   private static final String IDENTITY = "identity-";
 
   /** Where earlier versions kept the identity of all starts. */
@@ -117,10 +119,17 @@
     return opened;
   }
 
+  /** A random id of 12 hexadecimal digits for a node that has none yet. */
+  static String newNodeId() {
+    return UUID.randomUUID().toString().replace("-", "").substring(0, NODE_ID_LENGTH);
+  }
+
+  /** The id of the node whose log this is; it stays from start to start. */
   public String id() {
     return id;
   }
 
+  /** How many times the node has been started with this log. */
   public long incarnation() {
     return incarnation;
   }
@@ -179,7 +188,7 @@
     if (!files("segment-").isEmpty() || !files("checkpoint-").isEmpty()) {
       throw new DiskException(DiskException.Kind.CORRUPT, "no identity", null);
     }
-    id = UUID.randomUUID().toString().replace("-", "").substring(0, 12);
+    id = newNodeId();
   }
 
   private boolean readIdentity(String name) {
--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -169,18 +169,20 @@
                           registry
                               .counter("applespindle.peer.sent.bytes", Tags.of("kind", kind))
                               .increment(bytes));
-              process.cost(
-                  cost -> {
-                    registry.gauge("applespindle.processor.seconds", cost.processSeconds());
-                    registry.gauge("applespindle.start.processor.seconds", cost.startSeconds());
-                    cost.threadSeconds()
+              process.readProcessorUsage(
+                  usage -> {
+                    registry.gauge("applespindle.processor.seconds", usage.processSeconds());
+                    registry.gauge("applespindle.start.processor.seconds", usage.startSeconds());
+                    usage
+                        .threadSeconds()
                         .forEach(
                             (thread, seconds) ->
                                 registry.gauge(
                                     "applespindle.thread.processor.seconds",
                                     Tags.of("thread", thread),
                                     seconds));
-                    cost.wakeUps()
+                    usage
+                        .wakeUps()
                         .forEach(
                             (thread, wakeUps) ->
                                 registry.gauge(
--- a/adapters/src/main/java/applespindle/adapters/NodeProcess.java
+++ b/adapters/src/main/java/applespindle/adapters/NodeProcess.java
@@ -23,36 +23,33 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.nio.file.Path;
-import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.UUID;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.locks.LockSupport;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.agrona.concurrent.OneToOneConcurrentArrayQueue;
 import org.tinylog.Logger;
 
 /**
- * One process round one node of the logic. Duties of their own thread: logic, peer, http, disk. The
- * logic alone touches the node, and what comes from elsewhere waits for it in a bounded number.
- * Where there is but one processor, the first three share a thread.
+ * One process round one node of the logic: implements the node's environment on real threads,
+ * sockets and disk. There is one thread each for the logic, for the connections to peers, for HTTP
+ * and for the disk; on a machine with a single processor the first three are one.
+ *
+ * <p>Only the logic thread touches the node. What other threads have for it waits in a bounded
+ * number of tasks, and what goes beyond is refused. Methods of {@link Environment} are called on
+ * the logic thread.
  */
 public final class NodeProcess implements Environment {
-  private static final String PART = "process";
+  private static final String LOG_PREFIX = "process";
 
   /**
-   * Whether traces tell processor time as well. Off unless asked for: the first reading loads many
+   * Whether traces include processor time. Off unless asked for: the first reading loads many
    * classes, which a small machine would notice.
    */
   private static final boolean TRACES_PROCESSOR_TIME =
@@ -63,88 +60,46 @@
     static final ThreadMXBean BEAN = ManagementFactory.getThreadMXBean();
   }
 
-  private static final int EXIT_DISK = 3;
+  private static final String DISK_LOG_PREFIX = "disk";
   private static final int EXIT_UNFINISHED = 4;
 
-  /** Monotonic: the loops' own timers must not jump with the wall clock either. */
-  private static long millis() {
-    return System.nanoTime() / 1_000_000L;
-  }
-
   /**
-   * One thread with a loop that blocks until a socket is ready, a timer is due or a task is handed
-   * over.
-   */
-  private static final class ThreadRole {
-    /** With nothing due a loop sleeps this long; all that matters wakes it. */
-    private static final Duration IDLE = Duration.ofHours(1);
-
-    final Eventloop loop;
-    final Thread thread;
-
-    ThreadRole(String name) {
-      loop =
-          Eventloop.builder()
-              .withThreadName(name)
-              .withTimeProvider(NodeProcess::millis)
-              .withIdleInterval(IDLE)
-              .build();
-      loop.keepAlive(true);
-      // Before any thread starts: a task handed over must find the selector that it is to wake.
-      loop.ensureSelector();
-      thread = new Thread(loop, name);
-    }
-
-    void start() {
-      thread.start();
-    }
-
-    void hand(Runnable task) {
-      if (Thread.currentThread() == thread) {
-        loop.postLast(task);
-      } else {
-        loop.execute(task);
-      }
-    }
-  }
-
-  private record DiskJob(List<LogRecord> records, Runnable whenSynced, boolean checkpoint) {}
-
-  /**
-   * The formats in which opaque requests and the outside list of workers are spoken; null where
-   * there are none.
+   * How the workers of proxied requests are reached.
+   *
+   * @param format the format of requests and responses; null where there are no proxied requests
+   * @param list where the list of workers is kept; null where it is kept by the fleet itself
    */
   public record WorkerIntegration(WorkerProtocol format, WorkerListSource list) {
     public static final WorkerIntegration NONE = new WorkerIntegration(null, null);
   }
 
   private final StartupOptions startup;
-  private final WorkerIntegration outside;
-  private final ThreadRole logic = new ThreadRole("logic");
-  private final ThreadRole http;
-  private final ThreadRole peer;
+  private final WorkerIntegration workerIntegration;
+  private final EventLoopThread logicThread = new EventLoopThread("logic");
 
-  /**
-   * Tasks of other threads that the logic has not begun; what goes beyond the ring's slots is
-   * refused.
-   */
-  private final AtomicInteger waiting = new AtomicInteger();
+  /** The same thread as that of the logic on a machine with a single processor. */
+  private final EventLoopThread httpThread;
+
+  /** The same thread as that of the logic on a machine with a single processor. */
+  private final EventLoopThread peerThread;
+
+  /** Tasks of other threads that the logic has not begun; at most WRITE_RING_SLOTS. */
+  private final AtomicInteger pendingTasks = new AtomicInteger();
 
-  private final OneToOneConcurrentArrayQueue<DiskJob> diskRing =
-      new OneToOneConcurrentArrayQueue<>(DiskConstants.WRITE_RING_SLOTS);
   private final RandomGenerator random;
   private final PeerTransport transport;
-  private final WorkerClient workers;
-  private final WorkerHttpClient exchanges;
-  private final DiskLog disk;
+  private final WorkerClient workerClient;
+
+  /** Null where there are no proxied requests. */
+  private final WorkerHttpClient workerHttpClient;
+
+  /** Null in a process that keeps nothing on disk. */
+  private final DiskWriter diskWriter;
+
+  private final ProcessorUsage processorUsage;
   private final Node node;
-  private final Thread diskThread = new Thread(this::runDisk, "disk");
-  private final CountDownLatch stopped = new CountDownLatch(1);
-  private volatile boolean diskFull;
+  private final CountDownLatch nodeStopped = new CountDownLatch(1);
   private volatile boolean stopping;
-  private long spaceReadAt;
-  private volatile long diskWakeUps;
-  private double startSeconds;
 
   public NodeProcess(StartupOptions startup, BiFunction<Environment, NodeIdentity, Node> maker) {
     this(startup, NodeSettings.DEFAULT, maker, WorkerIntegration.NONE);
@@ -153,93 +108,132 @@
   public NodeProcess(
       StartupOptions startup,
       BiFunction<Environment, NodeIdentity, Node> maker,
-      WorkerIntegration outside) {
-    this(startup, NodeSettings.DEFAULT, maker, outside);
+      WorkerIntegration workerIntegration) {
+    this(startup, NodeSettings.DEFAULT, maker, workerIntegration);
   }
 
   public NodeProcess(
       StartupOptions startup,
       NodeSettings settings,
       BiFunction<Environment, NodeIdentity, Node> maker,
-      WorkerIntegration outside) {
-    this(startup, settings, maker, outside, Runtime.getRuntime().availableProcessors() == 1);
+      WorkerIntegration workerIntegration) {
+    this(
+        startup,
+        settings,
+        maker,
+        workerIntegration,
+        Runtime.getRuntime().availableProcessors() == 1);
   }
 
   /**
-   * sharedThread: where only one thread can run at a time, handing tasks from one to the other
-   * would only cost.
+   * Makes the process; nothing runs before {@link #start}.
+   *
+   * @param sharedThread whether logic, peers and HTTP share a thread: where only one can run at a
+   *     time, handing tasks from one to the other would only cost
+   * @throws DiskException if the data folder can't be used
    */
   NodeProcess(
       StartupOptions startup,
       NodeSettings settings,
       BiFunction<Environment, NodeIdentity, Node> maker,
-      WorkerIntegration outside,
+      WorkerIntegration workerIntegration,
       boolean sharedThread) {
     this.startup = startup;
-    this.outside = outside;
-    http = sharedThread ? logic : new ThreadRole("http");
-    peer = sharedThread ? logic : new ThreadRole("peer");
+    this.workerIntegration = workerIntegration;
+    httpThread = sharedThread ? logicThread : new EventLoopThread("http");
+    peerThread = sharedThread ? logicThread : new EventLoopThread("peer");
     random =
         new SplittableRandom(
             System.nanoTime() ^ System.currentTimeMillis() << 20 ^ startup.peer().hashCode());
     List<LogRecord> records = new ArrayList<>();
-    disk =
-        startup.data() == null
-            ? null
-            : DiskLog.open(
-                Path.of(startup.data()),
-                LogSizes.of(settings.diskBytes()),
-                records::add,
-                sentence -> log("disk", sentence));
-    String id =
-        disk == null ? UUID.randomUUID().toString().replace("-", "").substring(0, 12) : disk.id();
-    long incarnation = disk == null ? 1 : disk.incarnation();
-    var identity =
-        new NodeIdentity(
-            id,
-            incarnation,
-            startup.name(),
-            startup.zone(),
-            startup.role(),
-            startup.peer(),
-            startup.http(),
-            startup.seeds());
-    transport = new PeerTransport(peer.loop, this::received, sentence -> log("peer", sentence));
-    workers = new WorkerClient(http.loop);
-    exchanges =
-        outside.format() == null
+    DiskLog diskLog = startup.data() == null ? null : openLog(settings, records::add);
+    diskWriter = diskLog == null ? null : diskWriter(diskLog);
+    processorUsage = new ProcessorUsage(eventLoopThreads(), diskWriter);
+    transport =
+        new PeerTransport(peerThread.loop(), this::received, message -> log("peer", message));
+    workerClient = new WorkerClient(httpThread.loop());
+    workerHttpClient =
+        workerIntegration.format() == null
             ? null
-            : new WorkerHttpClient(http.loop, outside.format(), this::backToLogic);
-    node = maker.apply(this, identity);
+            : new WorkerHttpClient(
+                httpThread.loop(), workerIntegration.format(), this::executeOnLogic);
+    node = maker.apply(this, identity(diskLog));
     records.forEach(node::recover);
   }
 
+  private DiskLog openLog(NodeSettings settings, Consumer<LogRecord> replay) {
+    return DiskLog.open(
+        Path.of(startup.data()),
+        LogSizes.of(settings.diskBytes()),
+        replay,
+        message -> log(DISK_LOG_PREFIX, message));
+  }
+
+  private DiskWriter diskWriter(DiskLog diskLog) {
+    DiskWriter.LogicThread logic =
+        new DiskWriter.LogicThread() {
+          @Override
+          public void execute(Runnable task) {
+            executeOnLogic(task);
+          }
+
+          @Override
+          public void reportSynced(List<Runnable> callbacks) {
+            executeOnLogic(() -> callbacks.forEach(NodeProcess::runSafely));
+          }
+        };
+    return new DiskWriter(
+        diskLog, logic, () -> node().checkpoint(), message -> log(DISK_LOG_PREFIX, message));
+  }
+
+  /** A node without a disk is a new one at each start. */
+  private NodeIdentity identity(DiskLog diskLog) {
+    String id = diskLog == null ? DiskLog.newNodeId() : diskLog.id();
+    long incarnation = diskLog == null ? 1 : diskLog.incarnation();
+    return new NodeIdentity(
+        id,
+        incarnation,
+        startup.name(),
+        startup.zone(),
+        startup.role(),
+        startup.peer(),
+        startup.http(),
+        startup.seeds());
+  }
+
+  /** The loop of the HTTP thread, to make servers and clients on. */
   public Eventloop httpLoop() {
-    return http.loop;
+    return httpThread.loop();
   }
 
+  /** The node; to be touched on the logic thread only. */
   public Node node() {
     return node;
   }
 
+  /** The options that the process was started with. */
   public StartupOptions startup() {
     return startup;
   }
 
-  /** Starts all threads; the process then lives until it is stopped. */
+  /**
+   * Starts all threads; the process then lives until it is stopped.
+   *
+   * @param openInterface opens the HTTP interface, before the threads start
+   * @throws IOException if the address for peers can't be listened on
+   */
   public void start(Consumer<NodeProcess> openInterface) throws IOException {
     transport.listen(startup.listenAddress());
     openInterface.accept(this);
-    if (disk != null) {
-      noteSpace();
-      diskThread.start();
+    if (diskWriter != null) {
+      diskWriter.start();
     }
-    startSeconds = processorSeconds();
-    duties().forEach(ThreadRole::start);
+    processorUsage.noteStarted();
+    eventLoopThreads().forEach(EventLoopThread::start);
     toLogic(node::start);
-    Runtime.getRuntime().addShutdownHook(new Thread(this::stopPolitely, "stop"));
+    Runtime.getRuntime().addShutdownHook(new Thread(this::stopGracefully, "stop"));
     log(
-        PART,
+        LOG_PREFIX,
         startup.role()
             + " "
             + startup.name()
@@ -248,215 +242,102 @@
             + ".");
   }
 
-  /** What the process has used so far; thread names are those of its duties. */
-  record Cost(
-      double startSeconds,
-      double processSeconds,
-      Map<String, Double> threadSeconds,
-      Map<String, Long> wakeUps) {}
-
-  /** Asks each duty in turn, as only its own thread knows how often it woke. */
-  void cost(Consumer<Cost> then) {
-    Map<String, Long> wakeUps = new LinkedHashMap<>();
-    ask(
-        new ArrayDeque<>(duties()),
-        wakeUps,
-        () -> {
-          var threads = ManagementFactory.getThreadMXBean();
-          Map<String, Double> seconds = new LinkedHashMap<>();
-          duties()
-              .forEach(
-                  duty ->
-                      seconds.put(
-                          duty.thread.getName(),
-                          threads.getThreadCpuTime(duty.thread.getId()) / 1e9));
-          if (disk != null) {
-            seconds.put(diskThread.getName(), threads.getThreadCpuTime(diskThread.getId()) / 1e9);
-            wakeUps.put(diskThread.getName(), diskWakeUps);
-          }
-          then.accept(new Cost(startSeconds, processorSeconds(), seconds, wakeUps));
-        });
-  }
-
-  private void ask(ArrayDeque<ThreadRole> left, Map<String, Long> wakeUps, Runnable then) {
-    ThreadRole duty = left.poll();
-    if (duty == null) {
-      then.run();
-      return;
-    }
-    duty.hand(
-        () -> {
-          wakeUps.put(duty.thread.getName(), duty.loop.tick() >>> Integer.SIZE);
-          ask(left, wakeUps, then);
-        });
+  /** Reads what the threads of the process have used; the reading arrives on one of them. */
+  void readProcessorUsage(Consumer<ProcessorUsage.Reading> whenRead) {
+    processorUsage.read(whenRead);
   }
 
-  private Set<ThreadRole> duties() {
-    return new LinkedHashSet<>(List.of(peer, http, logic));
+  /** Each thread once, also where several tasks share one. */
+  private List<EventLoopThread> eventLoopThreads() {
+    return List.copyOf(new LinkedHashSet<>(List.of(peerThread, httpThread, logicThread)));
   }
 
-  private static double processorSeconds() {
-    return ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO).toMillis() / 1e3;
-  }
-
-  /** The process was told to end; it serves on for a while, but no connection need stay. */
+  /** Whether the process is to end; it serves on for a while, but no connection need stay. */
   public boolean stopping() {
     return stopping;
   }
 
-  private void stopPolitely() {
+  private void stopGracefully() {
     stopping = true;
-    toLogic(() -> node.stop(stopped::countDown));
-    boolean done = false;
+    toLogic(() -> node.stop(nodeStopped::countDown));
+    boolean finished = false;
     try {
-      done =
-          stopped.await(
+      finished =
+          nodeStopped.await(
               LifecycleConstants.SHUTDOWN_NOTICE_MS
                   + LifecycleConstants.DRAIN_TIMEOUT_MS
                   + MembershipConstants.LEASE_DURATION_MS,
               TimeUnit.MILLISECONDS);
-    } catch (InterruptedException cutShort) {
-      // It ends now.
+    } catch (InterruptedException interrupted) {
+      // The process ends now, without waiting for the rest.
     }
-    log(PART, done ? "Stopped." : "Stopped before all was handed over.");
-    Runtime.getRuntime().halt(done ? 0 : EXIT_UNFINISHED);
+    log(LOG_PREFIX, finished ? "Stopped." : "Stopped before all was handed over.");
+    Runtime.getRuntime().halt(finished ? 0 : EXIT_UNFINISHED);
   }
 
   /**
-   * Hands a task to the logic thread; false when too much waits for it, and then nothing was done.
+   * Runs a task on the logic thread; from any thread. What the task throws is logged.
+   *
+   * @return false when too many tasks wait for the logic; this one is then not run
    */
   public boolean toLogic(Runnable task) {
-    if (waiting.incrementAndGet() > DiskConstants.WRITE_RING_SLOTS) {
-      waiting.decrementAndGet();
+    if (pendingTasks.incrementAndGet() > DiskConstants.WRITE_RING_SLOTS) {
+      pendingTasks.decrementAndGet();
       return false;
     }
-    backToLogic(
+    executeOnLogic(
         () -> {
-          waiting.decrementAndGet();
+          pendingTasks.decrementAndGet();
           runSafely(task);
         });
     return true;
   }
 
-  /** Hands a task to the http thread; tasks from one thread keep their order. */
+  /** Runs a task on the HTTP thread; tasks from one thread keep their order. */
   public void toHttp(Runnable task) {
-    http.hand(task);
+    httpThread.execute(task);
   }
 
   /**
-   * The same once the logic's present task is over, so that all it tells goes over at once; on the
-   * logic thread only.
+   * Runs a task on the HTTP thread once the present task of the logic is over, so that all that it
+   * reports is there by then; on the logic thread only.
    */
-  public void toHttpAfterThis(Runnable task) {
-    if (http == logic) {
-      http.hand(task);
+  public void toHttpAfterCurrentTask(Runnable task) {
+    if (httpThread == logicThread) {
+      httpThread.execute(task);
     } else {
-      logic.loop.postLast(() -> http.hand(task));
+      logicThread.loop().postLast(() -> httpThread.execute(task));
     }
   }
 
   /**
-   * What the logic itself has asked for must reach it: its own bounds on what it begins bound this
-   * too.
+   * Runs a task on the logic thread without a bound: for what the logic itself has asked for, which
+   * its own limits bound.
    */
-  private void backToLogic(Runnable task) {
-    logic.hand(task);
+  private void executeOnLogic(Runnable task) {
+    logicThread.execute(task);
   }
 
   private void received(Envelope envelope) {
     toLogic(() -> node.receive(envelope));
   }
 
-  private void noteSpace() {
-    spaceReadAt = nowMs();
-    boolean full = disk.full();
-    if (full != diskFull) {
-      log("disk", full ? "The disk is full: nothing new is taken." : "The disk has room again.");
-    }
-    diskFull = full;
-  }
-
-  private void runSafely(Runnable task) {
+  private static void runSafely(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException fault) {
-      Logger.error(fault, "[" + PART + "] A task of the logic failed.");
-    }
-  }
-
-  /**
-   * Sleeps until there is work. A job is offered before the thread is unparked, so that no wake-up
-   * is lost.
-   */
-  private void runDisk() {
-    List<DiskJob> jobs = new ArrayList<>();
-    boolean checkpointAsked = false;
-    try {
-      while (true) {
-        jobs.clear();
-        diskWakeUps++;
-        diskRing.drainTo(jobs, 1024);
-        if (jobs.isEmpty() && !diskFull) {
-          LockSupport.park(this);
-        } else if (jobs.isEmpty()) {
-          LockSupport.parkNanos(this, DiskConstants.FREE_SPACE_CHECK_INTERVAL_MS * 1_000_000L);
-        }
-        List<DiskJob> group = new ArrayList<>();
-        for (DiskJob job : jobs) {
-          if (job.checkpoint()) {
-            write(group);
-            disk.checkpoint(job.records());
-            checkpointAsked = false;
-          } else {
-            group.add(job);
-          }
-        }
-        write(group);
-        if (nowMs() - spaceReadAt >= DiskConstants.FREE_SPACE_CHECK_INTERVAL_MS) {
-          noteSpace();
-        }
-        if (!checkpointAsked && disk.wantsCheckpoint(diskFull)) {
-          checkpointAsked = true;
-          backToLogic(() -> offerToDisk(new DiskJob(node.checkpoint(), () -> {}, true)));
-        }
-      }
-    } catch (DiskException fault) {
-      log("disk", "The disk failed and the process ends: " + fault.getMessage() + ".");
-      Runtime.getRuntime().halt(EXIT_DISK);
-    }
-  }
-
-  /** One write and one sync for all of a group; then the logic hears of each, in order. */
-  private void write(List<DiskJob> group) {
-    if (group.isEmpty()) {
-      return;
-    }
-    List<LogRecord> records = new ArrayList<>();
-    group.forEach(job -> records.addAll(job.records()));
-    disk.append(records);
-    List<Runnable> synced = group.stream().map(DiskJob::whenSynced).toList();
-    group.clear();
-    backToLogic(() -> synced.forEach(this::runSafely));
-  }
-
-  private void offerToDisk(DiskJob job) {
-    if (!diskRing.offer(job)) {
-      log("disk", "The disk is too far behind and the process ends.");
-      Runtime.getRuntime().halt(EXIT_DISK);
+      Logger.error(fault, "[" + LOG_PREFIX + "] A task of the logic failed.");
     }
-    LockSupport.unpark(diskThread);
   }
 
-  /** By kind of message, what this process has sent to others. */
+  /** By kind of message, the bytes that this process has sent to peers. */
   Map<String, Long> peerBytesOfKind() {
     return transport.bytesOfKind();
   }
 
-  // ---- ports
-
   @Override
   public long nowMs() {
-    return millis();
+    return EventLoopThread.nowMs();
   }
 
   @Override
@@ -468,13 +349,13 @@
               / LifecycleConstants.TIMER_GRANULARITY_MS
               * LifecycleConstants.TIMER_GRANULARITY_MS;
     }
-    return logic.loop.schedule(due, () -> runSafely(task))::cancel;
+    return logicThread.loop().schedule(due, () -> runSafely(task))::cancel;
   }
 
   @Override
   public void send(String peerAddress, Envelope envelope) {
     if (peerAddress.equals(startup.peer())) {
-      backToLogic(() -> runSafely(() -> node.receive(envelope)));
+      executeOnLogic(() -> runSafely(() -> node.receive(envelope)));
     } else {
       transport.send(peerAddress, envelope);
     }
@@ -482,54 +363,58 @@
 
   @Override
   public void write(List<LogRecord> records, Runnable whenSynced) {
-    if (disk == null) {
-      throw new IllegalStateException("a node without a data folder keeps no records");
-    }
-    offerToDisk(new DiskJob(records, whenSynced, false));
+    requireDisk().write(records, whenSynced);
   }
 
   @Override
   public boolean acceptsWrites() {
-    return diskRing.size() < DiskConstants.WRITE_RING_SLOTS / 2 && !diskFull && !disk.refusing();
+    return requireDisk().acceptsWrites();
+  }
+
+  private DiskWriter requireDisk() {
+    if (diskWriter == null) {
+      throw new IllegalStateException("a node without a data folder keeps no records");
+    }
+    return diskWriter;
   }
 
-  /** So little is left on the disk that nothing new is taken; what is there stays. */
+  /** Whether so little is left on the disk that nothing new is taken. */
   boolean diskFull() {
-    return diskFull;
+    return diskWriter != null && diskWriter.full();
   }
 
   @Override
   public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     WorkerClient.Run[] run = new WorkerClient.Run[1];
-    toHttp(
-        () ->
-            run[0] =
-                workers.run(
-                    call,
-                    new WorkerCallListener() {
-                      @Override
-                      public void text(String text) {
-                        backToLogic(() -> listener.text(text));
-                      }
-
-                      @Override
-                      public void end(String finishReason) {
-                        backToLogic(() -> listener.end(finishReason));
-                      }
-
-                      @Override
-                      public void fail(ApiError error, boolean mayHaveRun) {
-                        backToLogic(() -> listener.fail(error, mayHaveRun));
-                      }
-                    }));
+    toHttp(() -> run[0] = workerClient.run(call, onLogic(listener)));
     return () -> toHttp(() -> run[0].cancel());
   }
 
+  /** A listener for the HTTP thread that passes everything on to one on the logic thread. */
+  private WorkerCallListener onLogic(WorkerCallListener listener) {
+    return new WorkerCallListener() {
+      @Override
+      public void text(String text) {
+        executeOnLogic(() -> listener.text(text));
+      }
+
+      @Override
+      public void end(String finishReason) {
+        executeOnLogic(() -> listener.end(finishReason));
+      }
+
+      @Override
+      public void fail(ApiError error, boolean mayHaveRun) {
+        executeOnLogic(() -> listener.fail(error, mayHaveRun));
+      }
+    };
+  }
+
   @Override
   public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
-    WorkerHttpClient.Exchange begun = exchanges.prepare(exchange, listener);
-    toHttp(begun::start);
-    return () -> toHttp(begun::cancel);
+    WorkerHttpClient.Exchange prepared = workerHttpClient.prepare(exchange, listener);
+    toHttp(prepared::start);
+    return () -> toHttp(prepared::cancel);
   }
 
   @Override
@@ -537,10 +422,10 @@
       String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
     toHttp(
         () ->
-            workers.readLoad(
+            workerClient.readLoad(
                 workerAddress,
-                load -> backToLogic(() -> whenRead.accept(load)),
-                error -> backToLogic(() -> whenFaulty.accept(error))));
+                load -> executeOnLogic(() -> whenRead.accept(load)),
+                error -> executeOnLogic(() -> whenFaulty.accept(error))));
   }
 
   @Override
@@ -548,12 +433,12 @@
       String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty) {
     toHttp(
         () ->
-            outside
+            workerIntegration
                 .list()
                 .read(
                     pageToken,
-                    page -> backToLogic(() -> whenRead.accept(page)),
-                    error -> backToLogic(() -> whenFaulty.accept(error))));
+                    page -> executeOnLogic(() -> whenRead.accept(page)),
+                    error -> executeOnLogic(() -> whenFaulty.accept(error))));
   }
 
   @Override
@@ -572,7 +457,7 @@
   }
 
   @Override
-  public void log(String part, String sentence) {
-    Logger.info("[" + part + "] " + sentence);
+  public void log(String part, String message) {
+    Logger.info("[" + part + "] " + message);
   }
 }
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
@@ -92,7 +92,7 @@
     }
     what.accept(told);
     if (first) {
-      process.toHttpAfterThis(this::take);
+      process.toHttpAfterCurrentTask(this::take);
     }
   }
 
