--- /dev/null
+++ b/adapters/src/main/java/applespindle/adapters/FrameReader.java
@@ -0,0 +1,88 @@
+package applespindle.adapters;
+
+import applespindle.corelogic.constants.PeerConnectionConstants;
+import applespindle.corelogic.constants.SizeLimits;
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+
+/**
+ * Splits the bytes of one connection from a peer into frames. Invariant: between calls the buffer
+ * holds the beginning of one frame that is not complete yet. On the peer thread.
+ */
+final class FrameReader {
+  private static final int INITIAL_CAPACITY_BYTES = 4 << 10;
+
+  /** Takes what is read, in order. */
+  interface Listener {
+    /** A frame of no bytes, which asks for the same. */
+    void keepalive();
+
+    /** A complete frame, inflated. */
+    void frame(byte[] frame) throws UnreadableFrameException;
+  }
+
+  private final FrameDeflation deflation;
+  private final Listener listener;
+  private byte[] buffer = new byte[INITIAL_CAPACITY_BYTES];
+  private int length;
+
+  FrameReader(FrameDeflation deflation, Listener listener) {
+    this.deflation = deflation;
+    this.listener = listener;
+  }
+
+  /** Adds the next bytes of the connection; the array stays the caller's. */
+  void add(byte[] bytes, int offset, int size) {
+    if (length + size > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + size));
+    }
+    System.arraycopy(bytes, offset, buffer, length, size);
+    length += size;
+  }
+
+  /**
+   * Passes on all frames that are complete.
+   *
+   * @throws UnreadableFrameException if a frame is too long or broken; the connection is of no more
+   *     use then
+   */
+  void readFrames() throws UnreadableFrameException {
+    int offset = 0;
+    while (length - offset >= PeerFrame.HEADER_BYTES) {
+      int header = ByteBuffer.wrap(buffer, offset, PeerFrame.HEADER_BYTES).getInt();
+      int size = PeerFrame.length(header);
+      if (size > SizeLimits.MAX_FRAME_BYTES) {
+        throw new UnreadableFrameException(UnreadableFrameException.Kind.TOO_LARGE);
+      }
+      if (length - offset - PeerFrame.HEADER_BYTES < size) {
+        break;
+      }
+      readFrame(header, offset + PeerFrame.HEADER_BYTES, size);
+      offset += PeerFrame.HEADER_BYTES + size;
+    }
+    if (offset > 0) {
+      discard(offset);
+    }
+  }
+
+  private void readFrame(int header, int from, int size) throws UnreadableFrameException {
+    if (size == 0) {
+      listener.keepalive();
+    } else if (PeerFrame.isDeflated(header)) {
+      listener.frame(deflation.inflate(buffer, from, size));
+    } else {
+      listener.frame(Arrays.copyOfRange(buffer, from, from + size));
+    }
+  }
+
+  /** Drops the frames that were read; a buffer that a large one has grown is not kept. */
+  private void discard(int size) {
+    length -= size;
+    if (buffer.length > PeerConnectionConstants.MAX_WRITE_BYTES
+        && length <= INITIAL_CAPACITY_BYTES) {
+      buffer = Arrays.copyOfRange(buffer, size, size + INITIAL_CAPACITY_BYTES);
+    } else {
+      System.arraycopy(buffer, size, buffer, 0, length);
+    }
+  }
+}
