--- a/adapters/src/main/java/applespindle/adapters/NodeProcess.java
+++ b/adapters/src/main/java/applespindle/adapters/NodeProcess.java
@@ -412,7 +412,7 @@
 
   @Override
   public WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
-    WorkerHttpClient.Exchange prepared = workerHttpClient.prepare(exchange, listener);
+    WorkerHttpExchange prepared = workerHttpClient.prepare(exchange, listener);
     toHttp(prepared::start);
     return () -> toHttp(prepared::cancel);
   }
--- a/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
@@ -163,10 +163,10 @@
     return heard;
   }
 
-  private WorkerHttpClient.Exchange begin(ProxiedRequest request, Heard heard) {
+  private WorkerHttpExchange begin(ProxiedRequest request, Heard heard) {
     var call =
         new WorkerExchange("127.0.0.1:" + worker.getLocalPort(), "w1", request, 0, 1_000, "");
-    WorkerHttpClient.Exchange exchange = client.prepare(call, heard);
+    WorkerHttpExchange exchange = client.prepare(call, heard);
     eventloop.execute(exchange::start);
     return exchange;
   }
@@ -564,7 +564,7 @@
   @Test
   void cancelClosesTheConnection() throws Exception {
     Heard heard = new Heard();
-    WorkerHttpClient.Exchange exchange = begin(request("1"), heard);
+    WorkerHttpExchange exchange = begin(request("1"), heard);
     try (Socket socket = accept()) {
       read(socket);
       eventloop.execute(exchange::cancel);
