--- a/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
@@ -106,7 +106,7 @@
   private boolean acceptBehindSize(char each) {
     if (each == ' ' || each == '\t') {
       state = State.BLANKS;
-      return ++unreadBytes <= ProxyEndpoint.HEAD_BYTES_MOST;
+      return ++unreadBytes <= EffectiveClientLimits.MAX_HEAD_BYTES;
     }
     state = each == ';' ? State.EXTENSION : State.SIZE_END;
     return each == ';' || each == '\r';
@@ -118,7 +118,7 @@
       return true;
     }
     boolean control = each < ' ' && each != '\t' || each == 127;
-    return !control && ++unreadBytes <= ProxyEndpoint.HEAD_BYTES_MOST;
+    return !control && ++unreadBytes <= EffectiveClientLimits.MAX_HEAD_BYTES;
   }
 
   private boolean acceptLineFeed(char each, State next) {
--- a/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
@@ -15,16 +15,23 @@
 import java.util.function.Supplier;
 
 /**
- * A client's connection below the HTTP library, which would bear what a door must not: it lets line
+ * A client's connection below the HTTP library, which would bear what must not pass: it lets line
  * ends be bare, heads be as long and as slow as they like, goes on reading after a refusal, unpacks
  * bodies, does not look at a connection while its request is being served, and writes a response's
- * head and each of its pieces apart. Invariants: at most one read and one write of the inner socket
- * are open; bytes go both ways in order; a head is handed on whole and sound, or not at all.
+ * head and each of its chunks apart.
+ *
+ * <p>Invariants: at most one read and one write of the inner socket are open; bytes go both ways in
+ * order; a head is handed on complete and valid, or not at all. On the HTTP thread.
  */
-final class ClientConnection implements ITcpSocket {
+final class ClientConnection implements ITcpSocket, GatheringWriter.Listener {
   private enum Phase {
+    /** The head of a request is awaited or being read. */
     HEAD,
+
+    /** The body of a request is being read. */
     BODY,
+
+    /** The request is complete, and its response is awaited or being written. */
     SERVED
   }
 
@@ -33,56 +40,47 @@
    */
   private static final long LINGER_MS = 500;
 
-  /** A writer waits until what was gathered beyond this has gone out. */
-  private static final int GATHERED_BYTES_MOST = 64 << 10;
-
   private static final byte[] NOTHING = {};
-  private static final byte[] ENCODING = "content-encoding:".getBytes(US_ASCII);
-
-  /**
-   * Where the hyphen of ENCODING stands, and what stands in its place above: no client's head can
-   * hold it.
-   */
-  private static final int HYPHEN_AT = 7;
-
-  private static final byte MASK = 1;
-  static final String MASKED_ENCODING = "content" + (char) MASK + "encoding";
 
   private final ITcpSocket inner;
   private final NioReactor reactor;
-  private final Supplier<RoutingConfiguration.ClientLimits> limits;
+  private final EffectiveClientLimits limits;
+  private final GatheringWriter writer;
   private final Runnable whenClosed;
   private Phase phase = Phase.HEAD;
 
   /** The present head as far as it was read; null before its first byte. */
   private ByteBuf headBytes;
 
-  /**
-   * Of the present head: bytes so far, the last byte, and how many line ends stand behind each
-   * other.
-   */
-  private int headSize;
-
-  private byte last;
-  private int lineEnds;
-  private RequestLineCheck requestLine = new RequestLineCheck();
+  private RequestHeadScanner headScanner = new RequestHeadScanner();
 
-  /** How much of ENCODING the present line begins with; -1 if it begins otherwise. */
-  private int encodingMatched;
-
-  /** What came together with the head's end, and has been handed on with it. */
+  /** What came behind the end of the head, and was handed on together with it. */
   private byte[] behindHead = NOTHING;
 
-  /** Of the present body, if it comes in chunks. */
+  /** Of the present body; null if it does not come in chunks. */
   private ChunkFraming framing;
 
+  /** When the first byte of the present head came. */
   private long headBegunAt;
+
+  /** A read of the inner socket is open. */
   private boolean reading;
-  private ByteBuf ahead;
-  private boolean ended;
-  private Exception broken;
-  private SettablePromise<ByteBuf> asked;
-  private long askedAt;
+
+  /** Was read before anybody asked for it; null if nothing was. */
+  private ByteBuf readAhead;
+
+  /** The client has closed its side. */
+  private boolean inputEnded;
+
+  /** Why the inner socket failed; null while it has not. */
+  private Exception failure;
+
+  /** Of the present call of read; null while there is none. */
+  private SettablePromise<ByteBuf> pendingRead;
+
+  /** When the present read began, or bytes last came for it. */
+  private long progressAt;
+
   private long limitsChangedAt;
 
   /** The due time after which the connection was given one more look; 0 before the first. */
@@ -90,14 +88,9 @@
 
   private ScheduledRunnable timeout;
   private long timeoutAt;
-  private Runnable whenGone;
-
-  /** Written and not handed to the inner socket yet. */
-  private ByteBuf gathered;
 
-  private boolean flushPosted;
-  private boolean flushing;
-  private SettablePromise<Void> flushed;
+  /** To be run if the client goes while it is served; null if nobody wants to know. */
+  private Runnable whenClientGone;
 
   /** After the next write has gone out, the connection ends. */
   private boolean closing;
@@ -105,6 +98,7 @@
   /** What follows once the client has read its refusal, or had the time to. */
   private Runnable lingering;
 
+  /** Why this was closed; null while it is open. */
   private Exception closed;
 
   ClientConnection(
@@ -114,13 +108,14 @@
       Runnable whenClosed) {
     this.inner = inner;
     this.reactor = reactor;
-    this.limits = limits;
+    this.limits = new EffectiveClientLimits(limits);
+    writer = new GatheringWriter(inner, reactor, this);
     this.whenClosed = whenClosed;
   }
 
   /**
-   * The head was read whole; what comes now is the body. False if what came with the head does not
-   * begin one: the caller then refuses the request.
+   * To be called when the head was read: what comes now is the body. False if what came with the
+   * head does not begin one: the caller then refuses the request.
    */
   boolean bodyBegins(boolean chunked) {
     phase = Phase.BODY;
@@ -131,40 +126,41 @@
   }
 
   /**
-   * The request was read whole: from now on the client is watched, until the next head is asked
-   * for.
+   * To be called when the request was read completely: from now on the client is watched, until the
+   * next head is asked for.
    */
-  void served(Runnable whenGone) {
+  void served(Runnable whenClientGone) {
     phase = Phase.SERVED;
-    this.whenGone = whenGone;
-    if (ended || broken != null) {
-      tellGone();
-    } else if (ahead == null && !reading) {
+    this.whenClientGone = whenClientGone;
+    if (inputEnded || failure != null) {
+      reportClientGone();
+    } else if (readAhead == null && !reading) {
       readInner();
     }
   }
 
-  /** The connection ends once what is written next has been written. */
+  /** Ends the connection once what is written next has gone out. */
   void closeAfterWrite() {
     closing = true;
   }
 
   /**
-   * Others are in force: they hold for what is being waited for, too, from now on. A connection
-   * that has rested for longer than they allow may be in use by a client that does not know them.
+   * To be called when other limits are in force: they hold for what is being waited for, too, from
+   * now on. A connection that was idle for longer than they allow may be in use by a client that
+   * does not know them.
    */
   void limitsChanged() {
-    if (asked != null && !closing) {
+    if (pendingRead != null && !closing) {
       limitsChangedAt = reactor.currentTimeMillis();
       watchTime();
     }
   }
 
-  private void tellGone() {
-    Runnable told = whenGone;
-    whenGone = null;
-    if (told != null) {
-      told.run();
+  private void reportClientGone() {
+    Runnable callback = whenClientGone;
+    whenClientGone = null;
+    if (callback != null) {
+      callback.run();
     }
   }
 
@@ -174,32 +170,28 @@
   public Promise<ByteBuf> read() {
     if (phase == Phase.SERVED) {
       phase = Phase.HEAD;
-      headSize = 0;
-      lineEnds = 0;
-      last = 0;
-      requestLine = new RequestLineCheck();
-      encodingMatched = -1;
-      whenGone = null;
+      headScanner = new RequestHeadScanner();
+      whenClientGone = null;
     }
-    if (broken != null) {
-      return Promise.ofException(broken);
+    if (failure != null) {
+      return Promise.ofException(failure);
     }
     SettablePromise<ByteBuf> present = new SettablePromise<>();
-    asked = present;
-    askedAt = reactor.currentTimeMillis();
+    pendingRead = present;
+    progressAt = reactor.currentTimeMillis();
     if (closing) {
       return present;
     }
-    ByteBuf waiting = ahead;
-    ahead = null;
+    ByteBuf waiting = readAhead;
+    readAhead = null;
     if (waiting != null) {
       take(waiting);
-    } else if (ended) {
-      hand(null);
+    } else if (inputEnded) {
+      completeRead(null);
     } else if (!reading) {
       readInner();
     }
-    if (asked == present && !closing) {
+    if (pendingRead == present && !closing) {
       watchTime();
     }
     return present;
@@ -207,35 +199,33 @@
 
   private void readInner() {
     reading = true;
-    inner
-        .read()
-        .subscribe(
-            (bytes, fault) -> {
-              reading = false;
-              if (fault != null) {
-                broken = fault;
-              } else if (bytes == null) {
-                ended = true;
-              }
-              if (closing || closed != null) {
-                discard(bytes);
-                if (bytes == null) {
-                  endLinger();
-                }
-              } else if (asked == null && bytes != null) {
-                ahead = bytes;
-              } else if (asked == null) {
-                tellGone();
-              } else if (fault != null) {
-                SettablePromise<ByteBuf> present = asked;
-                asked = null;
-                present.setException(fault);
-              } else if (bytes == null) {
-                hand(null);
-              } else {
-                take(bytes);
-              }
-            });
+    inner.read().subscribe(this::innerRead);
+  }
+
+  /** Both are null when the client has closed its side. */
+  private void innerRead(ByteBuf bytes, Exception fault) {
+    reading = false;
+    if (fault != null) {
+      failure = fault;
+    } else if (bytes == null) {
+      inputEnded = true;
+    }
+    if (closing || closed != null) {
+      discard(bytes);
+      if (bytes == null) {
+        endLinger();
+      }
+    } else if (pendingRead == null && bytes != null) {
+      readAhead = bytes;
+    } else if (pendingRead == null) {
+      reportClientGone();
+    } else if (fault != null) {
+      failRead(fault);
+    } else if (bytes == null) {
+      completeRead(null);
+    } else {
+      take(bytes);
+    }
   }
 
   private void discard(ByteBuf bytes) {
@@ -245,35 +235,46 @@
     }
   }
 
-  private void hand(ByteBuf bytes) {
-    SettablePromise<ByteBuf> present = asked;
-    asked = null;
+  private void completeRead(ByteBuf bytes) {
+    SettablePromise<ByteBuf> present = pendingRead;
+    pendingRead = null;
     present.set(bytes);
   }
 
-  /** Bytes for whoever asked: those of a body at once, those of a head once it is whole. */
+  private void failRead(Exception fault) {
+    SettablePromise<ByteBuf> present = pendingRead;
+    pendingRead = null;
+    present.setException(fault);
+  }
+
+  /** Passes bytes to the reader: those of a body at once, those of a head once it is complete. */
   private void take(ByteBuf bytes) {
-    askedAt = reactor.currentTimeMillis();
+    progressAt = reactor.currentTimeMillis();
     if (phase != Phase.HEAD) {
       takeBody(bytes);
       return;
     }
     if (headBytes == null) {
       headBytes = bytes;
-      headBegunAt = askedAt;
+      headBegunAt = progressAt;
     } else {
       headBytes = ByteBufPool.append(headBytes, bytes);
     }
-    String fault = headFault();
-    if (fault != null) {
+    String refusal =
+        headScanner.scan(
+            headBytes.array(),
+            headBytes.head() + headScanner.size(),
+            headBytes.tail(),
+            limits.maxHeadBytes());
+    if (refusal != null) {
       headBytes.recycle();
       headBytes = null;
-      refuse(fault);
-    } else if (lineEnds == 2) {
+      refuse(refusal);
+    } else if (headScanner.isComplete()) {
       ByteBuf head = headBytes;
       headBytes = null;
-      behindHead = Arrays.copyOfRange(head.array(), head.head() + headSize, head.tail());
-      hand(head);
+      behindHead = Arrays.copyOfRange(head.array(), head.head() + headScanner.size(), head.tail());
+      completeRead(head);
     } else {
       watchTime();
       readInner();
@@ -282,92 +283,23 @@
 
   private void takeBody(ByteBuf bytes) {
     if (framing == null || framing.accept(bytes.array(), bytes.head(), bytes.tail())) {
-      hand(bytes);
+      completeRead(bytes);
     } else {
       bytes.recycle();
-      refuse("400 Bad Request");
-    }
-  }
-
-  /**
-   * Looks at the head's bytes from where it stopped: every line must end with CR and LF, none may
-   * go on in the next, no control character may stand in it, the target is a path, and the request
-   * line ends with the version.
-   */
-  private String headFault() {
-    RoutingConfiguration.ClientLimits known = limits.get();
-    int most =
-        known == null || known.headBytesMost() == 0
-            ? ProxyEndpoint.HEAD_BYTES_MOST
-            : known.headBytesMost();
-    byte[] array = headBytes.array();
-    for (int index = headBytes.head() + headSize; index < headBytes.tail(); index++) {
-      byte each = array[index];
-      if (each == '\n' ? last != '\r' : last == '\r') {
-        return "400 Bad Request";
-      }
-      boolean control =
-          each >= 0 && each < ' ' && each != '\r' && each != '\n' && each != '\t' || each == 127;
-      if (control || (each == ' ' || each == '\t') && lineEnds > 0) {
-        return "400 Bad Request";
-      }
-      if (!requestLine.accept(each)) {
-        return "400 Bad Request";
-      }
-      lineEnds = each == '\n' ? lineEnds + 1 : each == '\r' ? lineEnds : 0;
-      last = each;
-      if (++headSize > most) {
-        return "431 Request Header Fields Too Large";
-      }
-      if (lineEnds == 2) {
-        return null;
-      }
-      maskEncoding(array, index, each);
-    }
-    return null;
-  }
-
-  /**
-   * The library would unpack a body by this header, and what reaches the worker must be the
-   * client's own bytes.
-   */
-  private void maskEncoding(byte[] array, int index, byte each) {
-    if (each == '\n') {
-      encodingMatched = 0;
-    } else if (encodingMatched >= 0) {
-      byte lower = each >= 'A' && each <= 'Z' ? (byte) (each + 32) : each;
-      encodingMatched = lower == ENCODING[encodingMatched] ? encodingMatched + 1 : -1;
-      if (encodingMatched == ENCODING.length) {
-        array[index - ENCODING.length + 1 + HYPHEN_AT] = MASK;
-        encodingMatched = -1;
-      }
+      refuse(RequestHeadScanner.BAD_REQUEST);
     }
   }
 
-  /** A header's name as the client wrote it. */
-  static String unmasked(String name) {
-    return name.length() == MASKED_ENCODING.length() && name.equalsIgnoreCase(MASKED_ENCODING)
-        ? name.replace((char) MASK, '-')
-        : name;
-  }
-
   // ---- time
 
   private long dueAt() {
-    RoutingConfiguration.ClientLimits known = limits.get();
-    if (asked == null) {
+    if (pendingRead == null) {
       return Long.MAX_VALUE;
     }
     if (headBytes != null) {
-      return headBegunAt
-          + (known == null || known.headTimeoutMs() == 0
-              ? ClientConnectionConstants.HEAD_TIMEOUT_MS
-              : known.headTimeoutMs());
-    }
-    return Math.max(askedAt, limitsChangedAt)
-        + (known == null || known.idleTimeoutMs() == 0
-            ? ClientConnectionConstants.IDLE_TIMEOUT_MS
-            : known.idleTimeoutMs());
+      return headBegunAt + limits.headTimeoutMs();
+    }
+    return Math.max(progressAt, limitsChangedAt) + limits.idleTimeoutMs();
   }
 
   /**
@@ -388,7 +320,7 @@
 
   private void timeUp() {
     timeout = null;
-    if (closing || closed != null || asked == null) {
+    if (closing || closed != null || pendingRead == null) {
       return;
     }
     long dueAt = dueAt();
@@ -399,114 +331,76 @@
       timeoutAt = reactor.currentTimeMillis() + ClientConnectionConstants.FINAL_READ_DELAY_MS;
       timeout = reactor.scheduleBackground(timeoutAt, this::timeUp);
     } else if (phase == Phase.HEAD && headBytes == null) {
-      SettablePromise<ByteBuf> present = asked;
-      asked = null;
-      present.setException(new RequestRejectedException());
+      failRead(new RequestRejectedException());
     } else {
       refuse("408 Request Timeout");
     }
   }
 
   /**
-   * Nothing of the request was passed on, and the HTTP library hears no more of this connection but
-   * its end.
+   * Answers a request of which nothing was passed on; the HTTP library learns no more of this
+   * connection but its end.
    */
   private void refuse(String status) {
-    SettablePromise<ByteBuf> present = asked;
-    asked = null;
+    SettablePromise<ByteBuf> present = pendingRead;
+    pendingRead = null;
     closing = true;
-    ByteBuf answer =
+    ByteBuf response =
         ByteBuf.wrapForReading(
             ("HTTP/1.1 " + status + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
                 .getBytes(US_ASCII));
-    write(answer).subscribe((written, fault) -> present.trySetException(fault));
+    write(response).subscribe((written, fault) -> present.trySetException(fault));
   }
 
   // ---- writing and the end
 
-  /**
-   * What is written by this task and by those that wait in the loop already goes out in one piece.
-   */
   @Override
   public Promise<Void> write(ByteBuf bytes) {
     if (closed != null) {
       bytes.recycle();
       return Promise.ofException(closed);
     }
-    gathered = gathered == null ? bytes : ByteBufPool.append(gathered, bytes);
-    if (!flushPosted && !flushing) {
-      flushPosted = true;
-      reactor.postLast(this::flush);
-    }
-    if (!closing && gathered.readRemaining() <= GATHERED_BYTES_MOST) {
-      return Promise.complete();
-    }
-    if (flushed == null) {
-      flushed = new SettablePromise<>();
-    }
-    return flushed;
+    return writer.write(bytes, closing);
   }
 
-  private void flush() {
-    flushPosted = false;
-    if (gathered == null || flushing || inner.isClosed()) {
-      return;
+  @Override
+  public void written(SettablePromise<Void> waitingWriter) {
+    if (closed != null) {
+      closeInner();
+    } else if (closing) {
+      linger(() -> waitingWriter.trySetException(new RequestRejectedException()));
+    } else if (waitingWriter != null) {
+      waitingWriter.set(null);
     }
-    ByteBuf bytes = gathered;
-    gathered = null;
-    SettablePromise<Void> told = flushed;
-    flushed = null;
-    flushing = true;
-    inner
-        .write(bytes)
-        .subscribe(
-            (written, fault) -> {
-              flushing = false;
-              if (fault != null) {
-                writeFailed(told, fault);
-                return;
-              }
-              if (gathered != null) {
-                flush();
-              }
-              if (closed != null) {
-                closeInner();
-              } else if (closing) {
-                linger(() -> told.trySetException(new RequestRejectedException()));
-              } else if (told != null) {
-                told.set(null);
-              }
-            });
   }
 
   /** Whoever waits for something here learns it; the library then closes. */
-  private void writeFailed(SettablePromise<Void> told, Exception fault) {
-    broken = fault;
+  @Override
+  public void failed(SettablePromise<Void> waitingWriter, Exception fault) {
+    failure = fault;
     if (closed != null) {
       inner.closeEx(fault);
-    } else if (told != null) {
-      told.trySetException(fault);
-    } else if (asked != null) {
-      SettablePromise<ByteBuf> present = asked;
-      asked = null;
-      present.setException(fault);
+    } else if (waitingWriter != null) {
+      waitingWriter.trySetException(fault);
+    } else if (pendingRead != null) {
+      failRead(fault);
     } else {
-      tellGone();
+      reportClientGone();
     }
   }
 
   /**
-   * Closing while bytes are unread would reset the connection, and the client would not see the
-   * answer.
+   * Reads on for a while before the end: closing while bytes are unread would reset the connection,
+   * and the client would not see the response.
    */
   private void linger(Runnable then) {
-    if (ended || broken != null) {
+    if (inputEnded || failure != null) {
       then.run();
       return;
     }
-    if (ahead != null) {
-      ahead.recycle();
-      ahead = null;
+    if (readAhead != null) {
+      readAhead.recycle();
+      readAhead = null;
     }
     lingering = then;
     if (!reading) {
@@ -544,20 +438,20 @@
       timeout.cancel();
       timeout = null;
     }
-    if (ahead != null) {
-      ahead.recycle();
-      ahead = null;
+    if (readAhead != null) {
+      readAhead.recycle();
+      readAhead = null;
     }
     if (headBytes != null) {
       headBytes.recycle();
       headBytes = null;
     }
-    whenGone = null;
+    whenClientGone = null;
     whenClosed.run();
-    if (gathered != null) {
-      flush();
+    if (writer.hasGathered()) {
+      writer.flush();
     }
-    if (flushing) {
+    if (writer.isWriting()) {
       reactor.delayBackground(LINGER_MS, () -> inner.closeEx(fault));
     } else {
       closeInner();
@@ -565,16 +459,13 @@
   }
 
   private void closeInner() {
-    if (gathered != null) {
-      gathered.recycle();
-      gathered = null;
-    }
+    writer.discard();
     inner.closeEx(closed);
   }
 
   private static final class RequestRejectedException extends Exception {
     RequestRejectedException() {
-      super("connection ended by the door", null, false, false);
+      super("connection ended by the proxy endpoint", null, false, false);
     }
   }
 }
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
@@ -69,7 +69,6 @@
   private static final Duration IDLE_MOST = Duration.ofDays(1);
 
   private static final String PART = "door";
-  static final int HEAD_BYTES_MOST = 64 << 10;
 
   private final NodeProcess process;
   private final EdgeGateway gateway;
@@ -92,7 +91,8 @@
 
   /** Before any HTTP class is loaded: single header lines may be as long as a whole head may. */
   public static void allowHeads() {
-    System.setProperty("HttpMessage.maxHeaderLineSize", Integer.toString(HEAD_BYTES_MOST));
+    System.setProperty(
+        "HttpMessage.maxHeaderLineSize", Integer.toString(EffectiveClientLimits.MAX_HEAD_BYTES));
     System.setProperty("IWebSocket.enabled", "false");
   }
 
@@ -236,14 +236,16 @@
   private ApiError headFault(HttpRequest request) {
     RoutingConfiguration.ClientLimits known = limits;
     int headBytesMost =
-        known == null || known.headBytesMost() == 0 ? HEAD_BYTES_MOST : known.headBytesMost();
+        known == null || known.headBytesMost() == 0
+            ? EffectiveClientLimits.MAX_HEAD_BYTES
+            : known.headBytesMost();
     int bytes = request.getPathAndQuery().length();
     int lengths = 0;
     int hosts = 0;
     boolean encoded = false;
     for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
       String value = each.getValue().toString();
-      if (!HttpSyntax.isToken(ClientConnection.unmasked(each.getKey().toString()))) {
+      if (!HttpSyntax.isToken(RequestHeadScanner.unmasked(each.getKey().toString()))) {
         // Most of all no blank before the colon, which would hide a length and make the body
         // another
         // request.
@@ -288,7 +290,7 @@
     }
     List<ProxiedRequest.Header> headers = new ArrayList<>();
     for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
-      String name = ClientConnection.unmasked(each.getKey().toString());
+      String name = RequestHeadScanner.unmasked(each.getKey().toString());
       String lower = name.toLowerCase(Locale.ROOT);
       if (!CONNECTION_BOUND.contains(lower) && (named == null || !named.contains(lower))) {
         headers.add(new ProxiedRequest.Header(name, each.getValue().toString()));
