--- a/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
@@ -5,9 +5,7 @@
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.batch.BatchSubmission;
-import applespindle.corelogic.common.HttpSyntax;
 import applespindle.corelogic.configuration.RoutingConfiguration;
-import applespindle.corelogic.constants.SizeLimits;
 import applespindle.corelogic.edge.EdgeGateway;
 import applespindle.corelogic.environment.ProxiedRequest;
 import applespindle.corelogic.environment.StageTimer;
@@ -16,8 +14,6 @@
 import applespindle.dataplane.RequestFormat.Parsed;
 import io.activej.common.inspector.AbstractInspector;
 import io.activej.csp.consumer.ChannelConsumers;
-import io.activej.http.HttpHeader;
-import io.activej.http.HttpHeaderValue;
 import io.activej.http.HttpHeaders;
 import io.activej.http.HttpRequest;
 import io.activej.http.HttpResponse;
@@ -33,54 +29,37 @@
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.Base64;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 
 /**
- * Where clients of opaque requests arrive. A request is read whole within the limits in force
- * before the logic hears of it; what is refused here was never passed on. All on the http thread,
- * except the questions to the logic.
+ * The HTTP endpoint for clients of proxied requests. A request is read completely within the limits
+ * in force before it is passed to the logic; what is refused here was never passed on. All on the
+ * HTTP thread, except the questions to the logic.
  */
 public final class ProxyEndpoint {
-  /**
-   * Headers that belong to one connection and go no further, besides those that Connection names.
-   */
-  private static final Set<String> CONNECTION_BOUND =
-      Set.of(
-          "connection",
-          "keep-alive",
-          "proxy-connection",
-          "transfer-encoding",
-          "te",
-          "trailer",
-          "upgrade",
-          "content-length",
-          "expect",
-          "proxy-authenticate",
-          "proxy-authorization");
-
-  /** The library's own time for idle connections; those in force are kept to by the sockets. */
-  private static final Duration IDLE_MOST = Duration.ofDays(1);
-
-  private static final String PART = "door";
+  /** The library's own limit for idle connections; {@link ClientConnection} enforces the limits. */
+  private static final Duration LIBRARY_IDLE_TIMEOUT = Duration.ofDays(1);
+
+  /** The name of this part in the log; the operators' manual documents it. */
+  private static final String LOG_PREFIX = "door";
 
   private final NodeProcess process;
   private final EdgeGateway gateway;
   private final RequestFormat format;
 
-  /** As the bundle in force has them; null before the first. */
-  private volatile RoutingConfiguration.ClientLimits limits;
+  /** As the configuration in force has them; null before the first. */
+  private volatile RoutingConfiguration.ClientLimits configuredLimits;
+
+  private final EffectiveClientLimits limits = new EffectiveClientLimits(() -> configuredLimits);
 
-  /** On the http thread only, as are the sockets. */
-  private final Set<ClientConnection> sockets = new HashSet<>();
+  /** The open connections; on the HTTP thread only. */
+  private final Set<ClientConnection> connections = new HashSet<>();
 
-  /** The socket being accepted. */
+  /** The connection that the library is taking over at present. */
   private ClientConnection accepted;
 
   public ProxyEndpoint(NodeProcess process, EdgeGateway gateway, RequestFormat format) {
@@ -89,22 +68,31 @@
     this.format = format;
   }
 
-  /** Before any HTTP class is loaded: single header lines may be as long as a whole head may. */
+  /**
+   * Lets single header lines be as long as a complete head may. To be called before any class of
+   * the HTTP library is loaded.
+   */
   public static void allowHeads() {
     System.setProperty(
         "HttpMessage.maxHeaderLineSize", Integer.toString(EffectiveClientLimits.MAX_HEAD_BYTES));
     System.setProperty("IWebSocket.enabled", "false");
   }
 
+  /**
+   * Opens the endpoint; before the threads of the process start.
+   *
+   * @param address host and port, where the host is an IP number
+   * @throws UncheckedIOException if the address can't be listened on
+   */
   public void listen(String address) {
     gateway.onConfigurationChange(
         configuration -> {
-          limits = configuration.clients();
-          process.toHttp(() -> List.copyOf(sockets).forEach(ClientConnection::limitsChanged));
+          configuredLimits = configuration.clients();
+          process.toHttp(() -> List.copyOf(connections).forEach(ClientConnection::limitsChanged));
         });
     HttpServer server =
         HttpServer.builder(process.httpLoop(), this::serve)
-            .withKeepAliveTimeout(IDLE_MOST)
+            .withKeepAliveTimeout(LIBRARY_IDLE_TIMEOUT)
             .withInspector(new ConnectionInspector())
             .withHttpErrorFormatter(
                 fault ->
@@ -124,16 +112,19 @@
   }
 
   private void serve(HttpServer server, ITcpSocket socket) {
-    ClientConnection[] guarded = new ClientConnection[1];
-    guarded[0] =
+    ClientConnection[] connection = new ClientConnection[1];
+    connection[0] =
         new ClientConnection(
-            socket, process.httpLoop(), () -> limits, () -> sockets.remove(guarded[0]));
-    accepted = guarded[0];
-    sockets.add(accepted);
+            socket,
+            process.httpLoop(),
+            () -> configuredLimits,
+            () -> connections.remove(connection[0]));
+    accepted = connection[0];
+    connections.add(accepted);
     ServedConnection.serve(server, accepted, InetAddress.getLoopbackAddress());
   }
 
-  /** Each connection keeps its socket at hand; it is told of while it is being accepted. */
+  /** Attaches each connection of the library to the one below it, while that is accepted. */
   private final class ConnectionInspector extends AbstractInspector<HttpServer.Inspector>
       implements HttpServer.Inspector {
     @Override
@@ -168,7 +159,7 @@
     return (ClientConnection) request.getConnection().getUserData();
   }
 
-  /** The response is the last on its connection; a body that is still coming is read away. */
+  /** Refuses a request and ends its connection; a body that is still coming is read and dropped. */
   private Promise<HttpResponse> refuseUnread(HttpRequest request, ApiError error) {
     request.takeBodyStream().streamTo(ChannelConsumers.recycling());
     return refuseAndClose(request, error);
@@ -176,14 +167,17 @@
 
   private Promise<HttpResponse> refuseAndClose(HttpRequest request, ApiError error) {
     socket(request).closeAfterWrite();
-    return later(
+    return respondLater(
         HttpInterface.begin(Response.of(error))
             .withHeader(HttpHeaders.CONNECTION, "close")
             .build());
   }
 
-  /** The library reads on behind a request that is answered while it is being read; so none is. */
-  private Promise<HttpResponse> later(HttpResponse response) {
+  /**
+   * Responds in a task of its own: the library reads on behind a request that is answered while it
+   * is being read.
+   */
+  private Promise<HttpResponse> respondLater(HttpResponse response) {
     SettablePromise<HttpResponse> promise = new SettablePromise<>();
     process.httpLoop().post(() -> promise.set(response));
     return promise;
@@ -192,140 +186,63 @@
   private Promise<HttpResponse> serve(HttpRequest request) {
     ClientConnection socket = socket(request);
     boolean chunked = request.getHeader(HttpHeaders.TRANSFER_ENCODING) != null;
-    boolean sound = socket.bodyBegins(chunked);
-    ApiError error = headFault(request);
-    if (error == null && !sound) {
-      error = invalid("body", "must come in sound chunks");
+    boolean bodyValid = socket.bodyBegins(chunked);
+    ApiError error = RequestHeaders.fault(request, limits.maxHeadBytes());
+    if (error == null && !bodyValid) {
+      error = RequestHeaders.invalid("body", "must come in sound chunks");
     }
-    int bodyBytesMost = bodyBytesMost();
+    int maxBodyBytes = limits.maxBodyBytes();
     String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-    if (error == null && length != null && Long.parseLong(length) > bodyBytesMost) {
-      error = new ApiError.InputTooLarge(bodyBytesMost);
+    if (error == null && length != null && Long.parseLong(length) > maxBodyBytes) {
+      error = new ApiError.InputTooLarge(maxBodyBytes);
     }
     if (error != null) {
       return refuseUnread(request, error);
     }
     String target = request.getPathAndQuery();
     String host = request.getHeader(HttpHeaders.HOST);
-    List<ProxiedRequest.Header> headers = endToEnd(request);
+    List<ProxiedRequest.Header> headers = RequestHeaders.endToEnd(request);
     String method = request.getMethod().name();
     StageTimer trace = new StageTimer(process);
     return request
-        .loadBody(bodyBytesMost)
+        .loadBody(maxBodyBytes)
         .then(
             // The library looks at the size before it adds a chunk, and not behind the last.
             body ->
-                body.readRemaining() > bodyBytesMost
-                    ? refuseAndClose(request, new ApiError.InputTooLarge(bodyBytesMost))
+                body.readRemaining() > maxBodyBytes
+                    ? refuseAndClose(request, new ApiError.InputTooLarge(maxBodyBytes))
                     : answer(
                         request,
                         socket,
                         new Arrived(method, target, host, headers, body.getArray()),
                         trace),
-            unreadable -> refuseAndClose(request, new ApiError.InputTooLarge(bodyBytesMost)));
-  }
-
-  private int bodyBytesMost() {
-    RoutingConfiguration.ClientLimits known = limits;
-    return known == null || known.bodyBytesMost() == 0
-        ? SizeLimits.MAX_BODY_BYTES
-        : known.bodyBytesMost();
-  }
-
-  /** What makes a head ambiguous or too large; such a request goes no further. */
-  private ApiError headFault(HttpRequest request) {
-    RoutingConfiguration.ClientLimits known = limits;
-    int headBytesMost =
-        known == null || known.headBytesMost() == 0
-            ? EffectiveClientLimits.MAX_HEAD_BYTES
-            : known.headBytesMost();
-    int bytes = request.getPathAndQuery().length();
-    int lengths = 0;
-    int hosts = 0;
-    boolean encoded = false;
-    for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
-      String value = each.getValue().toString();
-      if (!HttpSyntax.isToken(RequestHeadScanner.unmasked(each.getKey().toString()))) {
-        // Most of all no blank before the colon, which would hide a length and make the body
-        // another
-        // request.
-        return invalid("header names", "must be tokens");
-      }
-      bytes += each.getKey().size() + value.length() + 4;
-      if (each.getKey().equals(HttpHeaders.CONTENT_LENGTH)) {
-        lengths++;
-        if (!value.matches("[0-9]{1,18}")) {
-          return invalid("header Content-Length", "must be a whole number");
-        }
-      } else if (each.getKey().equals(HttpHeaders.TRANSFER_ENCODING)) {
-        if (encoded || !value.strip().equalsIgnoreCase("chunked")) {
-          return invalid("header Transfer-Encoding", "must be chunked, once");
-        }
-        encoded = true;
-      } else if (each.getKey().equals(HttpHeaders.HOST)) {
-        hosts++;
-      }
-    }
-    if (bytes > headBytesMost) {
-      return new ApiError.HeadTooLarge(headBytesMost);
-    }
-    if (lengths > 1 || lengths == 1 && encoded) {
-      return invalid("header Content-Length", "must stand once, and not beside Transfer-Encoding");
-    }
-    return hosts == 1 ? null : invalid("header Host", "must stand once");
-  }
-
-  private static ApiError invalid(String field, String reason) {
-    return new ApiError.InvalidInput(List.of(new ApiError.Field(field, reason)));
-  }
-
-  private static List<ProxiedRequest.Header> endToEnd(HttpRequest request) {
-    Set<String> named = null;
-    String connection = request.getHeader(HttpHeaders.CONNECTION);
-    if (connection != null) {
-      named = new HashSet<>();
-      for (String token : connection.split(",")) {
-        named.add(token.strip().toLowerCase(Locale.ROOT));
-      }
-    }
-    List<ProxiedRequest.Header> headers = new ArrayList<>();
-    for (Map.Entry<HttpHeader, HttpHeaderValue> each : request.getHeaders()) {
-      String name = RequestHeadScanner.unmasked(each.getKey().toString());
-      String lower = name.toLowerCase(Locale.ROOT);
-      if (!CONNECTION_BOUND.contains(lower) && (named == null || !named.contains(lower))) {
-        headers.add(new ProxiedRequest.Header(name, each.getValue().toString()));
-      }
-    }
-    return headers;
+            unreadable -> refuseAndClose(request, new ApiError.InputTooLarge(maxBodyBytes)));
   }
 
   private Promise<HttpResponse> answer(
       HttpRequest http, ClientConnection socket, Arrived arrived, StageTimer trace) {
     SettablePromise<HttpResponse> response = new SettablePromise<>();
-    Runnable whenGone = decide(arrived, response, trace);
+    Runnable whenGone = dispatch(arrived, response, trace);
     socket.served(
         () -> {
           whenGone.run();
-          // No promise: a client that closed its own side only may still read this.
+          // Not a promise: a client that closed its own side only may still read this.
           response.trySet(
               HttpInterface.render(Response.of(new ApiError.OutcomeUnknown("request"))));
         });
-    Promise<HttpResponse> unhurried =
-        response.isComplete() ? later(response.getResult()) : response;
-    return unhurried.map(
+    Promise<HttpResponse> served =
+        response.isComplete() ? respondLater(response.getResult()) : response;
+    return served.map(
         ready -> {
-          if (process.stopping()) {
-            ServedConnection.endAfterResponse(http);
-          }
-          if (ServedConnection.hasSurplus(http)) {
+          if (process.stopping() || ServedConnection.hasSurplus(http)) {
             ServedConnection.endAfterResponse(http);
           }
           return ready;
         });
   }
 
-  /** Has the request answered; what it returns is to be run if the client goes before that. */
-  private Runnable decide(
+  /** Passes the request on; what it returns is to be run if the client goes before the response. */
+  private Runnable dispatch(
       Arrived arrived, SettablePromise<HttpResponse> response, StageTimer trace) {
     Parsed<BatchCall> batchCall = format.batchCall(arrived);
     if (!batchCall.isNone()) {
@@ -345,7 +262,7 @@
     boolean taken =
         process.toLogic(
             () -> {
-              if (arrived.method().equals("POST") && leadsToBatches(request.value())) {
+              if (arrived.method().equals("POST") && isRoutedToBatches(request.value())) {
                 process.toHttp(() -> submit(arrived, response, trace));
               } else {
                 exchange.begin(listener -> gateway.proxy(request.value(), listener));
@@ -357,7 +274,7 @@
     return exchange::clientGone;
   }
 
-  /** Our own responses tell when to come back as the format has it. */
+  /** Renders a response of the edge itself; the format decides how the time to retry is written. */
   private HttpResponse render(Response response) {
     HttpResponse.Builder builder = HttpInterface.begin(response.withRetryAfterMs(0));
     if (response.retryAfterMs() > 0) {
@@ -366,7 +283,7 @@
     return builder.build();
   }
 
-  private boolean leadsToBatches(ProxiedRequest request) {
+  private boolean isRoutedToBatches(ProxiedRequest request) {
     RoutingConfiguration.Route route = gateway.route(request.host(), request.path());
     return route != null && route.type() == RoutingConfiguration.RouteType.BATCH;
   }
@@ -379,7 +296,7 @@
         answer -> {
           trace.mark("logic");
           process.log(
-              PART,
+              LOG_PREFIX,
               "Submission served: client_id="
                   + submission.id()
                   + " bytes="
