--- a/adapters/src/main/java/applespindle/adapters/NodeProcess.java
+++ b/adapters/src/main/java/applespindle/adapters/NodeProcess.java
@@ -188,7 +188,7 @@
 
   /** A node without a disk is a new one at each start. */
   private NodeIdentity identity(DiskLog diskLog) {
-    String id = diskLog == null ? DiskLog.newNodeId() : diskLog.id();
+    String id = diskLog == null ? IdentityFile.newNodeId() : diskLog.id();
     long incarnation = diskLog == null ? 1 : diskLog.incarnation();
     return new NodeIdentity(
         id,
