--- a/adapters/src/main/java/applespindle/adapters/EventSplitter.java
+++ b/adapters/src/main/java/applespindle/adapters/EventSplitter.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Splits an event stream into whole events, bytes unchanged; each ends with its blank line. */
+/** Splits an event stream into complete events, bytes unchanged; each ends with its blank line. */
 final class EventSplitter {
   private final Consumer<ResponseChunk> events;
   private byte[] bytes = new byte[512];
--- a/adapters/src/main/java/applespindle/adapters/FrameDeflation.java
+++ b/adapters/src/main/java/applespindle/adapters/FrameDeflation.java
@@ -9,13 +9,13 @@
 import java.util.zip.Inflater;
 
 /**
- * Frames made smaller: the length of the whole frame, then its bytes deflated. Not shared between
- * threads.
+ * Deflates frames and inflates them: the length of the complete frame, then its bytes deflated. Not
+ * safe for use by several threads.
  */
 public final class FrameDeflation {
   /**
-   * In a frame's head, beside the length: the frame is the length of the bytes it stands for, and
-   * these deflated.
+   * A flag in a frame's header, beside the length: what follows is the length of the inflated
+   * frame, then the frame deflated.
    */
   public static final int DEFLATED = 1 << 31;
 
@@ -26,7 +26,7 @@
 
   private Inflater inflater;
 
-  /** At most as long as the frame; a frame that gets no shorter comes back as it is. */
+  /** Deflates a frame; one that gets no shorter comes back as it is. */
   public byte[] deflate(byte[] frame) {
     if (deflater == null) {
       deflater = new Deflater(Deflater.BEST_SPEED);
@@ -42,6 +42,13 @@
         : frame;
   }
 
+  /**
+   * Inflates a frame.
+   *
+   * @param from where the deflated frame begins in bytes
+   * @param size how many bytes it has there
+   * @throws UnreadableFrameException if it is broken, or longer than a frame may be
+   */
   public byte[] inflate(byte[] bytes, int from, int size) throws UnreadableFrameException {
     if (size <= LENGTH_BYTES) {
       throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
@@ -61,12 +68,12 @@
     inflater.setInput(bytes, from + LENGTH_BYTES, size - LENGTH_BYTES);
     byte[] frame = new byte[length];
     try {
-      boolean whole = inflater.inflate(frame) == length && inflater.inflate(new byte[1]) == 0;
-      if (!whole || !inflater.finished() || inflater.getRemaining() > 0) {
+      boolean complete = inflater.inflate(frame) == length && inflater.inflate(new byte[1]) == 0;
+      if (!complete || !inflater.finished() || inflater.getRemaining() > 0) {
         throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
       }
     } catch (DataFormatException broken) {
-      throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN);
+      throw new UnreadableFrameException(UnreadableFrameException.Kind.BROKEN, broken);
     }
     return frame;
   }
--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -37,11 +37,11 @@
 import java.util.regex.Pattern;
 
 /**
- * The HTTP side of a process: a table of paths, and what every process answers. All on the http
- * thread.
+ * The HTTP interface of a process: a table of paths, and the paths that every process answers. All
+ * on the HTTP thread.
  */
 public final class HttpInterface {
-  /** A whole number, quoted or not. */
+  /** An integer, quoted or not. */
   private static final Pattern REVISION =
       Pattern.compile("(?<quote>\"?)(?<revision>[0-9]{1,18})\\k<quote>");
 
@@ -55,6 +55,7 @@
 
   /** A request with its body, the named parts of its path, and what answers it. */
   public record Call(HttpRequest request, Map<String, String> parts, byte[] body) {
+    /** The first value of a header; empty if there is none. */
     public String header(String name) {
       String value = request.getHeader(HttpHeaders.of(name));
       return value == null ? "" : value;
@@ -68,6 +69,7 @@
           : OptionalLong.empty();
     }
 
+    /** A query parameter; empty if there is none. */
     public String query(String name) {
       String value = request.getQueryParameter(name);
       return value == null ? "" : value;
@@ -85,7 +87,7 @@
   private final List<Path> paths = new ArrayList<>();
 
   /**
-   * A table without the paths that every process answers, for doors to others than the operators.
+   * A table without the paths that every process answers, for interfaces to others than operators.
    */
   public static HttpInterface bare(NodeProcess process) {
     return new HttpInterface(process, false);
@@ -127,6 +129,7 @@
                 }));
   }
 
+  /** Answers whether the process is ready to serve. */
   public Promise<HttpResponse> answerReady(Call call) {
     return ask(then -> then.accept(ready()));
   }
@@ -222,10 +225,16 @@
     paths.add(new Path(method, path.substring(1).split("/"), handler));
   }
 
+  /** Listens on the address of the startup options; before the threads of the process start. */
   public void listen() {
     listen(process.startup().http());
   }
 
+  /**
+   * Listens on an address; before the threads of the process start.
+   *
+   * @throws UncheckedIOException if the address can't be listened on
+   */
   public void listen(String address) {
     try {
       server().withListenAddress(PeerTransport.socketAddress(address)).build().listen();
@@ -340,18 +349,22 @@
     return promise;
   }
 
+  /** Parses an address of the form host:port, where the host is an IP number. */
   public static InetSocketAddress socketAddress(String address) {
     return PeerTransport.socketAddress(address);
   }
 
+  /** A response with an error, complete at once. */
   public static Promise<HttpResponse> refuse(ApiError error) {
     return Promise.of(render(Response.of(error)));
   }
 
+  /** A response as JSON. */
   public static HttpResponse render(Response response) {
     return begin(response).build();
   }
 
+  /** A response as JSON, to which headers may be added. */
   public static HttpResponse.Builder begin(Response response) {
     HttpResponse.Builder builder =
         HttpResponse.ofCode(response.status())
@@ -363,6 +376,7 @@
     return builder;
   }
 
+  /** All headers of a request by name in lower case. */
   public static Map<String, String> headers(HttpRequest request) {
     Map<String, String> headers = new java.util.HashMap<>();
     for (Map.Entry<HttpHeader, io.activej.http.HttpHeaderValue> each : request.getHeaders()) {
--- a/adapters/src/main/java/applespindle/adapters/Program.java
+++ b/adapters/src/main/java/applespindle/adapters/Program.java
@@ -10,10 +10,22 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The beginning of a program: startup read and checked, then the process. */
+/**
+ * The main method of all programs: parses and checks the startup options, then runs the process.
+ * Exits with status 2 if the process can't be started.
+ */
 public final class Program {
   private static final int EXIT_STARTUP = 2;
 
+  /**
+   * Runs a program; returns once the threads of its process run, or the options are checked if that
+   * is all that was asked for.
+   *
+   * @param name the program's name, for its help
+   * @param role the role of the process; null if the options name it
+   * @param maker makes the node for the options
+   * @param openInterface opens the HTTP interface of the process
+   */
   public static void run(
       String name,
       String role,
--- a/adapters/src/main/java/applespindle/adapters/StartupOptions.java
+++ b/adapters/src/main/java/applespindle/adapters/StartupOptions.java
@@ -22,10 +22,10 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * What a process is told at its start, from a file and from flags; flags win.
+ * The options a process is started with, from a file and from flags; flags win.
  *
- * @param listen where it listens for its peers if that is not the address they are told, as behind
- *     a relay; null if it is
+ * @param listen where it listens for its peers if that is not the address they use, as behind a
+ *     relay; null if it is
  */
 public record StartupOptions(
     @NotBlank String name,
@@ -50,7 +50,7 @@
 
   /**
    * Reads flags and file; a call that can not be parsed at all, or asks for help, yields null after
-   * it was told.
+   * the message was printed.
    */
   public static Read read(String program, String role, String[] arguments) {
     ArgumentParser parser =
@@ -103,9 +103,9 @@
         tree.set(field, JSON.valueToTree(flags.getList(field)));
       }
     }
-    String toldRole = role != null ? role : flags.getString("role");
-    if (toldRole != null) {
-      tree.put("role", toldRole);
+    String givenRole = role != null ? role : flags.getString("role");
+    if (givenRole != null) {
+      tree.put("role", givenRole);
     }
     return check(tree, Boolean.TRUE.equals(flags.getBoolean("check")));
   }
@@ -120,6 +120,7 @@
     return new Read(faults.isEmpty() ? input.value() : null, faults, checkOnly);
   }
 
+  /** The peer addresses of the first core: those named as founders, or else the seeds. */
   public List<String> coreFounders() {
     return founders == null || founders.isEmpty() ? seeds : founders;
   }
@@ -128,6 +129,7 @@
     return listen == null ? peer : listen;
   }
 
+  /** The keys of operators by name; empty if there are none. */
   public Map<String, String> keys() {
     return operatorKeys == null ? Map.of() : operatorKeys;
   }
--- a/adapters/src/main/java/applespindle/adapters/WorkerClient.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerClient.java
@@ -25,11 +25,14 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Runs at workers over HTTP, by the published format of streaming completions; and their load. */
+/**
+ * Runs live requests at workers over HTTP, by the published format of streaming completions, and
+ * reads the workers' load. On the HTTP thread.
+ */
 final class WorkerClient {
   private static final Duration CONNECT_TIMEOUT =
       Duration.ofMillis(MembershipConstants.QUORUM_PEER_TIMEOUT_MS);
-  private static final int LINE_BYTES_MOST = 1 << 20;
+  private static final int MAX_LINE_BYTES = 1 << 20;
 
   private final Eventloop eventloop;
   private final HttpClient runs;
@@ -57,7 +60,7 @@
         .then(
             response ->
                 response
-                    .loadBody(LINE_BYTES_MOST)
+                    .loadBody(MAX_LINE_BYTES)
                     .map(
                         body -> {
                           JsonNode load = JSON.readTree(body.asString(UTF_8));
@@ -89,13 +92,13 @@
     return run;
   }
 
-  /** One run on one connection, which is closed after it, whole or cut. */
+  /** One run on one connection, which is closed after it, complete or truncated. */
   final class Run {
     private final WorkerCall call;
     private final WorkerCallListener listener;
     private final long startedAt = eventloop.currentTimeMillis();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private long heardAt = startedAt;
+    private long lastContactAt = startedAt;
     private ChannelSupplier<ByteBuf> body;
     private String finishReason;
     private boolean over;
@@ -159,7 +162,7 @@
             if (over) {
               return;
             }
-            if (now - heardAt > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
+            if (now - lastContactAt > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
                 || now - startedAt > call.expiryMs()) {
               fail(new ApiError.WorkerTimeout(call.workerAddress()), true);
             } else {
@@ -182,7 +185,7 @@
                   fail(new ApiError.WorkerStreamTruncated(call.workerAddress()), true);
                   return;
                 }
-                heardAt = eventloop.currentTimeMillis();
+                lastContactAt = eventloop.currentTimeMillis();
                 byte[] bytes = chunk.asArray();
                 for (byte each : bytes) {
                   if (each == '\n') {
@@ -194,7 +197,7 @@
                   if (over) {
                     return;
                   }
-                  if (line.size() > LINE_BYTES_MOST) {
+                  if (line.size() > MAX_LINE_BYTES) {
                     fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
                     return;
                   }
@@ -228,9 +231,9 @@
           fail(new ApiError.MalformedWorkerResponse(call.workerAddress()), true);
           return;
         }
-        String piece = choice.path("text").asText();
-        if (!piece.isEmpty()) {
-          listener.text(piece);
+        String generated = choice.path("text").asText();
+        if (!generated.isEmpty()) {
+          listener.text(generated);
         }
         if (choice.path("finish_reason").isTextual()) {
           finishReason = choice.path("finish_reason").asText();
--- a/adapters/src/main/java/applespindle/adapters/WorkerHttpExchange.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerHttpExchange.java
@@ -106,7 +106,7 @@
       connection.limitRest();
       return true;
     }
-    if (status < 300 && !client.protocol().isWhole(status, values)) {
+    if (status < 300 && !client.protocol().isComplete(status, values)) {
       return false;
     }
     String type = EndToEndHeaders.value(headers, "Content-Type");
--- a/adapters/src/main/java/applespindle/adapters/WorkerProtocol.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerProtocol.java
@@ -7,8 +7,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * How workers of opaque requests are spoken to; response headers are looked up by name, null where
- * absent.
+ * The format in which proxied requests are sent to workers. Response headers are looked up by name,
+ * null where absent. Called on the HTTP thread.
  */
 public interface WorkerProtocol {
   /**
@@ -29,6 +29,7 @@
     UNNAMED_REFUSAL
   }
 
+  /** Decides whose response one is. */
   Attribution attribute(WorkerExchange exchange, UnaryOperator<String> responseHeaders);
 
   /** The worker itself says that it has not run the request and never will. */
@@ -37,8 +38,8 @@
   /**
    * Whether a response of this status counts as the worker's own and may be shown to the client.
    */
-  boolean isWhole(int status, UnaryOperator<String> responseHeaders);
+  boolean isComplete(int status, UnaryOperator<String> responseHeaders);
 
-  /** The load told with a response, or null. */
+  /** The load reported with a response, or null. */
   WorkerLoad load(UnaryOperator<String> responseHeaders);
 }
--- a/adapters/src/main/java/io/activej/http/ServedConnection.java
+++ b/adapters/src/main/java/io/activej/http/ServedConnection.java
@@ -3,7 +3,7 @@
 import io.activej.net.socket.tcp.ITcpSocket;
 import java.net.InetAddress;
 
-/** What the HTTP library keeps to its own package and the product's doors need of it. */
+/** Gives access to what the HTTP library keeps to its own package and servers here need of it. */
 public final class ServedConnection {
   /** Serves a connection whose socket is not the library's own. */
   public static void serve(HttpServer server, ITcpSocket socket, InetAddress remoteAddress) {
--- a/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public boolean isWhole(int status, UnaryOperator<String> headers) {
+        public boolean isComplete(int status, UnaryOperator<String> headers) {
           return headers.apply("X-Stamp") != null;
         }
 
--- a/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public boolean isWhole(int status, UnaryOperator<String> headers) {
+        public boolean isComplete(int status, UnaryOperator<String> headers) {
           return headers.apply("X-Stamp") != null;
         }
 
--- a/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
@@ -22,7 +22,7 @@
     DONE
   }
 
-  private static final int SIZE_DIGITS_MOST = 15;
+  private static final int MAX_SIZE_DIGITS = 15;
   private static final int HEXADECIMAL = 16;
 
   private State state = State.SIZE_BEGIN;
@@ -95,7 +95,7 @@
 
   private boolean acceptDigit(char each) {
     int digit = each < 128 ? Character.digit(each, HEXADECIMAL) : -1;
-    if (digit < 0 || ++digits > SIZE_DIGITS_MOST) {
+    if (digit < 0 || ++digits > MAX_SIZE_DIGITS) {
       return false;
     }
     left = left * HEXADECIMAL + digit;
--- a/data-plane/src/main/java/applespindle/dataplane/ChunkStream.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkStream.java
@@ -7,100 +7,103 @@
 import java.util.ArrayDeque;
 
 /**
- * A body on its way to one client, piece by piece; closed by the server when the client has gone.
+ * A body on its way to one client, chunk by chunk; closed by the server when the client has gone.
+ * Invariant: chunks are queued only while no read is pending. On the HTTP thread.
  */
 final class ChunkStream extends AbstractChannelSupplier<ByteBuf> {
-  private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
+  private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
   private final Runnable whenClientGone;
-  private final int waitingMost;
-  private final int waitingBytesMost;
-  private int waitingBytes;
-  private SettablePromise<ByteBuf> asked;
+  private final int maxQueuedChunks;
+  private final int maxQueuedBytes;
+  private int queuedBytes;
+  private SettablePromise<ByteBuf> pendingRead;
   private boolean ended;
-  private Exception cut;
+  private Exception truncation;
 
-  /** A client that does not read, with so many pieces or bytes waiting for it, counts as gone. */
-  ChunkStream(Runnable whenClientGone, int waitingMost, int waitingBytesMost) {
+  /** A client that does not read, with so many chunks or bytes queued for it, counts as gone. */
+  ChunkStream(Runnable whenClientGone, int maxQueuedChunks, int maxQueuedBytes) {
     this.whenClientGone = whenClientGone;
-    this.waitingMost = waitingMost;
-    this.waitingBytesMost = waitingBytesMost;
+    this.maxQueuedChunks = maxQueuedChunks;
+    this.maxQueuedBytes = maxQueuedBytes;
   }
 
-  void push(byte[] piece) {
-    if (piece.length == 0 || cut != null || ended) {
+  /** Adds a chunk; nothing is added to a body that has ended. */
+  void push(byte[] chunk) {
+    if (chunk.length == 0 || truncation != null || ended) {
       return;
     }
-    if (asked != null) {
-      SettablePromise<ByteBuf> present = asked;
-      asked = null;
-      present.trySet(ByteBuf.wrapForReading(piece));
-    } else if (waiting.size() < waitingMost && waitingBytes < waitingBytesMost) {
-      waiting.add(piece);
-      waitingBytes += piece.length;
+    if (pendingRead != null) {
+      SettablePromise<ByteBuf> present = pendingRead;
+      pendingRead = null;
+      present.trySet(ByteBuf.wrapForReading(chunk));
+    } else if (queue.size() < maxQueuedChunks && queuedBytes < maxQueuedBytes) {
+      queue.add(chunk);
+      queuedBytes += chunk.length;
     } else {
       closeEx(new StreamTruncatedException());
     }
   }
 
+  /** Ends the body properly. */
   void end() {
     ended = true;
-    if (asked != null) {
-      asked.trySet(null);
+    if (pendingRead != null) {
+      pendingRead.trySet(null);
     }
   }
 
-  /** Ends the connection without the format's end, so that nobody takes the body for whole. */
-  void cut() {
-    cut = new StreamTruncatedException();
-    if (asked != null) {
-      asked.trySetException(cut);
+  /** Ends the connection without the format's end, so that nobody takes the body for complete. */
+  void truncate() {
+    truncation = new StreamTruncatedException();
+    if (pendingRead != null) {
+      pendingRead.trySetException(truncation);
     }
   }
 
-  /** All pieces that wait are written at once. */
+  /** All queued chunks are written at once. */
   @Override
   protected Promise<ByteBuf> doGet() {
-    if (!waiting.isEmpty()) {
+    if (!queue.isEmpty()) {
       return Promise.of(takeWaiting());
     }
-    if (cut != null) {
-      return Promise.ofException(cut);
+    if (truncation != null) {
+      return Promise.ofException(truncation);
     }
     if (ended) {
       return Promise.of(null);
     }
-    asked = new SettablePromise<>();
-    return asked;
+    pendingRead = new SettablePromise<>();
+    return pendingRead;
   }
 
   private ByteBuf takeWaiting() {
-    byte[] bytes = waiting.poll();
-    if (!waiting.isEmpty()) {
-      byte[] joined = new byte[waitingBytes];
-      int place = 0;
-      for (byte[] piece = bytes; piece != null; piece = waiting.poll()) {
-        System.arraycopy(piece, 0, joined, place, piece.length);
-        place += piece.length;
+    byte[] bytes = queue.poll();
+    if (!queue.isEmpty()) {
+      byte[] joined = new byte[queuedBytes];
+      int offset = 0;
+      for (byte[] chunk = bytes; chunk != null; chunk = queue.poll()) {
+        System.arraycopy(chunk, 0, joined, offset, chunk.length);
+        offset += chunk.length;
       }
       bytes = joined;
     }
-    waitingBytes = 0;
+    queuedBytes = 0;
     return ByteBuf.wrapForReading(bytes);
   }
 
   @Override
   protected void onClosed(Exception fault) {
-    if (asked != null) {
-      asked.trySetException(fault);
+    if (pendingRead != null) {
+      pendingRead.trySetException(fault);
     }
-    if (!ended && cut == null) {
+    if (!ended && truncation == null) {
       whenClientGone.run();
     }
   }
 
   private static final class StreamTruncatedException extends Exception {
     StreamTruncatedException() {
-      super("client gone or body cut", null, false, false);
+      super("client gone or body truncated", null, false, false);
     }
   }
 }
--- a/data-plane/src/main/java/applespindle/dataplane/EdgeHttpInterface.java
+++ b/data-plane/src/main/java/applespindle/dataplane/EdgeHttpInterface.java
@@ -23,7 +23,9 @@
 import jakarta.validation.constraints.NotNull;
 import java.util.List;
 
-/** What callers and batch senders see of an edge. */
+/**
+ * The HTTP interface of an edge for clients of live requests and of batches. On the HTTP thread.
+ */
 final class EdgeHttpInterface {
   /**
    * A live request's body; further fields of the published format pass through to the worker as
@@ -40,7 +42,7 @@
       Long seed,
       String user) {}
 
-  private static final int KEY_LENGTH_MOST = 200;
+  private static final int MAX_KEY_LENGTH = 200;
 
   private final NodeProcess process;
   private final EdgeNode edge;
@@ -70,13 +72,13 @@
 
   private Promise<HttpResponse> submit(HttpInterface http, Call call) {
     String key = call.header("Idempotency-Key");
-    if (key.isEmpty() || key.length() > KEY_LENGTH_MOST) {
+    if (key.isEmpty() || key.length() > MAX_KEY_LENGTH) {
       return HttpInterface.refuse(
           new ApiError.InvalidInput(
               List.of(
                   new ApiError.Field(
                       "header Idempotency-Key",
-                      "must have 1 to " + KEY_LENGTH_MOST + " characters"))));
+                      "must have 1 to " + MAX_KEY_LENGTH + " characters"))));
     }
     InputReader.Input<BatchInput> input = BatchInput.read(call.body());
     if (!input.good()) {
@@ -151,7 +153,7 @@
     return exchange.begin();
   }
 
-  static ObjectNode wholeBody(String output, String finishReason) {
+  static ObjectNode completionBody(String output, String finishReason) {
     ObjectNode body = JSON.createObjectNode().put("object", "text_completion");
     body.putArray("choices")
         .addObject()
@@ -161,11 +163,11 @@
     return body;
   }
 
-  static HttpResponse whole(String output, String finishReason) {
-    return HttpInterface.render(Response.of(200, wholeBody(output, finishReason)));
+  static HttpResponse completion(String output, String finishReason) {
+    return HttpInterface.render(Response.of(200, completionBody(output, finishReason)));
   }
 
-  static HttpResponse wholeLater(ChunkStream events) {
+  static HttpResponse completionWithKeepalive(ChunkStream events) {
     return HttpResponse.ok200()
         .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
         .withBodyStream(events)
--- a/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/LiveExchange.java
@@ -19,21 +19,21 @@
 import io.activej.promise.SettablePromise;
 
 /**
- * One live request between the http thread, where its sender is, and the logic thread, where it is
- * decided.
+ * One live request between the HTTP thread, where its client is, and the logic thread, where it is
+ * dispatched.
  */
 final class LiveExchange implements LiveResponseListener {
-  private static final int WAITING_MOST = 10_000;
+  private static final int MAX_QUEUED_CHUNKS = 10_000;
 
   private final NodeProcess process;
   private final EdgeNode edge;
   private final LiveRequest request;
   private final SettablePromise<HttpResponse> response = new SettablePromise<>();
 
-  /** On the http thread only. */
+  /** On the HTTP thread only. */
   private ChunkStream events;
 
-  private boolean blanksGo;
+  private boolean whitespaceScheduled;
   private boolean over;
 
   /** On the logic thread only. */
@@ -57,14 +57,14 @@
     process.toHttp(task);
   }
 
-  private void senderGone() {
+  private void clientGone() {
     over = true;
     process.toLogic(() -> handle.cancel());
   }
 
   private ChunkStream events() {
     if (events == null) {
-      events = new ChunkStream(this::senderGone, WAITING_MOST, Integer.MAX_VALUE);
+      events = new ChunkStream(this::clientGone, MAX_QUEUED_CHUNKS, Integer.MAX_VALUE);
       response.trySet(EdgeHttpInterface.streamed(events));
     }
     return events;
@@ -74,7 +74,7 @@
     return ("data: " + new String(Json.bytes(data), UTF_8) + "\n\n").getBytes(UTF_8);
   }
 
-  private static byte[] piece(String text, String finishReason) {
+  private static byte[] completionChunk(String text, String finishReason) {
     ObjectNode data = JSON.createObjectNode().put("object", "text_completion");
     data.putArray("choices")
         .addObject()
@@ -86,25 +86,25 @@
 
   @Override
   public void text(String text) {
-    onHttp(() -> events().push(piece(text, null)));
+    onHttp(() -> events().push(completionChunk(text, null)));
   }
 
   @Override
   public void running() {
     onHttp(
         () -> {
-          if (!blanksGo) {
-            blanksGo = true;
-            nextBlank();
+          if (!whitespaceScheduled) {
+            whitespaceScheduled = true;
+            scheduleWhitespace();
           }
         });
   }
 
   /**
-   * White space before a JSON text means nothing; writing it shows whether the sender is still
+   * White space before a JSON text means nothing; writing it shows whether the client is still
    * there.
    */
-  private void nextBlank() {
+  private void scheduleWhitespace() {
     process
         .httpLoop()
         .delay(
@@ -114,46 +114,46 @@
                 return;
               }
               if (events == null) {
-                events = new ChunkStream(this::senderGone, WAITING_MOST, Integer.MAX_VALUE);
-                response.trySet(EdgeHttpInterface.wholeLater(events));
+                events = new ChunkStream(this::clientGone, MAX_QUEUED_CHUNKS, Integer.MAX_VALUE);
+                response.trySet(EdgeHttpInterface.completionWithKeepalive(events));
               }
               events.push(new byte[] {' '});
-              nextBlank();
+              scheduleWhitespace();
             });
   }
 
   @Override
-  public void end(String wholeOutput, String finishReason) {
+  public void end(String output, String finishReason) {
     onHttp(
         () -> {
           over = true;
           if (!request.stream() && events != null) {
-            events.push(Json.bytes(EdgeHttpInterface.wholeBody(wholeOutput, finishReason)));
+            events.push(Json.bytes(EdgeHttpInterface.completionBody(output, finishReason)));
             events.end();
           } else if (request.stream()) {
-            events().push(piece("", finishReason));
+            events().push(completionChunk("", finishReason));
             events().push("data: [DONE]\n\n".getBytes(UTF_8));
             events().end();
           } else {
-            response.trySet(EdgeHttpInterface.whole(wholeOutput, finishReason));
+            response.trySet(EdgeHttpInterface.completion(output, finishReason));
           }
         });
   }
 
   @Override
-  public void fail(Response fault, boolean cut) {
+  public void fail(Response fault, boolean truncated) {
     onHttp(
         () -> {
           over = true;
           if (events == null) {
             response.trySet(HttpInterface.render(fault));
           } else if (!request.stream()) {
-            events.cut();
+            events.truncate();
           } else {
             ObjectNode data = JSON.createObjectNode();
             data.set("error", fault.body());
             events.push(event(data));
-            events.cut();
+            events.truncate();
           }
         });
   }
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
@@ -278,7 +278,7 @@
   private HttpResponse render(Response response) {
     HttpResponse.Builder builder = HttpInterface.begin(response.withRetryAfterMs(0));
     if (response.retryAfterMs() > 0) {
-      builder.withHeader(HttpHeaders.RETRY_AFTER, format.comeBack(response.retryAfterMs()));
+      builder.withHeader(HttpHeaders.RETRY_AFTER, format.retryAfter(response.retryAfterMs()));
     }
     return builder.build();
   }
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
@@ -18,19 +18,19 @@
 import java.util.function.Function;
 
 /**
- * One opaque request between the http thread, where its client is, and the logic thread, where it
- * is decided. What the logic tells is passed on in order, and what it tells in one task goes over
- * in one; the client's going is told to the logic at most once.
+ * One proxied request between the HTTP thread, where its client is, and the logic thread, where it
+ * is dispatched. What the logic reports is passed on in order, and what it reports in one task is
+ * passed on in one; that the client has gone is reported to the logic at most once.
  */
 final class ProxyExchange implements ProxiedResponseListener {
-  private static final int GATHERED_LEAST = 4;
-  private static final int WAITING_BYTES_MOST = 4 << 20;
+  private static final int INITIAL_CHUNKS = 4;
+  private static final int MAX_QUEUED_BYTES = 4 << 20;
 
   private final NodeProcess process;
   private final SettablePromise<HttpResponse> response;
   private final Function<Response, HttpResponse> refusal;
 
-  /** On the http thread only. */
+  /** On the HTTP thread only. */
   private ChunkStream body;
 
   private boolean over;
@@ -38,19 +38,19 @@
   /** On the logic thread only. */
   private RequestHandle handle;
 
-  private boolean gone;
+  private boolean clientGone;
 
-  /** What the logic has told and the http thread has not taken yet. */
-  private static final class Told {
+  /** What the logic has reported and the HTTP thread has not taken yet. */
+  private static final class PendingUpdate {
     ResponseHead head;
-    final List<byte[]> pieces = new ArrayList<>(GATHERED_LEAST);
+    final List<byte[]> chunks = new ArrayList<>(INITIAL_CHUNKS);
     Response refused;
     boolean ended;
-    boolean cut;
+    boolean truncated;
   }
 
-  /** Guarded by this; null once the http thread has taken it. */
-  private Told told;
+  /** Guarded by this; null once the HTTP thread has taken it. */
+  private PendingUpdate pendingUpdate;
 
   ProxyExchange(
       NodeProcess process,
@@ -63,19 +63,19 @@
 
   /** On the logic thread. */
   void begin(Function<ProxiedResponseListener, RequestHandle> pass) {
-    if (gone) {
+    if (clientGone) {
       return;
     }
     handle = pass.apply(this);
   }
 
-  /** On the http thread. */
+  /** On the HTTP thread. */
   void clientGone() {
     if (!over) {
       over = true;
       process.toLogic(
           () -> {
-            gone = true;
+            clientGone = true;
             if (handle != null) {
               handle.cancel();
             }
@@ -85,75 +85,75 @@
 
   // ---- on the logic thread
 
-  private synchronized void tell(Consumer<Told> what) {
-    boolean first = told == null;
+  private synchronized void report(Consumer<PendingUpdate> change) {
+    boolean first = pendingUpdate == null;
     if (first) {
-      told = new Told();
+      pendingUpdate = new PendingUpdate();
     }
-    what.accept(told);
+    change.accept(pendingUpdate);
     if (first) {
-      process.toHttpAfterCurrentTask(this::take);
+      process.toHttpAfterCurrentTask(this::applyUpdate);
     }
   }
 
   @Override
   public void head(ResponseHead head) {
-    tell(told -> told.head = head);
+    report(update -> update.head = head);
   }
 
   @Override
-  public void chunk(ResponseChunk piece) {
-    tell(told -> told.pieces.add(piece.bytes()));
+  public void chunk(ResponseChunk chunk) {
+    report(update -> update.chunks.add(chunk.bytes()));
   }
 
   @Override
   public void end() {
-    tell(told -> told.ended = true);
+    report(update -> update.ended = true);
   }
 
   @Override
   public void refused(Response refused) {
-    tell(told -> told.refused = refused);
+    report(update -> update.refused = refused);
   }
 
   @Override
   public void cut(ApiError error) {
-    tell(told -> told.cut = true);
+    report(update -> update.truncated = true);
   }
 
-  // ---- on the http thread
+  // ---- on the HTTP thread
 
-  private synchronized Told taken() {
-    Told present = told;
-    told = null;
+  private synchronized PendingUpdate takeUpdate() {
+    PendingUpdate present = pendingUpdate;
+    pendingUpdate = null;
     return present;
   }
 
-  private void take() {
-    Told told = taken();
-    if (told.refused != null) {
+  private void applyUpdate() {
+    PendingUpdate update = takeUpdate();
+    if (update.refused != null) {
       over = true;
-      response.trySet(refusal.apply(told.refused));
+      response.trySet(refusal.apply(update.refused));
       return;
     }
-    if (told.head != null && told.ended) {
+    if (update.head != null && update.ended) {
       over = true;
-      response.trySet(begin(told.head).withBody(join(told.pieces)).build());
+      response.trySet(begin(update.head).withBody(join(update.chunks)).build());
       return;
     }
-    if (told.head != null) {
-      body = new ChunkStream(this::clientGone, Integer.MAX_VALUE, WAITING_BYTES_MOST);
-      boolean bodiless = told.head.status() == 204 || told.head.status() == 304;
-      HttpResponse.Builder builder = begin(told.head);
+    if (update.head != null) {
+      body = new ChunkStream(this::clientGone, Integer.MAX_VALUE, MAX_QUEUED_BYTES);
+      boolean bodiless = update.head.status() == 204 || update.head.status() == 304;
+      HttpResponse.Builder builder = begin(update.head);
       response.trySet(bodiless ? builder.build() : builder.withBodyStream(body).build());
     }
-    told.pieces.forEach(body::push);
-    if (told.ended) {
+    update.chunks.forEach(body::push);
+    if (update.ended) {
       over = true;
       body.end();
-    } else if (told.cut) {
+    } else if (update.truncated) {
       over = true;
-      body.cut();
+      body.truncate();
     }
   }
 
@@ -165,12 +165,12 @@
     return builder;
   }
 
-  private static byte[] join(List<byte[]> pieces) {
-    if (pieces.size() == 1) {
-      return pieces.get(0);
+  private static byte[] join(List<byte[]> chunks) {
+    if (chunks.size() == 1) {
+      return chunks.get(0);
     }
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    pieces.forEach(all::writeBytes);
+    chunks.forEach(all::writeBytes);
     return all.toByteArray();
   }
 }
--- a/data-plane/src/main/java/applespindle/dataplane/RequestFormat.java
+++ b/data-plane/src/main/java/applespindle/dataplane/RequestFormat.java
@@ -6,9 +6,9 @@
 import applespindle.corelogic.environment.ProxiedRequest;
 import java.util.List;
 
-/** How clients write opaque requests and batches of them. Used on the http thread only. */
+/** The format in which clients write proxied requests and batches of them. On the HTTP thread. */
 public interface RequestFormat {
-  /** A request as it came, with its end-to-end headers. */
+  /** A request as it was received, with its end-to-end headers. */
   record Arrived(
       String method, String target, String host, List<ProxiedRequest.Header> headers, byte[] body) {
     /** The first value of a header, or an empty text. */
@@ -48,8 +48,11 @@
     }
   }
 
-  /** The value of the header that tells a refused client when to come back. */
-  String comeBack(long millis);
+  /**
+   * The value of the header that names a refused client the time to retry, in milliseconds from
+   * now.
+   */
+  String retryAfter(long millis);
 
   Parsed<ProxiedRequest> request(Arrived arrived);
 
--- a/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointTest.java
@@ -33,7 +33,7 @@
     final Queue<Arrived> arrived = new ConcurrentLinkedQueue<>();
 
     @Override
-    public String comeBack(long millis) {
+    public String retryAfter(long millis) {
       return millis + "ms";
     }
 
--- a/data-plane/src/test/java/applespindle/dataplane/TestProxyEndpoint.java
+++ b/data-plane/src/test/java/applespindle/dataplane/TestProxyEndpoint.java
@@ -79,7 +79,7 @@
   private static final RequestFormat FORMAT =
       new RequestFormat() {
         @Override
-        public String comeBack(long millis) {
+        public String retryAfter(long millis) {
           return millis + "ms";
         }
 
