--- a/adapters/src/test/java/applespindle/adapters/ResponseParserFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ResponseParserFuzzTest.java
@@ -108,7 +108,7 @@
   void anySplitGivesTheSameParse(
       @ForAll("texts") String text, @ForAll("splits") List<Integer> places) {
     Outcome whole = read(List.of(text));
-    assertThat(read(ResponseTexts.split(text, places))).isEqualTo(whole);
+    assertThat(read(SpoiledTexts.split(text, places))).isEqualTo(whole);
     assertThat(read(text.chars().mapToObj(Character::toString).toList())).isEqualTo(whole);
   }
 
@@ -148,7 +148,7 @@
     for (String text :
         List.of(head + "a".repeat(room + 1) + "\r\n\r\n", chunked + longLine, chunked + trailers)) {
       assertThat(read(List.of(text)).end()).isEqualTo(End.GARBAGE);
-      assertThat(read(ResponseTexts.split(text, List.of(100, 300, 500, 700, 999))).end())
+      assertThat(read(SpoiledTexts.split(text, List.of(100, 300, 500, 700, 999))).end())
           .isEqualTo(End.GARBAGE);
     }
   }
--- a/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
@@ -181,7 +181,7 @@
   void onlyAWholeAnswerOfItsOwnEndsWhole(
       @ForAll("texts") String text, @ForAll("splits") List<Integer> places) throws IOException {
     Heard heard = send();
-    answer(ResponseTexts.split(text, places));
+    answer(SpoiledTexts.split(text, places));
     String end = heard.await();
     Optional<ReferenceResponse> reference = ReferenceResponse.parse(text);
     if (end.equals("whole")) {
--- a/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
@@ -4,6 +4,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
+import applespindle.adapters.SpoiledTexts;
 import applespindle.corelogic.configuration.RoutingConfiguration.ClientLimits;
 import applespindle.corelogic.environment.ProxiedRequest;
 import applespindle.corelogic.environment.ProxiedRequest.Header;
@@ -129,7 +130,7 @@
   @Property(seed = "5")
   void onlyASoundRequestIsPassedOnAndByItsOwnBytes(
       @ForAll("texts") String text, @ForAll("splits") List<Integer> places) throws IOException {
-    Outcome outcome = send(WIDE, RequestTexts.split(text, places));
+    Outcome outcome = send(WIDE, SpoiledTexts.split(text, places));
     Optional<ReferenceRequest> reference = ReferenceRequest.parse(text);
     if (!outcome.passed().isEmpty()) {
       assertWithMessage("a sound request by the second reading").that(reference).isPresent();
@@ -150,7 +151,7 @@
   void anySplitPassesTheSameRequestOn(
       @ForAll("texts") String text, @ForAll("splits") List<Integer> places) throws IOException {
     List<String> whole = send(WIDE, List.of(text)).shown();
-    List<String> split = send(WIDE, RequestTexts.split(text, places)).shown();
+    List<String> split = send(WIDE, SpoiledTexts.split(text, places)).shown();
     if (whole.isEmpty() || split.isEmpty()) {
       assertThat(split).isEqualTo(whole);
     } else {
