--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -142,57 +142,7 @@
   }
 
   private Promise<HttpResponse> metrics() {
-    return this.<String>onLogic(
-            then -> {
-              PrometheusMeterRegistry registry =
-                  new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-              process
-                  .node()
-                  .counters()
-                  .forEach(
-                      (name, value) ->
-                          registry.counter("applespindle." + name.toLowerCase()).increment(value));
-              process
-                  .node()
-                  .status()
-                  .fields()
-                  .forEachRemaining(
-                      field -> {
-                        if (field.getValue().isNumber()) {
-                          registry.gauge(
-                              "applespindle." + field.getKey(),
-                              field.getValue(),
-                              JsonNode::asDouble);
-                        }
-                      });
-              process
-                  .peerBytesOfKind()
-                  .forEach(
-                      (kind, bytes) ->
-                          registry
-                              .counter("applespindle.peer.sent.bytes", Tags.of("kind", kind))
-                              .increment(bytes));
-              process.readProcessorUsage(
-                  usage -> {
-                    registry.gauge("applespindle.processor.seconds", usage.processSeconds());
-                    registry.gauge("applespindle.start.processor.seconds", usage.startSeconds());
-                    usage
-                        .threadSeconds()
-                        .forEach(
-                            (thread, seconds) ->
-                                registry.gauge(
-                                    "applespindle.thread.processor.seconds",
-                                    Tags.of("thread", thread),
-                                    seconds));
-                    usage
-                        .wakeUps()
-                        .forEach(
-                            (thread, wakeUps) ->
-                                registry.gauge(
-                                    "applespindle.wakeups", Tags.of("thread", thread), wakeUps));
-                    then.accept(registry.scrape());
-                  });
-            })
+    return this.<String>onLogic(this::scrape)
         .map(
             text ->
                 HttpResponse.ok200()
@@ -201,6 +151,61 @@
                     .build());
   }
 
+  /** Gathers all metrics as text; called on the logic thread. */
+  private void scrape(Consumer<String> whenGathered) {
+    PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    addNodeMetrics(registry);
+    process
+        .peerBytesOfKind()
+        .forEach(
+            (kind, bytes) ->
+                registry
+                    .counter("applespindle.peer.sent.bytes", Tags.of("kind", kind))
+                    .increment(bytes));
+    process.readProcessorUsage(
+        usage -> {
+          addProcessorMetrics(registry, usage);
+          whenGathered.accept(registry.scrape());
+        });
+  }
+
+  private void addNodeMetrics(PrometheusMeterRegistry registry) {
+    process
+        .node()
+        .counters()
+        .forEach(
+            (name, value) ->
+                registry.counter("applespindle." + name.toLowerCase()).increment(value));
+    process
+        .node()
+        .status()
+        .fields()
+        .forEachRemaining(
+            field -> {
+              if (field.getValue().isNumber()) {
+                registry.gauge(
+                    "applespindle." + field.getKey(), field.getValue(), JsonNode::asDouble);
+              }
+            });
+  }
+
+  private static void addProcessorMetrics(
+      PrometheusMeterRegistry registry, ProcessorUsage.Reading usage) {
+    registry.gauge("applespindle.processor.seconds", usage.processSeconds());
+    registry.gauge("applespindle.start.processor.seconds", usage.startSeconds());
+    usage
+        .threadSeconds()
+        .forEach(
+            (thread, seconds) ->
+                registry.gauge(
+                    "applespindle.thread.processor.seconds", Tags.of("thread", thread), seconds));
+    usage
+        .wakeUps()
+        .forEach(
+            (thread, wakeUps) ->
+                registry.gauge("applespindle.wakeups", Tags.of("thread", thread), wakeUps));
+  }
+
   public void get(String path, Handler handler) {
     add(HttpMethod.GET, path, handler);
   }
--- a/adapters/src/main/java/applespindle/adapters/StartupOptions.java
+++ b/adapters/src/main/java/applespindle/adapters/StartupOptions.java
@@ -42,6 +42,7 @@
   private static final String WANTED_ADDRESS =
       "must be an IP number and a port, such as 127.0.0.1:7000";
 
+  private static final List<String> LIST_FIELDS = List.of("seeds", "founders");
   private static final List<String> TEXT_FIELDS =
       List.of("name", "zone", "http", "peer", "listen", "data");
 
@@ -53,23 +54,7 @@
    * the message was printed.
    */
   public static Read read(String program, String role, String[] arguments) {
-    ArgumentParser parser =
-        ArgumentParsers.newFor(program)
-            .build()
-            .description("One process of applespindle. Flags win over the file.");
-    parser.addArgument("--startup").metavar("FILE").help("startup file, JSON");
-    parser.addArgument("--check").action(Arguments.storeTrue()).help("check the startup and exit");
-    for (String field : TEXT_FIELDS) {
-      parser.addArgument("--" + field);
-    }
-    if (role == null) {
-      parser.addArgument("--role").help("edge or storage");
-    }
-    parser.addArgument("--seeds").nargs("+").help("peer addresses of other processes");
-    parser
-        .addArgument("--founders")
-        .nargs("+")
-        .help("peer addresses of the first core; default: the seeds");
+    ArgumentParser parser = parser(program, role == null);
     Namespace flags;
     try {
       flags = parser.parseArgs(arguments);
@@ -84,30 +69,56 @@
             instanceof ObjectNode read) {
           tree = read;
         } else {
-          return new Read(null, List.of(new ApiError.Field("$", "must be an object")), false);
+          return unreadable("must be an object");
         }
       } catch (IOException fault) {
-        return new Read(
-            null,
-            List.of(new ApiError.Field("$", "the startup file can not be read as JSON")),
-            false);
+        return unreadable("the startup file can not be read as JSON");
       }
     }
+    putFlags(tree, flags);
+    String givenRole = role != null ? role : flags.getString("role");
+    if (givenRole != null) {
+      tree.put("role", givenRole);
+    }
+    return check(tree, Boolean.TRUE.equals(flags.getBoolean("check")));
+  }
+
+  private static ArgumentParser parser(String program, boolean withRole) {
+    ArgumentParser parser =
+        ArgumentParsers.newFor(program)
+            .build()
+            .description("One process of applespindle. Flags win over the file.");
+    parser.addArgument("--startup").metavar("FILE").help("startup file, JSON");
+    parser.addArgument("--check").action(Arguments.storeTrue()).help("check the startup and exit");
+    for (String field : TEXT_FIELDS) {
+      parser.addArgument("--" + field);
+    }
+    if (withRole) {
+      parser.addArgument("--role").help("edge or storage");
+    }
+    parser.addArgument("--seeds").nargs("+").help("peer addresses of other processes");
+    parser
+        .addArgument("--founders")
+        .nargs("+")
+        .help("peer addresses of the first core; default: the seeds");
+    return parser;
+  }
+
+  private static void putFlags(ObjectNode tree, Namespace flags) {
     for (String field : TEXT_FIELDS) {
       if (flags.getString(field) != null) {
         tree.put(field, flags.getString(field));
       }
     }
-    for (String field : List.of("seeds", "founders")) {
+    for (String field : LIST_FIELDS) {
       if (flags.getList(field) != null) {
         tree.set(field, JSON.valueToTree(flags.getList(field)));
       }
     }
-    String givenRole = role != null ? role : flags.getString("role");
-    if (givenRole != null) {
-      tree.put("role", givenRole);
-    }
-    return check(tree, Boolean.TRUE.equals(flags.getBoolean("check")));
+  }
+
+  private static Read unreadable(String reason) {
+    return new Read(null, List.of(new ApiError.Field("$", reason)), false);
   }
 
   static Read check(ObjectNode tree, boolean checkOnly) {
--- a/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
@@ -49,48 +49,37 @@
   }
 
   private boolean accept(char each) {
-    switch (state) {
-      case SIZE_BEGIN -> {
-        left = 0;
-        digits = 0;
-        return acceptDigit(each);
-      }
-      case SIZE -> {
-        return acceptDigit(each) || acceptBehindSize(each);
-      }
-      case BLANKS -> {
-        return acceptBehindSize(each);
-      }
-      case EXTENSION -> {
-        return acceptUnread(each, State.SIZE_END);
-      }
-      case SIZE_END -> {
-        return acceptLineFeed(each, left == 0 ? State.TRAILER_BEGIN : State.DATA);
-      }
-      case DATA_END -> {
-        state = State.DATA_LINE_END;
-        return each == '\r';
-      }
-      case DATA_LINE_END -> {
-        return acceptLineFeed(each, State.SIZE_BEGIN);
-      }
-      case TRAILER_BEGIN -> {
-        state = State.TRAILER;
-        return acceptUnread(each, State.LAST_LINE_END);
-      }
-      case TRAILER -> {
-        return acceptUnread(each, State.TRAILER_END);
-      }
-      case TRAILER_END -> {
-        return acceptLineFeed(each, State.TRAILER_BEGIN);
-      }
-      case LAST_LINE_END -> {
-        return acceptLineFeed(each, State.DONE);
-      }
-      default -> {
-        return false;
-      }
-    }
+    return switch (state) {
+      case SIZE_BEGIN -> acceptFirstDigit(each);
+      case SIZE -> acceptDigit(each) || acceptBehindSize(each);
+      case BLANKS -> acceptBehindSize(each);
+      case EXTENSION -> acceptUnread(each, State.SIZE_END);
+      case SIZE_END -> acceptLineFeed(each, left == 0 ? State.TRAILER_BEGIN : State.DATA);
+      case DATA_END -> acceptCarriageReturn(each);
+      case DATA_LINE_END -> acceptLineFeed(each, State.SIZE_BEGIN);
+      case TRAILER_BEGIN -> acceptTrailerBegin(each);
+      case TRAILER -> acceptUnread(each, State.TRAILER_END);
+      case TRAILER_END -> acceptLineFeed(each, State.TRAILER_BEGIN);
+      case LAST_LINE_END -> acceptLineFeed(each, State.DONE);
+      case DATA, DONE -> false;
+    };
+  }
+
+  private boolean acceptFirstDigit(char each) {
+    left = 0;
+    digits = 0;
+    return acceptDigit(each);
+  }
+
+  private boolean acceptCarriageReturn(char each) {
+    state = State.DATA_LINE_END;
+    return each == '\r';
+  }
+
+  /** The line of a trailer, or the blank line that ends them. */
+  private boolean acceptTrailerBegin(char each) {
+    state = State.TRAILER;
+    return acceptUnread(each, State.LAST_LINE_END);
   }
 
   private boolean acceptDigit(char each) {
