--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -337,7 +337,7 @@
     return parts;
   }
 
-  /** Runs on the logic thread and comes back to the http thread with what the logic answers. */
+  /** Runs on the logic thread and comes back to the HTTP thread with what the logic answers. */
   public Promise<HttpResponse> ask(Consumer<Consumer<Response>> question) {
     return this.<Response>onLogic(question)
         .map(HttpInterface::render, fault -> render(Response.of(new ApiError.Overloaded("logic"))));
--- a/adapters/src/test/java/applespindle/adapters/CommandSamples.java
+++ b/adapters/src/test/java/applespindle/adapters/CommandSamples.java
@@ -4,10 +4,10 @@
 import static applespindle.adapters.FrameSamples.CORE_ID;
 import static applespindle.adapters.FrameSamples.EDGE_ADDRESS;
 import static applespindle.adapters.FrameSamples.EDGE_ID;
-import static applespindle.adapters.FrameSamples.OPAQUE_BATCH;
-import static applespindle.adapters.FrameSamples.OPAQUE_BATCH_KEY;
 import static applespindle.adapters.FrameSamples.PROMPT_BATCH;
 import static applespindle.adapters.FrameSamples.PROMPT_BATCH_KEY;
+import static applespindle.adapters.FrameSamples.PROXIED_BATCH;
+import static applespindle.adapters.FrameSamples.PROXIED_BATCH_KEY;
 import static applespindle.adapters.FrameSamples.STORAGE_ADDRESS;
 import static applespindle.adapters.FrameSamples.STORAGE_ID;
 import static applespindle.adapters.FrameSamples.bytes;
@@ -47,7 +47,7 @@
     CommandSamples made = new CommandSamples();
     made.addSubmissions();
     made.addBatchCommands();
-    made.addOpaqueReads();
+    made.addProxiedReads();
     made.addMembership();
     made.addConfiguration();
     made.addWorkersAndRoom();
@@ -75,8 +75,8 @@
   }
 
   /**
-   * The refusal of the command added last. The sentence for a reader is given as it was written
-   * then, since it may be put better at any time.
+   * The refusal of the command added last. The text for a reader is given as it was written then,
+   * since it may be put better at any time.
    */
   private void refuse(String name, int retryAfterSeconds, ApiError error, String message) {
     String body = ((ObjectNode) error.toJson()).put("message", message).toString();
@@ -101,12 +101,12 @@
             + "{\"id\":\"i0\",\"prompt\":\"Good day\",\"max_tokens\":160},"
             + "{\"id\":\"i1\",\"prompt\":\"Grüße\",\"max_tokens\":1}]}");
     respond("submit-prompts-201", 201, 0, summary(PROMPT_BATCH, "accepted") + "}");
-    ask("submit-opaque", "submit", OPAQUE_BATCH_KEY, opaqueSubmission());
-    respond("submit-opaque-201", 201, 0, summary(OPAQUE_BATCH, "accepted") + "}");
+    ask("submit-opaque", "submit", PROXIED_BATCH_KEY, proxiedSubmission());
+    respond("submit-opaque-201", 201, 0, summary(PROXIED_BATCH, "accepted") + "}");
   }
 
   /** A mark, the configuration's number, three texts with their lengths, then the client's body. */
-  private static byte[] opaqueSubmission() {
+  private static byte[] proxiedSubmission() {
     byte[] body =
         bytes(
             "{\"id\":\"client-5\",\"host\":\"h0.example\",\"path\":\"/batch-0/b5\",\"items\":[{"
@@ -138,23 +138,23 @@
             + "\",\"run\":\"d1529810cb40-2\",\"worker\":\"w1\"}],\"next\":2}");
     ask("end", "end", PROMPT_BATCH_KEY, NO_BODY);
     respond("end-200", 200, 0, summary(PROMPT_BATCH, "ended") + "}");
-    ask("remove", "remove", OPAQUE_BATCH_KEY, NO_BODY);
+    ask("remove", "remove", PROXIED_BATCH_KEY, NO_BODY);
     refuse(
         "remove-404",
         0,
-        new ApiError.NoSuchBatch(OPAQUE_BATCH),
+        new ApiError.NoSuchBatch(PROXIED_BATCH),
         "A majority of replicas has no such batch.");
   }
 
-  private void addOpaqueReads() {
-    ask("opaque-results", "opaque-results", OPAQUE_BATCH_KEY, "{\"from\":0,\"holdMs\":0}");
+  private void addProxiedReads() {
+    ask("opaque-results", "opaque-results", PROXIED_BATCH_KEY, "{\"from\":0,\"holdMs\":0}");
     respond(
         "opaque-results-200",
         200,
         0,
         "{\"total\":2,\"results\":[{\"id\":\"x7\",\"state\":\"complete\",\"output\":\"1x8\\n1x9\"},"
             + "{\"id\":\"x9\",\"state\":\"expired\",\"output\":\"\"}],\"next\":2}");
-    ask("opaque-item", "opaque-item", OPAQUE_BATCH_KEY, "{\"item\":\"x151\"}");
+    ask("opaque-item", "opaque-item", PROXIED_BATCH_KEY, "{\"item\":\"x151\"}");
     respond("opaque-item-200", 200, 0, "{\"body\":\"Ym9keS14MTUxLjM2\"}");
   }
 
@@ -232,7 +232,7 @@
         "room",
         "batch-room",
         "{\"batch\":\""
-            + OPAQUE_BATCH
+            + PROXIED_BATCH
             + "\",\"reserve\":true,\"items\":2885,\"ceiling\":0,\"group\":\"batch-0\"}");
     respond("room-reserve-opaque-200", 200, 0, "{\"waiting\":2885}");
     ask(
--- a/adapters/src/test/java/applespindle/adapters/DiskCrashTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskCrashTest.java
@@ -75,17 +75,17 @@
                   Integer.toString(round))
               .redirectError(errors.toFile())
               .start();
-      try (BufferedReader told =
+      try (BufferedReader output =
           new BufferedReader(new InputStreamReader(writer.getInputStream(), UTF_8))) {
         for (int left = 1 + random.nextInt(ANSWERS_MOST); left > 0; left--) {
-          String line = told.readLine();
+          String line = output.readLine();
           assertWithMessage(Files.readString(errors)).that(line).isNotNull();
           answered = Long.parseLong(line);
         }
         writer.toHandle().destroyForcibly();
-        for (String line = told.readLine(); line != null; line = told.readLine()) {
+        for (String line = output.readLine(); line != null; line = output.readLine()) {
           answered =
-              line.matches("[0-9]+") ? Math.max(answered, wholeLine(line, answered)) : answered;
+              line.matches("[0-9]+") ? Math.max(answered, completeLine(line, answered)) : answered;
         }
       }
       writer.waitFor();
@@ -100,10 +100,10 @@
   }
 
   /**
-   * The last line may have been cut off in the pipe; a cut number is shorter than the ones before
-   * it.
+   * The last line may have been truncated in the pipe; a truncated number is shorter than the ones
+   * before it.
    */
-  private static long wholeLine(String line, long before) {
+  private static long completeLine(String line, long before) {
     return line.length() < Long.toString(before).length() ? before : Long.parseLong(line);
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
@@ -30,7 +30,7 @@
       throws IOException {
     List<Long> sequences = new ArrayList<>();
     opened.add(
-        DiskLog.open(folder, SIZES, record -> sequences.add(record.sequence()), sentence -> {}));
+        DiskLog.open(folder, SIZES, record -> sequences.add(record.sequence()), message -> {}));
     return sequences;
   }
 
--- a/adapters/src/test/java/applespindle/adapters/FrameFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameFixturesTest.java
@@ -77,7 +77,7 @@
     BlockingQueue<Envelope> received = new LinkedBlockingQueue<>();
     Eventloop loop = Eventloop.create();
     loop.keepAlive(true);
-    new PeerTransport(loop, received::add, sentence -> {}).listen(address);
+    new PeerTransport(loop, received::add, message -> {}).listen(address);
     Thread thread = new Thread(loop, "peer");
     thread.setDaemon(true);
     thread.start();
--- a/adapters/src/test/java/applespindle/adapters/FrameSamples.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameSamples.java
@@ -53,9 +53,9 @@
   static final String CORE_ID = "27a7d9882d5c";
   static final String CORE_ADDRESS = "10.0.2.1:7400";
   static final String PROMPT_BATCH = "b-424f28bc3c3fe839d11cbe446895df32";
-  static final String OPAQUE_BATCH = "o-3c5661974942379614b943d0593e4a5e";
+  static final String PROXIED_BATCH = "o-3c5661974942379614b943d0593e4a5e";
   static final String PROMPT_BATCH_KEY = "batch/" + PROMPT_BATCH;
-  static final String OPAQUE_BATCH_KEY = "batch/" + OPAQUE_BATCH;
+  static final String PROXIED_BATCH_KEY = "batch/" + PROXIED_BATCH;
 
   private static final String ROSTER =
       "{\"number\":1,\"members\":[{\"id\":\"27a7d9882d5c\",\"peerAddress\":\"10.0.2.1:7400\","
@@ -108,7 +108,7 @@
 
   private void addClaims() {
     add("promise-asked", new VoteRequest(PROMPT_BATCH_KEY, EPOCH, 3, false, 16384, false));
-    add("promise-asked-trial", new VoteRequest(OPAQUE_BATCH_KEY, EPOCH, 3, false, 16384, true));
+    add("promise-asked-trial", new VoteRequest(PROXIED_BATCH_KEY, EPOCH, 3, false, 16384, true));
     add("promise-asked-handed-over", new VoteRequest(PROMPT_BATCH_KEY, EPOCH, 3, true, 0, false));
     add(
         "promise-given-empty-log",
@@ -120,7 +120,7 @@
     add(
         "promise-trial-answered",
         new VoteResponse(
-            OPAQUE_BATCH_KEY, EPOCH, Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()));
+            PROXIED_BATCH_KEY, EPOCH, Verdict.WOULD_GRANT, Epoch.NONE, "", "", 0, 0, List.of()));
     for (Verdict verdict :
         List.of(
             Verdict.STALE_EPOCH,
@@ -158,7 +158,7 @@
     add(
         "append-first",
         new AppendRequest(
-            OPAQUE_BATCH_KEY,
+            PROXIED_BATCH_KEY,
             EPOCH,
             1,
             1,
@@ -254,8 +254,8 @@
 
   private void addWorkOfBatches() {
     add("work-offer-prompts", new BatchOffer(PROMPT_BATCH, 9996, 3, "", ""));
-    add("work-offer-opaque", new BatchOffer(OPAQUE_BATCH, 9996, 0, "h0.example", "/batch-0/b5"));
-    add("range-pull", new RangeRequest(OPAQUE_BATCH, "i-1", 1015028));
+    add("work-offer-opaque", new BatchOffer(PROXIED_BATCH, 9996, 0, "h0.example", "/batch-0/b5"));
+    add("range-pull", new RangeRequest(PROXIED_BATCH, "i-1", 1015028));
     add(
         "range-handout-none",
         new RangeAssignment(PROMPT_BATCH, "w1", 0, 0, true, 0, 1015028, List.of()));
@@ -277,7 +277,7 @@
     add(
         "range-handout-opaque",
         new RangeAssignment(
-            OPAQUE_BATCH,
+            PROXIED_BATCH,
             "i-1",
             2,
             2,
@@ -321,7 +321,7 @@
     add(
         "range-report-opaque",
         new RangeReport(
-            OPAQUE_BATCH,
+            PROXIED_BATCH,
             2,
             2,
             "i-1",
@@ -331,8 +331,8 @@
             List.of(
                 new ItemOutcome(
                     6, "d1529810cb40-1", "i-1", "", "", new byte[] {0, (byte) 0xff, 13, 10}))));
-    add("range-reported-keep", new RangeReportResponse(OPAQUE_BATCH, 2, 2, "i-1", 1, true));
-    add("range-reported-lost", new RangeReportResponse(OPAQUE_BATCH, 2, 2, "i-1", 2, false));
+    add("range-reported-keep", new RangeReportResponse(PROXIED_BATCH, 2, 2, "i-1", 1, true));
+    add("range-reported-lost", new RangeReportResponse(PROXIED_BATCH, 2, 2, "i-1", 2, false));
   }
 
   private void addRest() {
@@ -342,6 +342,6 @@
         "worker-loads",
         new PeerLoadReport(List.of(new OwnLoad("i-1", 1, 2048), new OwnLoad("i-3", 0, 0))));
     add("unfinished-none", new LeaderlessBatches(List.of()));
-    add("unfinished", new LeaderlessBatches(List.of(PROMPT_BATCH_KEY, OPAQUE_BATCH_KEY)));
+    add("unfinished", new LeaderlessBatches(List.of(PROMPT_BATCH_KEY, PROXIED_BATCH_KEY)));
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/StartupOptionsTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StartupOptionsTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void listensWherePeersReachItUnlessToldOtherwise() {
+  void listensWherePeersReachItUnlessAnotherAddressIsGiven() {
     assertThat(StartupOptions.read("control-plane", "core", GOOD).startup().listenAddress())
         .isEqualTo("127.0.0.1:7103");
     String[] relayed = Arrays.copyOf(GOOD, GOOD.length + 2);
--- a/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void cutsNothingFromAWholeTail() throws IOException {
+  void truncatesNothingOfACompleteTail() throws IOException {
     Path folder = copy("every-kind");
     open(folder).log().close();
     assertThat(Files.size(secondSegment(folder))).isEqualTo(SECOND_SEGMENT_BYTES);
--- a/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
@@ -138,7 +138,7 @@
     fleet.runFor(3 * RETENTION_MS);
     submit("finished", "first prompt", "second prompt", "third prompt is cut");
     submit("long", "a long prompt ".repeat(500));
-    submitOpaque("finished", "first body", "second body", "third body is cut");
+    submitProxied("finished", "first body", "second body", "third body is cut");
     claim("kept", "token-1");
     claim("given-back", "token-2");
     fleet.runFor(10_000);
@@ -149,14 +149,14 @@
     fleet.runFor(30_000);
     edge.unclaimOnce("given-back", "token-2");
     submit("ended", "answered prompt", "hold this prompt");
-    submitOpaque("ended", "answered body", "hold this body");
+    submitProxied("ended", "answered body", "hold this body");
     submitExpiring("expired", "answered prompt", "hold this prompt");
     fleet.runFor(10_000);
     good(then -> edge.endBatch(BatchKeys.batchId(SENDER, "ended"), then));
     good(then -> edge.endProxiedBatch("ended", then));
     command(core, "bundle", "bundle", signed(configuration(2)));
     submit("open", "answered prompt", "hold this prompt");
-    submitOpaque("open", "answered body", "hold this body");
+    submitProxied("open", "answered body", "hold this body");
     fleet.runFor(10_000);
   }
 
@@ -197,7 +197,7 @@
     good(then -> fleet.edge().submit(SENDER, key, input, then));
   }
 
-  private void submitOpaque(String id, String... bodies) {
+  private void submitProxied(String id, String... bodies) {
     List<ProxiedBatch.Item> items = new ArrayList<>();
     for (String body : bodies) {
       String target = "/jobs/" + id + "/" + items.size();
@@ -210,11 +210,11 @@
   }
 
   private void claim(String id, String token) {
-    List<ApiError> told = new ArrayList<>();
-    fleet.edge().claimOnce(id, token, told::add);
-    fleet.runUntil("a claim", () -> !told.isEmpty());
-    if (told.get(0) != null) {
-      throw new IllegalStateException(told.toString());
+    List<ApiError> answers = new ArrayList<>();
+    fleet.edge().claimOnce(id, token, answers::add);
+    fleet.runUntil("a claim", () -> !answers.isEmpty());
+    if (answers.get(0) != null) {
+      throw new IllegalStateException(answers.toString());
     }
   }
 
@@ -235,23 +235,23 @@
   /** Started twice: all kinds in the first segment, all but the first again in the second. */
   private static void writeEveryKind(Path folder) {
     List<LogRecord> records = oneOfEachKind();
-    try (DiskLog log = DiskLog.open(folder, record -> {}, sentence -> {})) {
+    try (DiskLog log = DiskLog.open(folder, record -> {}, message -> {})) {
       log.append(records);
     }
-    try (DiskLog log = DiskLog.open(folder, record -> {}, sentence -> {})) {
+    try (DiskLog log = DiskLog.open(folder, record -> {}, message -> {})) {
       log.append(records.subList(1, records.size()));
     }
   }
 
   private static void writeBrokenOnes(Path folder) throws IOException {
-    Path whole = folder.resolve("every-kind");
-    Path torn = newestSegment(copy(whole, folder.resolve("torn-tail")));
+    Path complete = folder.resolve("every-kind");
+    Path torn = newestSegment(copy(complete, folder.resolve("torn-tail")));
     byte[] bytes = Files.readAllBytes(torn);
     Files.write(torn, Arrays.copyOf(bytes, bytes.length - 5));
-    Path flipped = newestSegment(copy(whole, folder.resolve("corrupt-tail")));
+    Path flipped = newestSegment(copy(complete, folder.resolve("corrupt-tail")));
     bytes[bytes.length - 3] ^= 1;
     Files.write(flipped, bytes);
-    Path older = copy(whole, folder.resolve("corrupt-older-segment"));
+    Path older = copy(complete, folder.resolve("corrupt-older-segment"));
     Path first = segments(older).get(0);
     byte[] before = Files.readAllBytes(first);
     before[before.length / 2] ^= 1;
--- a/adapters/src/test/java/applespindle/adapters/StoredFleet.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleet.java
@@ -34,15 +34,17 @@
 
 /**
  * Three control-plane nodes, four storage nodes and one edge in one thread on simulated time, with
- * real logs in data folders. Its one worker answers each prompt and each opaque request at once,
+ * real logs in data folders. Its one worker answers each prompt and each proxied request at once,
  * unless its text says otherwise.
  */
 final class StoredFleet implements AutoCloseable {
-  /** In a prompt or an opaque body: the worker never answers. */
+  /** In a prompt or a proxied body: the worker never answers. */
   static final String HOLD = "hold";
 
-  /** In a prompt: the worker's answer is cut off; in an opaque body: it answers with status 500. */
-  static final String CUT = "cut";
+  /**
+   * In a prompt: the worker's response is truncated; in a proxied body: it answers with status 500.
+   */
+  static final String TRUNCATED = "cut";
 
   static final String WORKER = "worker-1";
   static final String WORKER_ADDRESS = "10.0.4.1:8000";
@@ -169,8 +171,8 @@
               ? DiskLog.open(
                   folder.resolve(name),
                   records::add,
-                  sentence -> {
-                    throw new IllegalStateException(name + ": " + sentence);
+                  message -> {
+                    throw new IllegalStateException(name + ": " + message);
                   })
               : null;
       NodeIdentity identity =
@@ -261,7 +263,7 @@
         return;
       }
       listener.text("answer to ");
-      if (prompt.contains(CUT)) {
+      if (prompt.contains(TRUNCATED)) {
         listener.fail(new ApiError.WorkerStreamTruncated(WORKER), true);
         return;
       }
@@ -287,7 +289,8 @@
         return;
       }
       var type = new ProxiedRequest.Header("Content-Type", "text/event-stream");
-      listener.head(new ProxiedRequest.ResponseHead(body.contains(CUT) ? 500 : 200, List.of(type)));
+      listener.head(
+          new ProxiedRequest.ResponseHead(body.contains(TRUNCATED) ? 500 : 200, List.of(type)));
       String event = "id: 1\ndata: answer to " + body + "\n\n";
       listener.chunk(new ProxiedRequest.ResponseChunk("1", event.getBytes(StandardCharsets.UTF_8)));
       listener.end();
@@ -299,6 +302,6 @@
     }
 
     @Override
-    public void log(String part, String sentence) {}
+    public void log(String part, String message) {}
   }
 }
--- a/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
@@ -146,13 +146,13 @@
     assertThat(rows(results("open"), "run").get(0)).isEqualTo("edge00000001-20");
   }
 
-  private JsonNode opaqueResults(String id) {
+  private JsonNode proxiedResults(String id) {
     return ok(then -> fleet.edge().readProxiedResults(id, 0, 0, then));
   }
 
   @Test
-  void servesFinishedAndEndedOpaqueBatches() {
-    JsonNode finished = opaqueResults("finished");
+  void servesFinishedAndEndedProxiedBatches() {
+    JsonNode finished = proxiedResults("finished");
     assertThat(finished.get("total").asInt()).isEqualTo(3);
     assertThat(rows(finished, "id", "state", "output"))
         .containsExactly(
@@ -160,22 +160,22 @@
             "item-1|complete|answer to second body",
             "item-2|expired|")
         .inOrder();
-    JsonNode ended = opaqueResults("ended");
+    JsonNode ended = proxiedResults("ended");
     assertThat(ended.get("total").asInt()).isEqualTo(2);
     assertThat(rows(ended, "id", "state", "output"))
         .containsExactly("item-0|complete|answer to answered body");
   }
 
   @Test
-  void servesTheBodyOfAnOpaqueItem() throws IOException {
+  void servesTheBodyOfAProxiedItem() throws IOException {
     JsonNode item = ok(then -> fleet.edge().readProxiedItem("ended", "item-1", then));
     assertThat(new String(item.get("body").binaryValue(), UTF_8)).isEqualTo("hold this body");
   }
 
   @Test
-  void finishesTheOpenOpaqueBatch() {
-    fleet.runUntil("the open batch", () -> opaqueResults("open").get("results").size() == 2);
-    assertThat(rows(opaqueResults("open"), "id", "state", "output"))
+  void finishesTheOpenProxiedBatch() {
+    fleet.runUntil("the open batch", () -> proxiedResults("open").get("results").size() == 2);
+    assertThat(rows(proxiedResults("open"), "id", "state", "output"))
         .containsExactly(
             "item-0|complete|answer to answered body", "item-1|complete|answer to hold this body")
         .inOrder();
@@ -183,13 +183,13 @@
 
   @Test
   void hasTheStoredConfigurationInForce() throws IOException {
-    JsonNode bundle =
+    JsonNode configuration =
         ok(then -> fleet.core("core-2").command("read", "bundle", new byte[] {'{', '}'}, then));
-    assertThat(bundle.get("number").asLong()).isEqualTo(2);
-    assertThat(new String(bundle.get("bytes").binaryValue(), UTF_8))
+    assertThat(configuration.get("number").asLong()).isEqualTo(2);
+    assertThat(new String(configuration.get("bytes").binaryValue(), UTF_8))
         .isEqualTo(StoredDataGenerator.configuration(2));
-    assertThat(bundle.get("keyId").asText()).isEqualTo(StoredDataGenerator.KEY_ID);
-    assertThat(bundle.at("/accepted/packed").asText())
+    assertThat(configuration.get("keyId").asText()).isEqualTo(StoredDataGenerator.KEY_ID);
+    assertThat(configuration.at("/accepted/packed").asText())
         .isEqualTo("AAAAAAAAAAFOjGh03febHAAAAAAAAAAC4OdjBMh9sCc=");
     assertThat(fleet.edge().configuration().number()).isEqualTo(2);
     assertThat(fleet.edge().route(StoredDataGenerator.HOST, "/jobs/any").name())
@@ -254,10 +254,10 @@
   }
 
   private ApiError claim(String id, String token) {
-    List<ApiError> told = new ArrayList<>();
-    fleet.edge().claimOnce(id, token, told::add);
-    fleet.runUntil("a claim", () -> !told.isEmpty());
-    return told.get(0);
+    List<ApiError> answers = new ArrayList<>();
+    fleet.edge().claimOnce(id, token, answers::add);
+    fleet.runUntil("a claim", () -> !answers.isEmpty());
+    return answers.get(0);
   }
 
   @Test
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyEndpoint.java
@@ -334,7 +334,7 @@
         .build();
   }
 
-  /** Asks on the logic thread; the answer comes back to the http thread. */
+  /** Asks on the logic thread; the answer comes back to the HTTP thread. */
   private void ask(Consumer<Consumer<Response>> question, Consumer<Response> then) {
     boolean taken =
         process.toLogic(() -> question.accept(answer -> process.toHttp(() -> then.accept(answer))));
