--- a/adapters/src/main/java/applespindle/adapters/StartupOptions.java
+++ b/adapters/src/main/java/applespindle/adapters/StartupOptions.java
@@ -22,10 +22,10 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * What a process is told at its start, from a file and from flags; flags win.
+ * The options a process is started with, from a file and from flags; flags win.
  *
- * @param listen where it listens for its peers if that is not the address they are told, as behind
- *     a relay; null if it is
+ * @param listen where it listens for its peers if that is not the address they use, as behind a
+ *     relay; null if it is
  */
 public record StartupOptions(
     @NotBlank String name,
@@ -42,6 +42,7 @@
   private static final String WANTED_ADDRESS =
       "must be an IP number and a port, such as 127.0.0.1:7000";
 
+  private static final List<String> LIST_FIELDS = List.of("seeds", "founders");
   private static final List<String> TEXT_FIELDS =
       List.of("name", "zone", "http", "peer", "listen", "data");
 
@@ -50,26 +51,10 @@
 
   /**
    * Reads flags and file; a call that can not be parsed at all, or asks for help, yields null after
-   * it was told.
+   * the message was printed.
    */
   public static Read read(String program, String role, String[] arguments) {
-    ArgumentParser parser =
-        ArgumentParsers.newFor(program)
-            .build()
-            .description("One process of applespindle. Flags win over the file.");
-    parser.addArgument("--startup").metavar("FILE").help("startup file, JSON");
-    parser.addArgument("--check").action(Arguments.storeTrue()).help("check the startup and exit");
-    for (String field : TEXT_FIELDS) {
-      parser.addArgument("--" + field);
-    }
-    if (role == null) {
-      parser.addArgument("--role").help("edge or storage");
-    }
-    parser.addArgument("--seeds").nargs("+").help("peer addresses of other processes");
-    parser
-        .addArgument("--founders")
-        .nargs("+")
-        .help("peer addresses of the first core; default: the seeds");
+    ArgumentParser parser = parser(program, role == null);
     Namespace flags;
     try {
       flags = parser.parseArgs(arguments);
@@ -84,30 +69,56 @@
             instanceof ObjectNode read) {
           tree = read;
         } else {
-          return new Read(null, List.of(new ApiError.Field("$", "must be an object")), false);
+          return unreadable("must be an object");
         }
       } catch (IOException fault) {
-        return new Read(
-            null,
-            List.of(new ApiError.Field("$", "the startup file can not be read as JSON")),
-            false);
+        return unreadable("the startup file can not be read as JSON");
       }
     }
+    putFlags(tree, flags);
+    String givenRole = role != null ? role : flags.getString("role");
+    if (givenRole != null) {
+      tree.put("role", givenRole);
+    }
+    return check(tree, Boolean.TRUE.equals(flags.getBoolean("check")));
+  }
+
+  private static ArgumentParser parser(String program, boolean withRole) {
+    ArgumentParser parser =
+        ArgumentParsers.newFor(program)
+            .build()
+            .description("One process of applespindle. Flags win over the file.");
+    parser.addArgument("--startup").metavar("FILE").help("startup file, JSON");
+    parser.addArgument("--check").action(Arguments.storeTrue()).help("check the startup and exit");
+    for (String field : TEXT_FIELDS) {
+      parser.addArgument("--" + field);
+    }
+    if (withRole) {
+      parser.addArgument("--role").help("edge or storage");
+    }
+    parser.addArgument("--seeds").nargs("+").help("peer addresses of other processes");
+    parser
+        .addArgument("--founders")
+        .nargs("+")
+        .help("peer addresses of the first core; default: the seeds");
+    return parser;
+  }
+
+  private static void putFlags(ObjectNode tree, Namespace flags) {
     for (String field : TEXT_FIELDS) {
       if (flags.getString(field) != null) {
         tree.put(field, flags.getString(field));
       }
     }
-    for (String field : List.of("seeds", "founders")) {
+    for (String field : LIST_FIELDS) {
       if (flags.getList(field) != null) {
         tree.set(field, JSON.valueToTree(flags.getList(field)));
       }
     }
-    String toldRole = role != null ? role : flags.getString("role");
-    if (toldRole != null) {
-      tree.put("role", toldRole);
-    }
-    return check(tree, Boolean.TRUE.equals(flags.getBoolean("check")));
+  }
+
+  private static Read unreadable(String reason) {
+    return new Read(null, List.of(new ApiError.Field("$", reason)), false);
   }
 
   static Read check(ObjectNode tree, boolean checkOnly) {
@@ -120,6 +131,7 @@
     return new Read(faults.isEmpty() ? input.value() : null, faults, checkOnly);
   }
 
+  /** The peer addresses of the first core: those named as founders, or else the seeds. */
   public List<String> coreFounders() {
     return founders == null || founders.isEmpty() ? seeds : founders;
   }
@@ -128,6 +140,7 @@
     return listen == null ? peer : listen;
   }
 
+  /** The keys of operators by name; empty if there are none. */
   public Map<String, String> keys() {
     return operatorKeys == null ? Map.of() : operatorKeys;
   }
--- a/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkFraming.java
@@ -22,7 +22,7 @@
     DONE
   }
 
-  private static final int SIZE_DIGITS_MOST = 15;
+  private static final int MAX_SIZE_DIGITS = 15;
   private static final int HEXADECIMAL = 16;
 
   private State state = State.SIZE_BEGIN;
@@ -49,53 +49,42 @@
   }
 
   private boolean accept(char each) {
-    switch (state) {
-      case SIZE_BEGIN -> {
-        left = 0;
-        digits = 0;
-        return acceptDigit(each);
-      }
-      case SIZE -> {
-        return acceptDigit(each) || acceptBehindSize(each);
-      }
-      case BLANKS -> {
-        return acceptBehindSize(each);
-      }
-      case EXTENSION -> {
-        return acceptUnread(each, State.SIZE_END);
-      }
-      case SIZE_END -> {
-        return acceptLineFeed(each, left == 0 ? State.TRAILER_BEGIN : State.DATA);
-      }
-      case DATA_END -> {
-        state = State.DATA_LINE_END;
-        return each == '\r';
-      }
-      case DATA_LINE_END -> {
-        return acceptLineFeed(each, State.SIZE_BEGIN);
-      }
-      case TRAILER_BEGIN -> {
-        state = State.TRAILER;
-        return acceptUnread(each, State.LAST_LINE_END);
-      }
-      case TRAILER -> {
-        return acceptUnread(each, State.TRAILER_END);
-      }
-      case TRAILER_END -> {
-        return acceptLineFeed(each, State.TRAILER_BEGIN);
-      }
-      case LAST_LINE_END -> {
-        return acceptLineFeed(each, State.DONE);
-      }
-      default -> {
-        return false;
-      }
-    }
+    return switch (state) {
+      case SIZE_BEGIN -> acceptFirstDigit(each);
+      case SIZE -> acceptDigit(each) || acceptBehindSize(each);
+      case BLANKS -> acceptBehindSize(each);
+      case EXTENSION -> acceptUnread(each, State.SIZE_END);
+      case SIZE_END -> acceptLineFeed(each, left == 0 ? State.TRAILER_BEGIN : State.DATA);
+      case DATA_END -> acceptCarriageReturn(each);
+      case DATA_LINE_END -> acceptLineFeed(each, State.SIZE_BEGIN);
+      case TRAILER_BEGIN -> acceptTrailerBegin(each);
+      case TRAILER -> acceptUnread(each, State.TRAILER_END);
+      case TRAILER_END -> acceptLineFeed(each, State.TRAILER_BEGIN);
+      case LAST_LINE_END -> acceptLineFeed(each, State.DONE);
+      case DATA, DONE -> false;
+    };
+  }
+
+  private boolean acceptFirstDigit(char each) {
+    left = 0;
+    digits = 0;
+    return acceptDigit(each);
+  }
+
+  private boolean acceptCarriageReturn(char each) {
+    state = State.DATA_LINE_END;
+    return each == '\r';
+  }
+
+  /** The line of a trailer, or the blank line that ends them. */
+  private boolean acceptTrailerBegin(char each) {
+    state = State.TRAILER;
+    return acceptUnread(each, State.LAST_LINE_END);
   }
 
   private boolean acceptDigit(char each) {
     int digit = each < 128 ? Character.digit(each, HEXADECIMAL) : -1;
-    if (digit < 0 || ++digits > SIZE_DIGITS_MOST) {
+    if (digit < 0 || ++digits > MAX_SIZE_DIGITS) {
       return false;
     }
     left = left * HEXADECIMAL + digit;
@@ -106,7 +95,7 @@
   private boolean acceptBehindSize(char each) {
     if (each == ' ' || each == '\t') {
       state = State.BLANKS;
-      return ++unreadBytes <= ProxyEndpoint.HEAD_BYTES_MOST;
+      return ++unreadBytes <= EffectiveClientLimits.MAX_HEAD_BYTES;
     }
     state = each == ';' ? State.EXTENSION : State.SIZE_END;
     return each == ';' || each == '\r';
@@ -118,7 +107,7 @@
       return true;
     }
     boolean control = each < ' ' && each != '\t' || each == 127;
-    return !control && ++unreadBytes <= ProxyEndpoint.HEAD_BYTES_MOST;
+    return !control && ++unreadBytes <= EffectiveClientLimits.MAX_HEAD_BYTES;
   }
 
   private boolean acceptLineFeed(char each, State next) {
