--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -26,21 +26,26 @@
  * ESTABLISHING -> LEADING} once the first entry of its own epoch, which is empty, is committed and
  * with it every entry before. Each of them ends in {@code LOST}: when the election fails, a replica
  * has promised a higher epoch, no quorum was in contact for {@link
- * ReplicationConstants#LEADER_STEP_DOWN_MS}, or the owner of this object resigns. {@code LOST} is
- * final; a new leadership needs a new object.
+ * ReplicationConstants#LEADER_STEP_DOWN_MS}, or {@link #resign} is called. {@code LOST} is final; a
+ * new leadership needs a new object.
  *
  * <p>The log itself is in {@link LeaderLog}, what is sent to the replicas in {@link LogReplicator},
  * and who waits in {@link CommitQueue} and {@link LeadershipConfirmations}.
  *
  * <p>Invariants: an entry is committed only once a quorum has synced it and an entry of this
- * leader's own epoch at or after it; each callback runs exactly once.
+ * leader's own epoch at or after it; the callback of each append and read runs exactly once.
  */
 public final class ReplicatedLogLeader {
 
+  /** See the transitions in the description of the class. */
   enum LeadershipState {
+    /** A candidate: nothing may be appended, and no replica is sent an append. */
     ELECTING,
+    /** Elected, but entries of earlier leaders may not be committed yet. */
     ESTABLISHING,
+    /** Accepts appends and reads. */
     LEADING,
+    /** Neither a candidate nor a leader any more. */
     LOST
   }
 
@@ -49,6 +54,8 @@
 
   private final Environment environment;
   private final String nodeId;
+
+  /** The key of the log. */
   public final String key;
 
   /** Whether replicas that have everything get a heartbeat only now and then. */
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
@@ -97,7 +97,7 @@
 
   @Override
   public void stop(Runnable whenDone) {
-    throw new UnsupportedOperationException();
+    throw new UnsupportedOperationException("a modelled replica crashes and never stops");
   }
 
   @Override
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelRuntime.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelRuntime.java
@@ -18,9 +18,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one life of a modelled process sees of the world. Its clock stands still but for jumps;
- * timers fire when the model says so, whatever their delay, except that tasks without a delay run
- * at the end of the step that planned them.
+ * The environment of one life of a modelled process. Its clock stands still but for jumps; timers
+ * fire when the model says so, whatever their delay, except that tasks without a delay run at the
+ * end of the step that scheduled them.
  */
 final class ModelRuntime implements Environment, StateText.Named {
   /** A timer that may fire. */
@@ -75,7 +75,7 @@
     }
   }
 
-  /** The process has crashed: nothing that it still hears of may have an effect. */
+  /** The process has crashed: nothing that still reaches it may have an effect. */
   void end() {
     ended = true;
     immediate.clear();
@@ -137,13 +137,13 @@
 
   @Override
   public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
-    throw new UnsupportedOperationException();
+    throw new UnsupportedOperationException("the model has no workers");
   }
 
   @Override
   public void readLoad(
       String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
-    throw new UnsupportedOperationException();
+    throw new UnsupportedOperationException("the model has no workers");
   }
 
   @Override
