--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchInput.java
@@ -54,15 +54,15 @@
     if (!input.good()) {
       return input;
     }
-    List<ApiError.Field> faults = new ArrayList<>();
+    List<ApiError.Field> fieldErrors = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     List<Item> items = input.value().items();
     for (int index = 0; index < items.size(); index++) {
       if (!ids.add(items.get(index).id())) {
-        faults.add(
+        fieldErrors.add(
             new ApiError.Field("$.items[" + index + "].id", "is the id of an earlier item too"));
       }
     }
-    return faults.isEmpty() ? input : new InputReader.Input<>(null, faults);
+    return fieldErrors.isEmpty() ? input : new InputReader.Input<>(null, fieldErrors);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -23,11 +23,11 @@
    * there is none.
    */
   public boolean join(PeerRequest request) {
-    SubmissionInProgress work = inProgressByKey.get(request.key());
-    if (work == null || !Arrays.equals(work.request.body(), request.body())) {
+    SubmissionInProgress inProgress = inProgressByKey.get(request.key());
+    if (inProgress == null || !Arrays.equals(inProgress.request.body(), request.body())) {
       return false;
     }
-    work.joined.add(request);
+    inProgress.joined.add(request);
     return true;
   }
 
@@ -42,24 +42,24 @@
 
   /** The request and those that joined it, while it is in progress; empty otherwise. */
   public List<PeerRequest> waitingFor(PeerRequest request) {
-    SubmissionInProgress work = inProgressByKey.get(request.key());
-    if (work == null || work.request != request) {
+    SubmissionInProgress inProgress = inProgressByKey.get(request.key());
+    if (inProgress == null || inProgress.request != request) {
       return List.of();
     }
-    List<PeerRequest> waiting = new ArrayList<>(work.joined);
+    List<PeerRequest> waiting = new ArrayList<>(inProgress.joined);
     waiting.add(request);
     return waiting;
   }
 
   /** Ends a request, and returns those that joined it, which get the same response. */
   public List<PeerRequest> end(PeerRequest request) {
-    SubmissionInProgress work = inProgressByKey.get(request.key());
-    if (work == null || work.request != request) {
+    SubmissionInProgress inProgress = inProgressByKey.get(request.key());
+    if (inProgress == null || inProgress.request != request) {
       return List.of();
     }
     inProgressByKey.remove(request.key());
     bytes -= request.body().length;
-    return work.joined;
+    return inProgress.joined;
   }
 
   /** Size of all bodies in progress. */
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
@@ -27,34 +27,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** One feeder on simulated time; the test acts as the leader of a batch and as the workers. */
+/** One dispatcher on simulated time; the test acts as a batch's leader and as the workers. */
 final class BatchDispatcherFixture extends FakeEnvironment implements BatchDispatcher.Context {
   static final String HOST = "letters.example";
 
-  final List<Message> toLeader = new ArrayList<>();
+  final List<Message> sentToLeader = new ArrayList<>();
   final Map<String, WorkerRegistration> workers = new LinkedHashMap<>();
   BatchDispatcher batchDispatcher;
   final WorkerRegistry registry = new WorkerRegistry(this, () -> batchDispatcher.dispatch());
 
-  /** Whether the leader answers reports. */
-  boolean answers = true;
+  /** Whether the leader responds to reports. */
+  boolean respondsToReports = true;
 
   RoutingConfiguration configuration;
-  ApiError mayBegin;
+  ApiError rejectionOfNewWork;
 
   BatchDispatcherFixture() {
     super(10_000);
     batchDispatcher = new BatchDispatcher(this, "near", this, registry);
     routes(route("p", 1));
-    tick();
+    scheduleTicks();
   }
 
-  private void tick() {
+  private void scheduleTicks() {
     schedule(
         WorkerConstants.LOAD_POLL_INTERVAL_MS,
         () -> {
           batchDispatcher.tick();
-          tick();
+          scheduleTicks();
         });
   }
 
@@ -104,7 +104,7 @@
     return this;
   }
 
-  void mark(String id, String state) {
+  void setWorkerState(String id, String state) {
     WorkerRegistration old = workers.get(id);
     workers.put(
         id, new WorkerRegistration(id, old.address(), old.pool(), state, old.zone(), old.slots()));
@@ -117,17 +117,17 @@
     return this;
   }
 
-  void handOut(String worker, int range, int... items) {
-    List<AssignedItem> handed =
+  void assign(String worker, int range, int... items) {
+    List<AssignedItem> assigned =
         Arrays.stream(items).mapToObj(index -> item(index, "", "")).toList();
-    handOut(worker, range, handed);
+    assign(worker, range, assigned);
   }
 
-  void handOut(String worker, int range, List<AssignedItem> items) {
-    handOut(worker, range, 10_000, items);
+  void assign(String worker, int range, List<AssignedItem> items) {
+    assign(worker, range, 10_000, items);
   }
 
-  void handOut(String worker, int range, long dueInMs, List<AssignedItem> items) {
+  void assign(String worker, int range, long dueInMs, List<AssignedItem> items) {
     batchDispatcher.handleAssignment(
         new RangeAssignment("o-1", worker, range, 1, false, dueInMs, nowMs(), items),
         "leader",
@@ -150,7 +150,7 @@
   /** The newest outcomes that were reported for an item, in order. */
   List<ItemOutcome> outcomes(int index) {
     List<ItemOutcome> found = new ArrayList<>();
-    toLeader.stream()
+    sentToLeader.stream()
         .filter(RangeReport.class::isInstance)
         .map(RangeReport.class::cast)
         .flatMap(report -> report.results().stream())
@@ -166,15 +166,15 @@
     return found;
   }
 
-  boolean gaveBack() {
-    return toLeader.stream()
+  boolean returnedRange() {
+    return sentToLeader.stream()
         .anyMatch(message -> message instanceof RangeReport report && report.returned());
   }
 
   @Override
   public void send(String toAddress, String toId, Message message) {
-    toLeader.add(message);
-    if (message instanceof RangeReport report && answers) {
+    sentToLeader.add(message);
+    if (message instanceof RangeReport report && respondsToReports) {
       schedule(
           1,
           () ->
@@ -196,7 +196,7 @@
 
   @Override
   public ApiError rejectionOfNewWork() {
-    return mayBegin;
+    return rejectionOfNewWork;
   }
 
   @Override
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
@@ -23,37 +23,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Opaque items at one feeder: the test acts as the leader and as the workers. */
+/** Proxied items at one dispatcher: the test acts as the leader and as the workers. */
 final class BatchDispatcherTest {
   private static final ResponseHead STREAM =
       new ResponseHead(200, List.of(new Header("Content-Type", "text/event-stream")));
 
   private final BatchDispatcherFixture fixture = new BatchDispatcherFixture();
 
-  private Sent handOne() {
-    fixture.worker("w", "p", 8).handOut("w", 0, 0);
+  private Sent assignOneItem() {
+    fixture.worker("w", "p", 8).assign("w", 0, 0);
     return fixture.sent.get(0);
   }
 
   @Test
-  void pullsOnlyForWorkersOfPoolsTheRouteSendsTo() {
+  void requestsRangesOnlyForWorkersOfTheRoutesPools() {
     fixture
         .worker("w", "p", 8)
         .worker("other", "q", 8)
         .worker("unweighted", "none", 8)
         .offer("o-1")
         .run(300);
-    List<String> pulledFor =
-        fixture.toLeader.stream()
+    List<String> requestedFor =
+        fixture.sentToLeader.stream()
             .map(message -> ((RangeRequest) message).worker())
             .distinct()
             .toList();
-    assertThat(pulledFor).containsExactly("w");
+    assertThat(requestedFor).containsExactly("w");
   }
 
   @Test
   void sendsTheItemUnchangedBehindLiveTraffic() {
-    WorkerExchange call = handOne().call;
+    WorkerExchange call = assignOneItem().call;
     assertThat(call.workerId()).isEqualTo("w");
     assertThat(call.rank()).isEqualTo(3);
     assertThat(call.request().id()).isEqualTo("i0");
@@ -66,8 +66,8 @@
   }
 
   @Test
-  void beginsFewItemsAtOnceAndTheNextWhenOneHasBegun() {
-    fed("w", 8).handOut("w", 0, 0, 1, 2, 3);
+  void startsFewItemsAtOnceAndTheNextAfterAResponseHead() {
+    dispatcherWithAllSlots("w", 8).assign("w", 0, 0, 1, 2, 3);
     int first = fixture.sent.size();
     assertThat(first).isLessThan(4);
     fixture.sent.get(0).worker.head(STREAM);
@@ -94,12 +94,12 @@
             10_000,
             60_000,
             0));
-    assertThat(handOne().call.rank()).isEqualTo(1);
+    assertThat(assignOneItem().call.rank()).isEqualTo(1);
   }
 
   @Test
-  void aWholeStreamIsTheResult() {
-    Sent run = handOne();
+  void aCompleteStreamIsTheResult() {
+    Sent run = assignOneItem();
     run.worker.head(STREAM);
     run.event(1, "a");
     run.event(2, "b");
@@ -112,7 +112,7 @@
 
   /** How often a report carried an outcome of the item. */
   private long carried(int index) {
-    return fixture.toLeader.stream()
+    return fixture.sentToLeader.stream()
         .filter(RangeReport.class::isInstance)
         .map(RangeReport.class::cast)
         .flatMap(report -> report.results().stream())
@@ -128,8 +128,8 @@
 
   @Test
   void anUnansweredResultIsReportedAgainOnlyAfterLong() {
-    fixture.answers = false;
-    fixture.worker("w", "p", 8).handOut("w", 0, 0, 1);
+    fixture.respondsToReports = false;
+    fixture.worker("w", "p", 8).assign("w", 0, 0, 1);
     serve(fixture.sent.get(0));
     serve(fixture.sent.get(1));
     fixture.run(BatchConstants.RESULT_RESEND_MS - BatchConstants.RANGE_REPORT_INTERVAL_MS);
@@ -142,24 +142,25 @@
 
   @Test
   void theOffsetCountsNoResultThatAnotherReportCarried() {
-    fixture.answers = false;
-    fixture.worker("w", "p", 8).handOut("w", 0, 0, 1);
+    fixture.respondsToReports = false;
+    fixture.worker("w", "p", 8).assign("w", 0, 0, 1);
     serve(fixture.sent.get(0));
     serve(fixture.sent.get(1));
-    RangeReport second = (RangeReport) fixture.toLeader.get(fixture.toLeader.size() - 1);
+    RangeReport second = (RangeReport) fixture.sentToLeader.get(fixture.sentToLeader.size() - 1);
     assertThat(second.results().stream().map(ItemOutcome::index).toList()).containsExactly(1);
     assertThat(second.offset()).isEqualTo(0);
   }
 
   /**
-   * The first report is lost; the answer to the second says nothing of what only the first carried.
+   * The first report is lost; the response to the second acknowledges nothing that only the first
+   * carried.
    */
   @Test
-  void onlyAnAnswerToAReportThatCarriedAResultIsAnAnswerForIt() {
-    fixture.answers = false;
-    fixture.worker("w", "p", 8).handOut("w", 0, 0, 1);
+  void onlyAResponseToAReportThatCarriedAResultAcknowledgesIt() {
+    fixture.respondsToReports = false;
+    fixture.worker("w", "p", 8).assign("w", 0, 0, 1);
     serve(fixture.sent.get(0));
-    fixture.answers = true;
+    fixture.respondsToReports = true;
     serve(fixture.sent.get(1));
     fixture.run(2 * BatchConstants.RESULT_RESEND_MS);
     assertThat(carried(0)).isEqualTo(2);
@@ -168,9 +169,9 @@
   }
 
   @Test
-  void aNewLeaderGetsWhatIsUnansweredWithTheNextReport() {
-    fixture.answers = false;
-    Sent run = handOne();
+  void aNewLeaderGetsUnansweredOutcomesWithTheNextReport() {
+    fixture.respondsToReports = false;
+    Sent run = assignOneItem();
     serve(run);
     fixture.batchDispatcher.leaderMoved("o-1", "next", "10.0.0.8:1");
     fixture.run(BatchConstants.RANGE_REPORT_INTERVAL_MS + WorkerConstants.LOAD_POLL_INTERVAL_MS);
@@ -178,27 +179,27 @@
   }
 
   @Test
-  void whatACutLeavesGoesBackUpToTheLastWholeEvent() {
-    Sent run = handOne();
+  void aPartialStreamIsReturnedUpToTheLastCompleteEvent() {
+    Sent run = assignOneItem();
     run.worker.head(STREAM);
     run.event(1, "a");
     run.event(2, "b");
     run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     run.event(3, "late");
     fixture.run(500);
-    ItemOutcome part = fixture.outcomes(0).get(0);
-    assertThat(part.faultType()).isEqualTo("WorkerCut");
-    assertThat(part.finishReason()).isEqualTo("2");
-    assertThat(new String(part.output(), UTF_8)).isEqualTo("a\nb");
-    assertThat(fixture.gaveBack()).isTrue();
+    ItemOutcome partial = fixture.outcomes(0).get(0);
+    assertThat(partial.faultType()).isEqualTo("WorkerCut");
+    assertThat(partial.finishReason()).isEqualTo("2");
+    assertThat(new String(partial.output(), UTF_8)).isEqualTo("a\nb");
+    assertThat(fixture.returnedRange()).isTrue();
     assertThat(fixture.sent).hasSize(1);
   }
 
   @Test
-  void anAnswerThatSaysNothingKeepsTheTextOfEarlierRuns() {
+  void anInconclusiveResponseKeepsTheTextOfEarlierRuns() {
     fixture
         .worker("w", "p", 8)
-        .handOut("w", 0, List.of(BatchDispatcherFixture.item(0, "2", "a\nb")));
+        .assign("w", 0, List.of(BatchDispatcherFixture.item(0, "2", "a\nb")));
     fixture.sent.get(0).worker.head(new ResponseHead(504, List.of()));
     fixture.sent.get(0).worker.end();
     fixture.run(500);
@@ -212,28 +213,28 @@
   }
 
   @Test
-  void aPartGoesBackWithItsRangeWhenTheWorkerLeaves() {
-    Sent run = handOne();
+  void aPartialStreamIsReturnedWithItsRangeWhenTheWorkerLeaves() {
+    Sent run = assignOneItem();
     run.worker.head(STREAM);
     run.event(1, "a");
-    fixture.mark("w", WorkerRegistration.LEAVING);
+    fixture.setWorkerState("w", WorkerRegistration.LEAVING);
     fixture.run(300);
     assertThat(run.cancelled).isFalse();
     run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(500);
-    ItemOutcome part = fixture.outcomes(0).get(0);
-    assertThat(part.faultType()).isEqualTo("WorkerCut");
-    assertThat(part.finishReason()).isEqualTo("1");
-    assertThat(new String(part.output(), UTF_8)).isEqualTo("a");
+    ItemOutcome partial = fixture.outcomes(0).get(0);
+    assertThat(partial.faultType()).isEqualTo("WorkerCut");
+    assertThat(partial.finishReason()).isEqualTo("1");
+    assertThat(new String(partial.output(), UTF_8)).isEqualTo("a");
     assertThat(fixture.sent).hasSize(1);
-    assertThat(fixture.gaveBack()).isTrue();
+    assertThat(fixture.returnedRange()).isTrue();
   }
 
   @Test
-  void aPartThatWasHandedOutIsGoneOnWith() {
+  void anAssignedPartialStreamIsResumed() {
     fixture
         .worker("w", "p", 8)
-        .handOut("w", 0, List.of(BatchDispatcherFixture.item(0, "2", "a\nb")));
+        .assign("w", 0, List.of(BatchDispatcherFixture.item(0, "2", "a\nb")));
     Sent run = fixture.sent.get(0);
     assertThat(run.call.resumeAfter()).isEqualTo("2");
     run.worker.head(STREAM);
@@ -243,13 +244,13 @@
   }
 
   @Test
-  void onlyAWhole500IsAFailedAttempt() {
-    Sent run = handOne();
+  void onlyAComplete500IsAFailedAttempt() {
+    Sent run = assignOneItem();
     run.worker.head(new ResponseHead(500, List.of()));
     run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(2_000);
     assertThat(fixture.outcomes(0)).isEmpty();
-    fixture.handOut("w", 1, 0);
+    fixture.assign("w", 1, 0);
     Sent next = fixture.sent.get(1);
     next.worker.head(new ResponseHead(500, List.of()));
     next.worker.end();
@@ -258,15 +259,15 @@
 
   @Test
   void a422EndsTheItem() {
-    Sent run = handOne();
+    Sent run = assignOneItem();
     run.worker.head(new ResponseHead(422, List.of()));
     run.worker.end();
     assertThat(fixture.outcomes(0).get(0).faultType()).isEqualTo("ItemImpossible");
   }
 
   @Test
-  void noOtherAnswerCountsAgainstTheItem() {
-    Sent run = handOne();
+  void noOtherStatusCountsAsAnAttempt() {
+    Sent run = assignOneItem();
     run.worker.head(new ResponseHead(504, List.of()));
     run.worker.end();
     fixture.run(500);
@@ -280,23 +281,23 @@
     fixture.sent.get(3).worker.fail(new ApiError.MalformedWorkerResponse("w"), true);
     fixture.run(1_000);
     assertThat(fixture.outcomes(0)).isEmpty();
-    assertThat(fixture.gaveBack()).isTrue();
+    assertThat(fixture.returnedRange()).isTrue();
   }
 
   @Test
-  void silenceIsGivenUpAndGoneOnFrom() {
-    Sent run = handOne();
+  void aSilentRunIsCancelledAndResumed() {
+    Sent run = assignOneItem();
     run.worker.head(STREAM);
     run.event(1, "a");
     fixture.run(BatchConstants.MIN_SILENCE_TIMEOUT_MS + 5_000);
     assertThat(run.cancelled).isTrue();
     assertThat(fixture.outcomes(0).get(0).finishReason()).isEqualTo("1");
-    assertThat(fixture.gaveBack()).isTrue();
+    assertThat(fixture.returnedRange()).isTrue();
   }
 
   @Test
-  void aRunThatGaveWayWaitsWhileItsWorkerIsHeard() {
-    fixture.worker("w", "p", 8).handOut("w", 0, 0, 1);
+  void aRunWithoutOutputGoesOnWhileItsWorkerIsActive() {
+    fixture.worker("w", "p", 8).assign("w", 0, 0, 1);
     for (int step = 0; step < 20; step++) {
       fixture.sent.get(1).worker.head(STREAM);
       fixture.run(200);
@@ -305,40 +306,40 @@
   }
 
   @Test
-  void holdsNoMoreThanTheSlotsLessAReserve() {
-    fed("w", 8).handOut("w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
+  void runsNoMoreItemsThanTheSlotsLessAReserve() {
+    dispatcherWithAllSlots("w", 8).assign("w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
     for (int index = 0; index < fixture.sent.size(); index++) {
       fixture.sent.get(index).worker.head(STREAM);
     }
     assertThat(fixture.sent).hasSize(7);
   }
 
-  /** The reserve is for live requests that are still to come, beside those that run. */
+  /** The reserve is for further live requests, beside those that run. */
   @Test
   void leavesTheReserveFreeBesideLiveRequests() {
-    fed("w", 8);
+    dispatcherWithAllSlots("w", 8);
     fixture.registry.recordPeerLoad("other", new PeerLoadReport(List.of(new OwnLoad("w", 2, 0))));
-    fixture.handOut("w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
+    fixture.assign("w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
     begun();
     assertThat(fixture.sent).hasSize(5);
   }
 
-  /** An item that is late whatever happens makes no other one late. */
+  /** An item that is certain to be late makes no other one late. */
   @Test
-  void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
-    fed("w", 2);
-    fixture.handOut("w", 0, 0);
+  void itemsThatCanMeetTheirDeadlineGoBeforeLateOnes() {
+    dispatcherWithAllSlots("w", 2);
+    fixture.assign("w", 0, 0);
     Sent first = fixture.sent.get(0);
     first.worker.head(STREAM);
-    fixture.handOut("w", 1, -500, List.of(BatchDispatcherFixture.item(1, "", "")));
-    fixture.handOut("w", 2, 2_400, List.of(BatchDispatcherFixture.item(2, "", "")));
+    fixture.assign("w", 1, -500, List.of(BatchDispatcherFixture.item(1, "", "")));
+    fixture.assign("w", 2, 2_400, List.of(BatchDispatcherFixture.item(2, "", "")));
     serve(first);
     assertThat(fixture.sent).hasSize(2);
     assertThat(fixture.sent.get(1).call.request().id()).isEqualTo("i2");
   }
 
-  /** A worker that was fed from here long enough for all of its slots less the reserve. */
-  private BatchDispatcherFixture fed(String worker, int slots) {
+  /** A worker that is dispatched to for long enough to get all of its slots less the reserve. */
+  private BatchDispatcherFixture dispatcherWithAllSlots(String worker, int slots) {
     fixture
         .worker(worker, "p", slots)
         .run(BatchConstants.DISPATCH_SLOW_START_MS + WorkerConstants.LOAD_POLL_INTERVAL_MS);
@@ -346,10 +347,10 @@
   }
 
   @Test
-  void takesTheSlotsOfAWorkerThatIsNewToItByAndBy() {
+  void takesTheSlotsOfANewWorkerGradually() {
     fixture
         .worker("w", "p", 24)
-        .handOut(
+        .assign(
             "w", 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21,
             22, 23);
     int begunAtOnce = begun();
@@ -365,7 +366,7 @@
     assertThat(fixture.sent).hasSize(21);
   }
 
-  /** Each item that was sent has begun to answer. */
+  /** Each item that was sent has got its response head. */
   private int begun() {
     for (int index = 0; index < fixture.sent.size(); index++) {
       fixture.sent.get(index).worker.head(STREAM);
@@ -374,8 +375,8 @@
   }
 
   @Test
-  void anItemWaitsUntilTheWorkerHasReadWhatFellowsSentThere() {
-    fed("w", 8);
+  void anItemWaitsUntilTheWorkerHasReadThePromptsOfOtherEdges() {
+    dispatcherWithAllSlots("w", 8);
     int pauseTokens =
         (int)
             (150
@@ -383,7 +384,7 @@
                 * WorkerConstants.INITIAL_PREFILL_TOKENS_PER_MS);
     fixture.registry.recordPeerLoad(
         "other", new PeerLoadReport(List.of(new OwnLoad("w", 1, pauseTokens + 2_000))));
-    fixture.handOut("w", 0, 0);
+    fixture.assign("w", 0, 0);
     assertThat(fixture.sent).isEmpty();
     fixture.run(40 - 2 * BatchConstants.ITEM_CHECK_INTERVAL_MS + 20);
     assertThat(fixture.sent).isEmpty();
@@ -392,8 +393,8 @@
   }
 
   @Test
-  void itsOwnItemsCountAsToBeReadUntilSomethingComes() {
-    fed("w", 8).handOut("w", 0, 0);
+  void ownItemsCountAsUnreadUntilTheirResponseStarts() {
+    dispatcherWithAllSlots("w", 8).assign("w", 0, 0);
     WorkerState worker = fixture.registry.get("w");
     assertThat(worker.unreadPromptTokens).isEqualTo(35.0);
     fixture.sent.get(0).worker.head(STREAM);
@@ -403,31 +404,31 @@
   }
 
   @Test
-  void nothingIsSentToALeavingWorkerOrWithoutNews() {
-    fixture.worker("w", "p", 8).mark("w", WorkerRegistration.LEAVING);
-    fixture.handOut("w", 0, 0);
+  void nothingIsSentToALeavingWorkerOrWithStaleMetadata() {
+    fixture.worker("w", "p", 8).setWorkerState("w", WorkerRegistration.LEAVING);
+    fixture.assign("w", 0, 0);
     fixture.run(500);
     assertThat(fixture.sent).isEmpty();
     fixture.worker("x", "p", 8);
-    fixture.mayBegin = new ApiError.NodeIsolated(9);
-    fixture.handOut("x", 1, 1);
+    fixture.rejectionOfNewWork = new ApiError.NodeIsolated(9);
+    fixture.assign("x", 1, 1);
     fixture.run(500);
     assertThat(fixture.sent).isEmpty();
   }
 
   @Test
-  void theRouteInForceAtTheMomentOfSendingCounts() {
+  void theRouteInForceWhenTheItemIsSentApplies() {
     fixture.worker("w", "p", 8).routes(BatchDispatcherFixture.route("q", 1));
-    fixture.handOut("w", 0, 0);
+    fixture.assign("w", 0, 0);
     assertThat(fixture.sent).isEmpty();
     fixture.run(500);
-    assertThat(fixture.gaveBack()).isTrue();
+    assertThat(fixture.returnedRange()).isTrue();
   }
 
   @Test
-  void nothingIsSentAfterTheGrant() {
-    fixture.answers = false;
-    fixture.worker("w", "p", 2).handOut("w", 0, 0, 1);
+  void nothingIsSentAfterTheLease() {
+    fixture.respondsToReports = false;
+    fixture.worker("w", "p", 2).assign("w", 0, 0, 1);
     Sent run = fixture.sent.get(0);
     assertThat(fixture.sent).hasSize(1);
     run.worker.head(STREAM);
@@ -438,8 +439,8 @@
   }
 
   @Test
-  void anEndCancelsWhatRuns() {
-    Sent run = handOne();
+  void theEndOfABatchCancelsItsRuns() {
+    Sent run = assignOneItem();
     fixture.batchDispatcher.batchEnded("o-1");
     assertThat(run.cancelled).isTrue();
     fixture.run(1_000);
@@ -448,24 +449,24 @@
   }
 
   @Test
-  void aWorkerThatIsListedNoMoreGivesItsRangesBack() {
-    fixture.worker("w", "p", 2).handOut("w", 0, 0, 1);
+  void theRangesOfARemovedWorkerAreReturned() {
+    fixture.worker("w", "p", 2).assign("w", 0, 0, 1);
     fixture.workers.clear();
     fixture.registry.updateWorkers(fixture.workers);
     fixture.sent.get(0).worker.fail(new ApiError.WorkerUnreachable("w"), false);
     fixture.run(500);
-    assertThat(fixture.gaveBack()).isTrue();
+    assertThat(fixture.returnedRange()).isTrue();
   }
 
   @Test
-  void outcomesOutliveALongSilenceOfTheLeader() {
-    fixture.answers = false;
-    Sent run = handOne();
+  void outcomesAreKeptDuringALongSilenceOfTheLeader() {
+    fixture.respondsToReports = false;
+    Sent run = assignOneItem();
     run.worker.head(STREAM);
     run.event(1, "a");
     run.worker.end();
     fixture.run(10_000);
-    fixture.toLeader.clear();
+    fixture.sentToLeader.clear();
     fixture.batchDispatcher.leaderMoved("o-1", "next", "10.0.0.8:1");
     fixture.run(500);
     assertThat(fixture.outcomes(0)).hasSize(1);
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchEventCodecTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchEventCodecTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void largeEventsAreMadeSmallerAndReadBack() {
+  void largeEventsAreDeflatedAndReadBack() {
     byte[] encoded = BatchEventCodec.encode(accepted(500));
 
     assertThat(encoded.length).isLessThan(Json.bytes(accepted(500)).length);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void plainEventsOfTheVersionBeforeAreRead() {
+  void plainEventsOfThePreviousVersionAreRead() {
     byte[] plain = Json.bytes(accepted(500));
 
     assertThat(Json.bytes(BatchEventCodec.decode(plain))).isEqualTo(plain);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void onlyPlainEntriesAreWorthDeflatingOnTheWay() {
+  void onlyPlainEntriesAreWorthDeflatingForTransport() {
     LogEntry plain = new LogEntry(1, new Epoch(1, "n"), false, Json.bytes(accepted(500)));
     LogEntry deflated =
         new LogEntry(1, new Epoch(1, "n"), false, BatchEventCodec.encode(accepted(500)));
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchStateTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchStateTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The fold of an opaque batch's log. */
+/** The fold of a proxied batch's log. */
 final class BatchStateTest {
   private final BatchState batchState = new BatchState();
 
@@ -41,19 +41,19 @@
         new ProxiedBatch.Item(id, "/l/" + id, List.of(), "body".getBytes(UTF_8), tokens));
   }
 
-  private void record(int item, String fault, String output) {
+  private void record(int item, String errorType, String output) {
     fold(
         BatchEvent.recorded(
             0,
             new Recorded(
                 0,
                 1,
-                List.of(new Result(item, "run" + output, "w", "", fault, output)),
+                List.of(new Result(item, "run" + output, "w", "", errorType, output)),
                 List.of())));
   }
 
   @Test
-  void waitsForTheTokensOfItemsWithoutAResult() {
+  void remainingCapacityIsTheTokensOfItemsWithoutAResult() {
     accept();
     assertThat(batchState.remainingCapacity()).isEqualTo(123);
     record(0, null, "x");
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void anEndFreesAllRoomAndTakesNoMoreResults() {
+  void theEndFreesAllCapacityAndRecordsNoMoreResults() {
     accept();
     fold(BatchEvent.plain(BatchEvent.ENDED, 0));
     record(0, null, "x");
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void theFirstResultOfAnItemStandsInTheOrderOfRecording() {
+  void theFirstResultOfAnItemCountsInTheOrderOfRecording() {
     accept();
     record(1, null, "x");
     record(0, null, "y");
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void keepsTheBodyByteForByte() {
+  void keepsTheBodyUnchanged() {
     accept();
     ProxiedBatch.Item item =
         JSON.convertValue(batchState.accepted.items().get(1), ProxiedBatch.Item.class);
--- a/core-logic/src/test/java/applespindle/corelogic/batch/DeadlineOrderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/DeadlineOrderTest.java
@@ -15,12 +15,12 @@
   }
 
   @Test
-  void theEarliestDueComesFirst() {
+  void theEarliestDeadlineComesFirst() {
     assertThat(sorted(15_000, 12_000, 13_000)).containsExactly(12_000L, 13_000L, 15_000L).inOrder();
   }
 
   @Test
-  void whatIsLateWhateverHappensGivesWayToWhatIsDueSoon() {
+  void workThatIsCertainToBeLateComesAfterWorkDueSoon() {
     assertThat(sorted(11_000, 11_299, 11_300, 13_999))
         .containsExactly(11_300L, 13_999L, 11_000L, 11_299L)
         .inOrder();
@@ -28,12 +28,12 @@
 
   /** New work comes all the time; none of it goes before late work for ever. */
   @Test
-  void whatIsLateGoesBeforeWorkThatIsDueMuchLater() {
+  void lateWorkComesBeforeWorkDueMuchLater() {
     assertThat(sorted(18_000, 9_000, 12_001)).containsExactly(9_000L, 12_001L, 18_000L).inOrder();
   }
 
   @Test
-  void isAnOrder() {
+  void isATotalOrder() {
     Random random = new Random(1);
     long[] dueAt = random.longs(500, 5_000, 20_000).toArray();
     assertThat(sorted(dueAt)).hasSize(500);
--- a/core-logic/src/test/java/applespindle/corelogic/batch/PendingSubmissionsTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/PendingSubmissionsTest.java
@@ -9,7 +9,7 @@
   private final PendingSubmissions submissions = new PendingSubmissions();
 
   @Test
-  void oneLookPastTheDeadlineProvesNothing() {
+  void oneCallPastTheDeadlineIsNotOverdue() {
     submissions.begin("one", 100);
 
     assertThat(submissions.overdue(100)).isEmpty();
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void whatIsAnsweredBetweenTwoLooksIsNotOverdue() {
+  void aResponseBetweenTwoCallsIsNotOverdue() {
     long number = submissions.begin("one", 100);
     submissions.begin("two", 100);
     submissions.overdue(101);
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
@@ -7,7 +7,7 @@
 /** The made-up batch that a new process warms its code up with is a sound one. */
 class SampleBatchTest {
   @Test
-  void theSampleIsReadWithoutFault() {
+  void theSampleIsReadWithoutError() {
     BatchFormat.ParsedBatch read =
         BatchFormat.OWN.parse(BatchFormat.OWN.sample("id", "h.example", "/p/id", 60));
 
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionReaderTest.java
@@ -21,8 +21,8 @@
     return new ProxiedBatch("c1", "h.example", "/p/c1", List.of(item));
   }
 
-  private static byte[] sent(ProxiedBatch batch, long bundleNumber) {
-    return new BatchSubmission.Forwarded(BatchSubmission.of(batch), bundleNumber).encode();
+  private static byte[] sent(ProxiedBatch batch, long configurationNumber) {
+    return new BatchSubmission.Forwarded(BatchSubmission.of(batch), configurationNumber).encode();
   }
 
   @Test
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void theVersionBeforeSentTheEventItself() {
+  void thePreviousVersionSentTheEventItself() {
     byte[] body = Json.bytes(new Accepted("", "digest", 10, 20, List.of(), null));
 
     assertThat(submissionReader.read(body, null, RouteTable.EMPTY).accepted().digest())
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void withoutAConfigurationNothingIsTaken() {
+  void withoutAConfigurationNothingIsAccepted() {
     SubmissionReader.ReadResult taken =
         submissionReader.read(sent(batch("x"), 3), null, RouteTable.EMPTY);
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void digestsOfOneSchemeTellContentsApart() {
+  void digestsOfOneSchemeDistinguishContents() {
     assertThat(SubmissionReader.haveDifferentContents("fields:1", "fields:1")).isFalse();
     assertThat(SubmissionReader.haveDifferentContents("fields:1", "fields:2")).isTrue();
     assertThat(SubmissionReader.haveDifferentContents("1", "2")).isTrue();
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionsInProgressTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionsInProgressTest.java
@@ -9,7 +9,7 @@
 class SubmissionsInProgressTest {
   private final SubmissionsInProgress submissions = new SubmissionsInProgress();
 
-  private static PeerRequest ask(long correlation, String key, int... body) {
+  private static PeerRequest request(long correlation, String key, int... body) {
     byte[] bytes = new byte[body.length];
     for (int index = 0; index < body.length; index++) {
       bytes[index] = (byte) body[index];
@@ -18,9 +18,9 @@
   }
 
   @Test
-  void theSameBatchJoinsAndIsToldTheSame() {
-    PeerRequest first = ask(1, "batch/a", 1, 2);
-    PeerRequest again = ask(2, "batch/a", 1, 2);
+  void theSameBatchJoinsAndGetsTheSameResponse() {
+    PeerRequest first = request(1, "batch/a", 1, 2);
+    PeerRequest again = request(2, "batch/a", 1, 2);
     assertThat(submissions.join(first)).isFalse();
     submissions.begin(first);
 
@@ -29,17 +29,17 @@
     assertThat(submissions.end(again)).isEmpty();
     assertThat(submissions.end(first)).containsExactly(again);
     assertThat(submissions.bytes()).isEqualTo(0);
-    assertThat(submissions.join(ask(3, "batch/a", 1, 2))).isFalse();
+    assertThat(submissions.join(request(3, "batch/a", 1, 2))).isFalse();
   }
 
   @Test
   void anotherBodyOrKeyDoesNotJoin() {
-    PeerRequest first = ask(1, "batch/a", 1, 2);
+    PeerRequest first = request(1, "batch/a", 1, 2);
     submissions.begin(first);
 
-    assertThat(submissions.join(ask(2, "batch/a", 1, 3))).isFalse();
-    assertThat(submissions.join(ask(3, "batch/b", 1, 2))).isFalse();
-    submissions.begin(ask(2, "batch/a", 1, 3));
+    assertThat(submissions.join(request(2, "batch/a", 1, 3))).isFalse();
+    assertThat(submissions.join(request(3, "batch/b", 1, 2))).isFalse();
+    submissions.begin(request(2, "batch/a", 1, 3));
     assertThat(submissions.bytes()).isEqualTo(2);
   }
 }
