--- a/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
@@ -19,7 +19,7 @@
 
 /**
  * One range of a batch's items that is assigned to this edge for one worker: what is unsent, what
- * runs, and which outcomes the batch's leader has not answered for. All times are of this node's
+ * runs, and which outcomes the batch's leader has not acknowledged. All times are of this node's
  * clock.
  */
 final class AssignedRange {
@@ -86,8 +86,8 @@
 
   private final int end;
 
-  /** Outcomes the leader has not yet answered for. */
-  final List<Outcome> unanswered = new ArrayList<>();
+  /** Outcomes the leader has not acknowledged. */
+  final List<Outcome> unacknowledged = new ArrayList<>();
 
   /** By report number: when it was sent. */
   private final TreeMap<Long, Long> reportsSentAt = new TreeMap<>();
@@ -97,7 +97,7 @@
   /** Nothing more of the range is started; it is returned once nothing of it runs. */
   boolean returning;
 
-  /** A report has returned the range, with every outcome that the leader had not answered for. */
+  /** A report has returned the range, with every outcome that the leader had not acknowledged. */
   boolean returnReported;
 
   /** The leader has reassigned the range, or its batch has ended. */
@@ -136,7 +136,7 @@
   }
 
   boolean isDone() {
-    return unsent.isEmpty() && running.isEmpty() && unanswered.isEmpty();
+    return unsent.isEmpty() && running.isEmpty() && unacknowledged.isEmpty();
   }
 
   /** The item needs no further run. */
@@ -171,14 +171,14 @@
   /** Sends all outcomes again with the next report, as a new leader has none of the reports. */
   void changeLeader(NodeAddress next) {
     leader = next;
-    unanswered.forEach(outcome -> outcome.sentAt = NEVER);
+    unacknowledged.forEach(outcome -> outcome.sentAt = NEVER);
   }
 
   /**
    * Forgets the outcomes that the answered report carried, and renews the lease or drops the range.
    */
-  void handleReportAnswered(long reportNumber, boolean keep) {
-    unanswered.removeIf(outcome -> outcome.reportNumbers.contains(reportNumber));
+  void handleReportResponse(long reportNumber, boolean keep) {
+    unacknowledged.removeIf(outcome -> outcome.reportNumbers.contains(reportNumber));
     Long sentAt = reportsSentAt.get(reportNumber);
     reportsSentAt.headMap(reportNumber, true).clear();
     if (!keep) {
@@ -208,7 +208,7 @@
    */
   List<ItemOutcome> takeOutcomesDue(long report, boolean all, long now) {
     List<ItemOutcome> due = new ArrayList<>();
-    for (Outcome outcome : unanswered) {
+    for (Outcome outcome : unacknowledged) {
       if (all || now - outcome.sentAt >= BatchConstants.RESULT_RESEND_MS) {
         outcome.sentAt = now;
         outcome.reportNumbers.add(report);
@@ -224,7 +224,7 @@
    */
   int offset(long report) {
     int offset = unfinished.isEmpty() ? end : unfinished.first();
-    for (Outcome outcome : unanswered) {
+    for (Outcome outcome : unacknowledged) {
       if (!outcome.reportNumbers.contains(report)) {
         offset = Math.min(offset, outcome.item.index());
       }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -18,7 +18,7 @@
  * items.
  *
  * <p>A range is requested after its batch was offered, held from its assignment, and forgotten once
- * its items have run and the leader has answered for all outcomes, or long after its lease ended.
+ * its items have run and the leader has acknowledged all outcomes, or long after its lease ended.
  * An outcome is kept until the leader has answered a report that carried it, so that a lost message
  * or a new leader loses none.
  */
@@ -87,7 +87,7 @@
 
   /** Holds the assigned range, or notes that the batch has none left. */
   public void handleAssignment(RangeAssignment assignment, String fromId, String fromAddress) {
-    rangeRequester.requestAnswered(assignment.batch(), assignment.worker());
+    rangeRequester.handleAnswered(assignment.batch(), assignment.worker());
     if (assignment.none()) {
       rangeRequester.exhausted(assignment.batch());
     } else {
@@ -103,7 +103,7 @@
     if (range == null) {
       return;
     }
-    range.handleReportAnswered(response.reportNumber(), response.keepLease());
+    range.handleReportResponse(response.reportNumber(), response.keepLease());
     ranges.removeIfDone(range);
     dispatch();
   }
@@ -117,7 +117,7 @@
 
   private void end(AssignedRange range) {
     workerDispatcher.cancelRuns(range);
-    range.unanswered.clear();
+    range.unacknowledged.clear();
     range.drop();
     ranges.removeIfDone(range);
   }
@@ -155,18 +155,18 @@
     long lapsedMs = now - range.leaseEndsAt;
     return range.running.isEmpty()
         && lapsedMs > LAPSED_LEASES * BatchConstants.RANGE_LEASE_MS
-        && (range.unanswered.isEmpty() || lapsedMs > BatchConstants.OUTCOME_RETENTION_MS);
+        && (range.unacknowledged.isEmpty() || lapsedMs > BatchConstants.OUTCOME_RETENTION_MS);
   }
 
   /**
    * Returns all items that have not been started, for a graceful stop.
    *
-   * @return true once nothing runs and the leaders have answered for all outcomes
+   * @return true once nothing runs and the leaders have acknowledged all outcomes
    */
   public boolean drain() {
     ranges.all().forEach(reporter::returnRange);
     return ranges.all().stream()
-        .allMatch(range -> range.running.isEmpty() && range.unanswered.isEmpty());
+        .allMatch(range -> range.running.isEmpty() && range.unacknowledged.isEmpty());
   }
 
   /** How many ranges are assigned to this edge. */
--- a/core-logic/src/main/java/applespindle/corelogic/batch/DeadlineOrder.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/DeadlineOrder.java
@@ -3,13 +3,12 @@
 import applespindle.corelogic.constants.BatchConstants;
 
 /**
- * The order in which batch work is served: by due time, but work that is late whatever happens
- * gives way for a while to work that can still be in time. Served by due time alone, late work
- * would make all that comes behind it late too; served last, it would stand still as long as new
- * work comes.
+ * The order in which batch work is dispatched: by due time, but work that is certain to be late
+ * comes, for a while, after work that can still meet its deadline. By due time alone late work
+ * would make all that follows late too; put last, it would starve as long as new work comes.
  *
  * @param now on the node's clock, in milliseconds
- * @param itemDurationMs how long an item takes
+ * @param itemDurationMs how long an item takes, in milliseconds
  */
 record DeadlineOrder(long now, long itemDurationMs) {
   boolean canMeetDeadline(long dueAt) {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReporter.java
@@ -23,7 +23,7 @@
   /** Reports the outcome of a run at once. */
   void reportOutcome(ItemRun run, String finishReason, String errorType, String output) {
     AssignedRange range = run.range;
-    range.unanswered.add(
+    range.unacknowledged.add(
         new AssignedRange.Outcome(
             new ItemOutcome(
                 run.item.index(),
@@ -47,7 +47,7 @@
 
   private void reportPartialStream(AssignedRange range, int index, StreamText text) {
     if (!text.resumeAfter().isEmpty() && !text.text().isEmpty()) {
-      range.unanswered.add(
+      range.unacknowledged.add(
           new AssignedRange.Outcome(
               new ItemOutcome(
                   index,
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeRequester.java
@@ -52,7 +52,7 @@
   }
 
   /** Forgets the request that the leader has answered. */
-  void requestAnswered(String batch, String workerId) {
+  void handleAnswered(String batch, String workerId) {
     pendingRequests.remove(requestKey(batch, workerId));
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
@@ -16,19 +16,19 @@
 import java.util.List;
 
 /**
- * Runs the code that takes batches on a made-up batch, round by round while a new process has
- * nothing else to do, so that the first clients do not wait for code that has never run: the first
- * pass costs some thirty times as much processor time as a later one. Nothing of it leaves the
- * process. An edge that leads batches runs all of that code; any other only what passes one on.
+ * Warms up the code that accepts batches: runs it on a sample batch, one round at a time while a
+ * new process has nothing else to do, as the first pass of that code costs some thirty times the
+ * processor time of a later one. Nothing of it leaves the process. An edge that leads batches runs
+ * all of that code, any other edge only the part that forwards a submission.
  */
 public final class SubmissionWarmUp {
-  /** Items of the made-up batch: a typical batch. */
+  /** Items of the sample batch, as in a typical batch. */
   private static final int ITEMS = 60;
 
   /** After so many rounds a further one costs little less than the last. */
   private static final int LEADER_ROUNDS = 8;
 
-  private static final int PASSING_ROUNDS = 3;
+  private static final int FORWARDING_ROUNDS = 3;
 
   private static final String BATCH = "warm-up";
 
@@ -49,8 +49,9 @@
     this.submissionReader = submissionReader;
   }
 
+  /** Whether further rounds would gain little. */
   public boolean isDone(boolean leads) {
-    return rounds >= (leads ? LEADER_ROUNDS : PASSING_ROUNDS);
+    return rounds >= (leads ? LEADER_ROUNDS : FORWARDING_ROUNDS);
   }
 
   /**
@@ -71,7 +72,7 @@
     BatchSubmission submission =
         format.sample(BATCH, route.host(), route.pathPrefix() + BATCH, ITEMS);
     byte[] body = new BatchSubmission.Forwarded(submission, configuration.number()).encode();
-    rehearse(
+    warmUp(
         new PeerRequest(
             0,
             PeerRequest.SUBMIT,
@@ -85,20 +86,20 @@
     }
   }
 
-  private void warmUpLeader(SubmissionReader.ReadResult taken) {
-    if (taken.error() != null) {
+  private void warmUpLeader(SubmissionReader.ReadResult read) {
+    if (read.error() != null) {
       return;
     }
-    Accepted accepted = taken.accepted();
+    Accepted accepted = read.accepted();
     byte[] event = BatchEventCodec.encode(BatchEvent.accepted(accepted));
     BatchState batchState = new BatchState();
     batchState.apply(event);
     Epoch epoch = new Epoch(1, identity.id());
     LogEntry entry = new LogEntry(1, epoch, false, event);
-    rehearse(new AppendRequest(BATCH, epoch, 0, 1, 0, Epoch.NONE, 0, true, List.of(entry)));
+    warmUp(new AppendRequest(BATCH, epoch, 0, 1, 0, Epoch.NONE, 0, true, List.of(entry)));
   }
 
-  private void rehearse(Message message) {
+  private void warmUp(Message message) {
     environment.warmUp(new Envelope(identity.id(), identity.peerAddress(), identity.id(), message));
   }
 }
