--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerRegistry.java
@@ -32,7 +32,7 @@
   private final Map<String, WorkerState> statesById = new TreeMap<>();
   private Consumer<WorkerState> callStartListener = ignored -> {};
 
-  /** When the first list came; -1 before. Workers listed soon after are new to this edge only. */
+  /** When the first list came, in monotonic milliseconds; -1 before. */
   private long firstListAt = -1;
 
   /**
@@ -46,19 +46,22 @@
     this.outlierDetection = new OutlierDetection(environment);
   }
 
-  /** Replaces the list of workers. Those listed in the first seconds get no slow start. */
+  /**
+   * Replaces the list of workers. Those that come within {@link WorkerConstants#SLOW_START_MS} of
+   * the first list are new only to this edge and get no slow start.
+   */
   public void updateWorkers(Map<String, WorkerRegistration> workers) {
     firstListAt = firstListAt < 0 ? environment.nowMs() : firstListAt;
-    boolean isFirstList = environment.nowMs() - firstListAt < WorkerConstants.SLOW_START_MS;
+    boolean startingUp = environment.nowMs() - firstListAt < WorkerConstants.SLOW_START_MS;
     statesById.keySet().retainAll(workers.keySet());
-    workers.forEach((id, registration) -> updateWorker(id, registration, isFirstList));
+    workers.forEach((id, registration) -> updateWorker(id, registration, startingUp));
   }
 
-  private void updateWorker(String id, WorkerRegistration registration, boolean isFirstList) {
+  private void updateWorker(String id, WorkerRegistration registration, boolean startingUp) {
     WorkerState state = statesById.get(id);
     if (state == null || !state.registration.address().equals(registration.address())) {
       state = new WorkerState(RendezvousHashing.hash(id));
-      if (!isFirstList) {
+      if (!startingUp) {
         state.startSlowStart(environment.nowMs());
       }
       statesById.put(id, state);
@@ -211,12 +214,16 @@
         && (rejected.status() == TOO_MANY_REQUESTS || rejected.status() == SERVICE_UNAVAILABLE);
   }
 
-  /** A call has completed without error. */
+  /** A call has completed without an error of the worker; the status may be any below 500. */
   public void recordSuccess(WorkerState worker) {
     outlierDetection.recordSuccess(worker);
   }
 
-  /** A call has completed without error, and its duration is typical of the worker's calls. */
+  /**
+   * A call has completed without an error of the worker.
+   *
+   * @param tookMs its duration, which counts towards the worker's service time
+   */
   public void recordSuccess(WorkerState worker, long tookMs) {
     recordSuccess(worker);
     worker.recordServiceTime(tookMs);
