--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -194,9 +194,9 @@
   }
 
   /**
-   * Null if the configuration can be accepted. If its number is older than all remembered ones, it
-   * is not known whether it was accepted, so it is not refused; but one that builds on its own
-   * number or a higher one was never accepted.
+   * Null if the configuration can be accepted. If its number is older than all remembered ones, the
+   * error says that the outcome is unknown, since it may have been accepted; one that builds on its
+   * own number or a higher one was never accepted.
    */
   private static ApiError refusal(
       String key, Long buildsOn, long number, SignedConfiguration inForce, RevisionStatus status) {
