--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
@@ -209,8 +209,8 @@
       object.put("id", idOf(call));
     }
     InputReader.Input<WorkerInput> input = InputReader.read(tree, WorkerInput.class);
-    if (!input.good()) {
-      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
+    if (!input.isValid()) {
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.errors()));
     }
     if (!input.value().id().equals(idOf(call))) {
       return HttpInterface.refuse(
@@ -242,8 +242,8 @@
    */
   private Promise<HttpResponse> replaceWorkers(HttpInterface http, Call call) {
     InputReader.Input<WorkerList> input = InputReader.read(call.body(), WorkerList.class);
-    if (!input.good()) {
-      return HttpInterface.refuse(new ApiError.InvalidInput(input.faults()));
+    if (!input.isValid()) {
+      return HttpInterface.refuse(new ApiError.InvalidInput(input.errors()));
     }
     var check = new ListVersionCheck(input.value().version());
     return http.ask(
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchState.java
@@ -10,72 +10,48 @@
 import java.util.stream.LongStream;
 
 /**
- * A batch as folded from the committed entries of its log; every leader that folds the same log
- * sees the same.
+ * A batch as folded from the committed entries of its log; leaders that fold the same log have the
+ * same state.
+ *
+ * <p>A batch is accepted once, then either finished or ended, and may be removed after that. It is
+ * refused only while it is not accepted. Invariants: an item has at most one result, which never
+ * changes; results are only appended, and none after the end; the epochs of ranges never fall.
  */
 public final class BatchState {
-  enum RangeState {
-    UNASSIGNED,
-    ASSIGNED,
-    DONE
-  }
-
-  static final class Range {
-    final int first;
-    final int length;
-    RangeState state = RangeState.UNASSIGNED;
-
-    /**
-     * Of the newest assignment. Rises with each; a report with an older one no longer moves the
-     * range.
-     */
-    long epoch;
-
-    String feeder = "";
-
-    /** Items from first up to here all have results. Never falls. */
-    int offset;
-
-    Range(int first, int length) {
-      this.first = first;
-      this.length = length;
-    }
-  }
-
   public Accepted accepted;
 
-  /** The log accepted the batch once more while it stood accepted: a defect. */
-  boolean acceptedAgain;
+  /** Whether the log accepted an accepted batch again, which breaks an invariant. */
+  boolean acceptedTwice;
 
   boolean refused;
   boolean ended;
   boolean finished;
 
   /**
-   * Highest age any leader knew of; carried on by the next, so that no wall clock is needed for the
-   * expiry.
+   * Highest age in the events, in milliseconds. The next leader counts on from it, so that the
+   * expiry needs no wall clock.
    */
   long ageMs;
 
-  /** In the order of handing out: a random permutation of range numbers, fixed at acceptance. */
+  /** Range numbers in the order of assignment: a random permutation, fixed at the acceptance. */
   List<Integer> order = List.of();
 
-  final List<Range> ranges = new ArrayList<>();
+  final List<BatchRange> ranges = new ArrayList<>();
 
-  /** In order of recording. Only ever grows, and an entry never changes once it is in. */
+  /** Results in the order of recording; they are only appended, and never change. */
   public final List<Result> results = new ArrayList<>();
 
   /** By item: the first committed result, later ones are dropped. */
-  private Result[] byItem = new Result[0];
+  private Result[] resultByItem = new Result[0];
 
   private int[] attempts = new int[0];
 
-  /** What each item takes of the room for waiting work: its tokens if it is opaque, else one. */
-  private long[] shares = new long[0];
+  /** What each item counts as waiting work: its tokens if it is proxied, else one. */
+  private long[] capacityByItem = new long[0];
 
-  private long waitingRoom;
+  private long remainingCapacity;
 
-  /** Each failed run counts once, however often it is reported. */
+  /** Ids of failed runs: each counts once as an attempt, however often it is reported. */
   private final Set<String> failedRuns = new HashSet<>();
 
   long highestRangeEpoch;
@@ -84,24 +60,24 @@
     apply(BatchEventCodec.decode(bytes));
   }
 
-  /** The same for an event that need not be read again, as it was written here. */
+  /** Folds an event that was written here and need not be decoded. */
   void apply(BatchEvent event) {
     ageMs = Math.max(ageMs, event.ageMs() == null ? 0 : event.ageMs());
     switch (event.kind()) {
       case BatchEvent.ACCEPTED -> accept(event.accepted());
       case BatchEvent.ORDERED -> order(event);
       case BatchEvent.ASSIGNED -> {
-        Range range = ranges.get(event.assigned().range());
-        range.state = RangeState.ASSIGNED;
+        BatchRange range = ranges.get(event.assigned().range());
+        range.state = BatchRange.State.ASSIGNED;
         range.epoch = event.assigned().rangeEpoch();
-        range.feeder = event.assigned().feeder();
+        range.dispatcher = event.assigned().dispatcher();
         highestRangeEpoch = Math.max(highestRangeEpoch, range.epoch);
       }
       case BatchEvent.RECORDED -> record(event.recorded());
       case BatchEvent.RETURNED -> {
-        Range range = ranges.get(event.returned().range());
-        if (range.epoch == event.returned().rangeEpoch() && range.state == RangeState.ASSIGNED) {
-          range.state = RangeState.UNASSIGNED;
+        BatchRange range = ranges.get(event.returned().range());
+        if (range.isAssigned(event.returned().rangeEpoch())) {
+          range.state = BatchRange.State.UNASSIGNED;
         }
       }
       case BatchEvent.ENDED -> ended = true;
@@ -117,20 +93,21 @@
   }
 
   private void accept(Accepted event) {
-    acceptedAgain |= accepted != null;
+    acceptedTwice |= accepted != null;
     if (accepted == null) {
       ended = false;
       finished = false;
       accepted = event;
       refused = false;
-      byItem = new Result[event.items().size()];
+      resultByItem = new Result[event.items().size()];
       attempts = new int[event.items().size()];
-      shares =
+      capacityByItem =
           event.items().stream()
               .mapToLong(
-                  item -> event.opaque() == null ? 1 : Math.max(1, item.path("tokens").asLong()))
+                  item ->
+                      event.proxiedRoute() == null ? 1 : Math.max(1, item.path("tokens").asLong()))
               .toArray();
-      waitingRoom = LongStream.of(shares).sum();
+      remainingCapacity = LongStream.of(capacityByItem).sum();
     }
   }
 
@@ -141,7 +118,7 @@
     order = event.order();
     int items = accepted.items().size();
     for (int first = 0; first < items; first += event.rangeItems()) {
-      ranges.add(new Range(first, Math.min(event.rangeItems(), items - first)));
+      ranges.add(new BatchRange(first, Math.min(event.rangeItems(), items - first)));
     }
   }
 
@@ -150,9 +127,9 @@
       return;
     }
     for (Result result : event.results()) {
-      if (byItem[result.index()] == null) {
-        byItem[result.index()] = result;
-        waitingRoom -= shares[result.index()];
+      if (resultByItem[result.index()] == null) {
+        resultByItem[result.index()] = result;
+        remainingCapacity -= capacityByItem[result.index()];
         results.add(result);
       }
     }
@@ -161,18 +138,18 @@
         attempts[attempt.index()]++;
       }
     }
-    for (Range range : ranges) {
-      while (range.offset < range.length && byItem[range.first + range.offset] != null) {
+    for (BatchRange range : ranges) {
+      while (range.offset < range.length && resultByItem[range.first + range.offset] != null) {
         range.offset++;
       }
       if (range.offset == range.length) {
-        range.state = RangeState.DONE;
+        range.state = BatchRange.State.DONE;
       }
     }
   }
 
   boolean hasResult(int item) {
-    return byItem[item] != null;
+    return resultByItem[item] != null;
   }
 
   boolean hasFailed(String run) {
@@ -183,23 +160,26 @@
     return attempts[item];
   }
 
+  /** Number of items; 0 before the acceptance. */
   public int items() {
-    return byItem.length;
+    return resultByItem.length;
   }
 
   int unfinishedItems() {
-    return accepted == null || ended ? 0 : byItem.length - results.size();
+    return accepted == null || ended ? 0 : resultByItem.length - results.size();
   }
 
-  /** Of the room for waiting work, what this batch still takes. */
+  /** The waiting work of this batch: tokens of a proxied batch, items of a batch of prompts. */
   long remainingCapacity() {
-    return accepted == null || ended ? 0 : waitingRoom;
+    return accepted == null || ended ? 0 : remainingCapacity;
   }
 
+  /** Whether the batch is accepted and neither ended nor finished. */
   public boolean isOpen() {
     return accepted != null && !ended && !finished;
   }
 
+  /** The state as clients read it. */
   public String state() {
     if (accepted == null) {
       return refused ? "refused" : "unknown";
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionsInProgress.java
@@ -8,40 +8,42 @@
 import java.util.Map;
 
 /**
- * The batches that are being accepted at this edge, from the arrival of the ask to its answer. The
- * same batch that arrives again meanwhile joins the ask at work, so that its body is read, reserved
- * and claimed once; it gets the same answer.
+ * The submissions that this edge is working on, from the arrival of the request to its response. A
+ * repeated submission of the same batch joins the one in progress and gets the same response, so
+ * that the body is read, and its capacity and key are claimed, once.
  */
 public final class SubmissionsInProgress {
-  private record SubmissionInProgress(PeerRequest ask, List<PeerRequest> joined) {}
+  private record SubmissionInProgress(PeerRequest request, List<PeerRequest> joined) {}
 
-  private final Map<String, SubmissionInProgress> byKey = new HashMap<>();
+  private final Map<String, SubmissionInProgress> inProgressByKey = new HashMap<>();
   private long bytes;
 
   /**
-   * Whether the ask is one of a batch already at work, with the same body; it then waits for it.
+   * Joins the request to the one in progress under the same key and with the same body; false if
+   * there is none.
    */
   public boolean join(PeerRequest request) {
-    SubmissionInProgress work = byKey.get(request.key());
-    if (work == null || !Arrays.equals(work.ask.body(), request.body())) {
+    SubmissionInProgress work = inProgressByKey.get(request.key());
+    if (work == null || !Arrays.equals(work.request.body(), request.body())) {
       return false;
     }
     work.joined.add(request);
     return true;
   }
 
-  /** Work on an ask begins. Of one with another body under the same key nothing is kept. */
+  /** Starts a request. One with another body under a key in progress is not kept. */
   public void begin(PeerRequest request) {
-    if (byKey.putIfAbsent(request.key(), new SubmissionInProgress(request, new ArrayList<>()))
+    if (inProgressByKey.putIfAbsent(
+            request.key(), new SubmissionInProgress(request, new ArrayList<>()))
         == null) {
       bytes += request.body().length;
     }
   }
 
-  /** The ask and those that joined it while it is at work; none otherwise. */
+  /** The request and those that joined it, while it is in progress; empty otherwise. */
   public List<PeerRequest> waitingFor(PeerRequest request) {
-    SubmissionInProgress work = byKey.get(request.key());
-    if (work == null || work.ask != request) {
+    SubmissionInProgress work = inProgressByKey.get(request.key());
+    if (work == null || work.request != request) {
       return List.of();
     }
     List<PeerRequest> waiting = new ArrayList<>(work.joined);
@@ -49,18 +51,18 @@
     return waiting;
   }
 
-  /** Work on an ask is over: those that joined it, which are to be told the same. */
+  /** Ends a request, and returns those that joined it, which get the same response. */
   public List<PeerRequest> end(PeerRequest request) {
-    SubmissionInProgress work = byKey.get(request.key());
-    if (work == null || work.ask != request) {
+    SubmissionInProgress work = inProgressByKey.get(request.key());
+    if (work == null || work.request != request) {
       return List.of();
     }
-    byKey.remove(request.key());
+    inProgressByKey.remove(request.key());
     bytes -= request.body().length;
     return work.joined;
   }
 
-  /** Of all bodies at work. */
+  /** Size of all bodies in progress. */
   public long bytes() {
     return bytes;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -11,24 +11,26 @@
 import java.util.function.ToIntFunction;
 
 /**
- * How many more batch items a worker may get from this edge, so that live requests keep their room
- * and no stream there pauses for long.
+ * How many more batch items a worker may get from this edge, so that live requests keep their
+ * capacity and no stream at the worker pauses for long. It holds moving averages of the times that
+ * proxied items take, and since when each worker is dispatched to from here.
  */
 final class WorkerBatchCapacity {
   private final Environment environment;
   private final BatchDispatcher.Context edge;
   private final WorkerRegistry registry;
 
-  /** Runs of opaque items at a worker from which nothing has come yet. */
-  private final ToIntFunction<WorkerState> starting;
+  /** Counts the runs at a worker without a response head. */
+  private final ToIntFunction<WorkerState> startingRuns;
 
   /** By worker: since when it is fed from here. */
-  private final Map<String, Long> feedsSince = new HashMap<>();
+  private final Map<String, Long> dispatchingSince = new HashMap<>();
 
-  /** How long opaque items take to their first bytes and to their end, in milliseconds. */
-  private double firstMs = BatchConstants.INITIAL_ITEM_FIRST_BYTE_MS;
+  /** Milliseconds from sending a proxied item to the head of its response; a moving average. */
+  private double firstByteMs = BatchConstants.INITIAL_ITEM_FIRST_BYTE_MS;
 
-  private double wholeMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
+  /** Milliseconds from sending a proxied item to its end; a moving average. */
+  private double itemDurationMs = BatchConstants.INITIAL_ITEM_DURATION_MS;
 
   WorkerBatchCapacity(
       Environment environment,
@@ -38,61 +40,61 @@
     this.environment = environment;
     this.edge = edge;
     this.registry = registry;
-    this.starting = starting;
+    this.startingRuns = starting;
   }
 
-  void feeds(String workerId) {
-    feedsSince.putIfAbsent(workerId, environment.nowMs());
+  void markDispatching(String workerId) {
+    dispatchingSince.putIfAbsent(workerId, environment.nowMs());
   }
 
-  void feedsNoMore(String workerId) {
-    feedsSince.remove(workerId);
+  void clearDispatching(String workerId) {
+    dispatchingSince.remove(workerId);
   }
 
-  void noteFirst(long tookMs) {
-    firstMs += (tookMs - firstMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
+  void recordFirstByteTime(long tookMs) {
+    firstByteMs += (tookMs - firstByteMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
-  void noteWhole(long tookMs) {
-    wholeMs += (tookMs - wholeMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
+  void recordItemDuration(long tookMs) {
+    itemDurationMs += (tookMs - itemDurationMs) * WorkerConstants.MOVING_AVERAGE_WEIGHT;
   }
 
-  /** Items that may be begun there now; negative if more run there than should. */
+  /** Items that may be started at the worker now; negative if more run there than should. */
   int free(WorkerState worker) {
     RoutingConfiguration configuration = edge.configuration();
     if (configuration == null || !registry.isUsable(worker)) {
       return 0;
     }
-    if (worker.worker.slots() > 0) {
+    if (worker.registration.slots() > 0) {
       return freeSlots(worker);
     }
     RoutingConfiguration.BatchLimits limits = configuration.limits().batch();
-    if (!worker.worker.pool().equals(limits.pool())) {
+    if (!worker.registration.pool().equals(limits.pool())) {
       return 0;
     }
     int live = Math.max(worker.liveRunning(), (int) worker.peakLiveCalls);
     int left = worker.load.capacity() - limits.liveReserve() - live;
-    return Math.min(limits.perWorkerMost(), left) - worker.batchCalls;
+    return Math.min(limits.maxItemsPerWorker(), left) - worker.batchCalls;
   }
 
   private int freeSlots(WorkerState worker) {
-    int slots = worker.worker.slots();
+    int slots = worker.registration.slots();
     int reserve = Math.max(1, slots / BatchConstants.LIVE_RESERVE_ONE_IN);
     long liveNow = Math.round(worker.runningCallsNow(environment.nowMs())) - worker.batchCalls;
     int live = (int) Math.min(liveNow, slots / 2);
-    int share = (int) Math.ceil((slots - reserve) * ramp(worker));
+    int share = (int) Math.ceil((slots - reserve) * slowStartShare(worker));
     int free = Math.min(share, slots - reserve - live) - worker.batchCalls;
-    return Math.min(free, startsMost(slots) - starting.applyAsInt(worker));
+    return Math.min(free, maxConcurrentStarts(slots) - startingRuns.applyAsInt(worker));
   }
 
-  /** How long an item takes from its begin to its end, as seen here. */
-  long itemMs() {
-    return Math.round(wholeMs);
+  /** Milliseconds that a proxied item takes from its sending to its end, as seen here. */
+  long itemDurationMs() {
+    return Math.round(itemDurationMs);
   }
 
-  /** A feeder that has just begun takes a worker's slots by and by. */
-  private double ramp(WorkerState worker) {
-    Long since = feedsSince.get(worker.worker.id());
+  /** A dispatcher that is new to a worker takes its slots gradually. */
+  private double slowStartShare(WorkerState worker) {
+    Long since = dispatchingSince.get(worker.registration.id());
     if (since == null) {
       return WorkerConstants.MIN_SLOW_START_WEIGHT;
     }
@@ -101,18 +103,19 @@
   }
 
   /**
-   * A worker reads prompts between the tokens of its streams: many items begun at once would make a
-   * pause in all of them. As many as keep its slots in use are enough, which follows from how long
-   * items take to begin and to end.
+   * The most items that may be starting at once. A worker reads prompts between the tokens of its
+   * streams, so that many starts at once would pause all of them; as many as keep its slots in use
+   * are enough, which follows from the times to the first byte and to the end.
    */
-  private int startsMost(int slots) {
-    double part = Math.min(1, BatchConstants.CONCURRENT_STARTS_FACTOR * firstMs / wholeMs);
+  private int maxConcurrentStarts(int slots) {
+    double part =
+        Math.min(1, BatchConstants.CONCURRENT_STARTS_FACTOR * firstByteMs / itemDurationMs);
     return (int) Math.max(BatchConstants.MIN_CONCURRENT_STARTS, Math.ceil(slots * part));
   }
 
-  /** One more prompt would come close to a pause in the streams there that is too long. */
-  boolean hasMuchToRead(WorkerState worker) {
-    long gapMs = edge.routes().gapTargetMs(worker.worker.pool());
+  /** Whether one more prompt could pause the worker's streams for too long. */
+  boolean hasPromptBacklog(WorkerState worker) {
+    long gapMs = edge.routes().gapTargetMs(worker.registration.pool());
     return gapMs > 0
         && worker.streamPauseMs(environment.nowMs(), 0)
             > BatchConstants.MAX_STREAM_PAUSE_SHARE * gapMs;
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/BatchCapacityLedger.java
@@ -36,7 +36,7 @@
 
   /** Applies an entry of the key's log. */
   void replay(LogEntry entry) {
-    if (entry.whole()) {
+    if (entry.snapshot()) {
       BatchCapacityUsage snapshot = Json.read(entry.event(), BatchCapacityUsage.class);
       items.clear();
       items.putAll(snapshot.items());
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandRouter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandRouter.java
@@ -78,7 +78,7 @@
   /** The replica is null if this node has none of the key. */
   private boolean hasOtherLeader(LogReplica replica) {
     return replica != null
-        && !replicas.isLeaderSilent(replica)
+        && !replicas.isLeaderTimedOut(replica)
         && !replica.leaderId.equals(identity.id());
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ConfigurationManager.java
@@ -8,6 +8,7 @@
 import applespindle.corelogic.configuration.ConfigurationFormat;
 import applespindle.corelogic.configuration.ConfigurationPatch;
 import applespindle.corelogic.configuration.ConfigurationPatchRequest;
+import applespindle.corelogic.configuration.ConfigurationValidator;
 import applespindle.corelogic.configuration.RoutingConfiguration;
 import applespindle.corelogic.environment.NodeSettings;
 import applespindle.corelogic.metadata.AcceptedRevisions;
@@ -58,7 +59,7 @@
 
   /** Accepts a configuration and responds once it is in force, or refuses it. */
   void set(PeerRequest request, LedKey ledKey, SignedConfiguration sent) {
-    RoutingConfiguration.ValidationResult validated = validate(sent);
+    ConfigurationValidator.ValidationResult validated = validate(sent);
     if (validated.error() != null) {
       responder.reject(request, validated.error());
       return;
@@ -95,7 +96,7 @@
     var result =
         new SignedConfiguration(
             number, patched.configuration(), sent.keyId(), sent.signature(), sent.buildsOn());
-    RoutingConfiguration.ValidationResult validated = validate(result);
+    ConfigurationValidator.ValidationResult validated = validate(result);
     if (validated.error() != null) {
       responder.reject(request, validated.error());
       return;
@@ -117,10 +118,11 @@
         : format.parse(applied.configuration());
   }
 
-  private RoutingConfiguration.ValidationResult validate(SignedConfiguration sent) {
+  private ConfigurationValidator.ValidationResult validate(SignedConfiguration sent) {
     return settings.signedConfigurations()
-        ? RoutingConfiguration.validate(sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
-        : RoutingConfiguration.validate(sent.bytes());
+        ? ConfigurationValidator.validate(
+            sent.bytes(), sent.keyId(), sent.signature(), operatorKeys)
+        : ConfigurationValidator.validate(sent.bytes());
   }
 
   /**
@@ -130,7 +132,7 @@
   private boolean isAcceptable(
       PeerRequest request, LedKey ledKey, long number, byte[] content, Long buildsOn) {
     SignedConfiguration inForce = ledKey.as(SignedConfiguration.class);
-    RevisionStatus status = acceptedSoFar(inForce).standing(number, content);
+    RevisionStatus status = acceptedSoFar(inForce).statusOf(number, content);
     if (status == RevisionStatus.ACCEPTED) {
       ledKey.confirmLeadership(error -> acknowledge(request, ledKey, number, error));
       return false;
@@ -188,7 +190,7 @@
       return inForce.accepted();
     }
     RoutingConfiguration configuration =
-        RoutingConfiguration.validate(inForce.bytes()).configuration();
+        ConfigurationValidator.validate(inForce.bytes()).configuration();
     byte[] content = configuration == null ? inForce.bytes() : content(configuration, inForce);
     return AcceptedRevisions.startingWith(inForce.number(), content);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -120,7 +120,7 @@
     tickOrder.forEach(KeyManager::tick);
     faultTolerance.update(
         FaultToleranceMonitor.remainingTolerableFailures(
-            context.quorum().replicaSets(), context.quorum().liveMembers()::contains),
+            context.quorum().replicaConfiguration(), context.quorum().liveMembers()::contains),
         shardHealth.remainingTolerableFailures(),
         context.environment().nowMs());
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -134,7 +134,8 @@
     this.bootstrap = newBootstrap();
     this.staticBootstrap = new StaticBootstrap(environment, identity, quorum, founders);
     this.replicas =
-        new LogReplicas(environment, this::send, this::committed, key -> QuorumView.SET_NAME);
+        new LogReplicas(
+            environment, this::send, this::committed, key -> QuorumView.REPLICA_SET_NAME);
     this.catchUp = new ReplicaCatchUp(environment, this, replicas, new HashMap<>(), id -> "");
     this.joiningMember = new JoiningMember(environment, this, quorum, catchUp);
     this.keys = newLedKeys();
@@ -231,7 +232,7 @@
   public void recover(LogRecord record) {
     if (QuorumBootstrap.owns(record)) {
       bootstrap.recover(record);
-    } else if (record.kind() == Kind.ROSTER) {
+    } else if (record.kind() == Kind.MEMBERSHIP) {
       learnMembership(Json.read(record.payload(), QuorumMembership.class));
     } else {
       replicas.recover(record);
@@ -241,7 +242,7 @@
   @Override
   public List<LogRecord> checkpoint() {
     List<LogRecord> records = new ArrayList<>();
-    if (membership.number() > 0) {
+    if (membership.version() > 0) {
       records.add(membershipRecord());
     } else {
       records.addAll(bootstrap.records());
@@ -252,10 +253,10 @@
 
   private LogRecord membershipRecord() {
     return new LogRecord(
-        Kind.ROSTER,
+        Kind.MEMBERSHIP,
         MetadataKeys.MEMBERSHIP,
         Epoch.NONE,
-        membership.number(),
+        membership.version(),
         true,
         Json.bytes(membership));
   }
@@ -266,7 +267,7 @@
     quorum.started();
     replicas.finishRecovery();
     joiningMember.catchUpIfJoining();
-    boolean discoversFounders = staticBootstrap.isEmpty() && membership.number() == 0;
+    boolean discoversFounders = staticBootstrap.isEmpty() && membership.version() == 0;
     addPeers(discoversFounders ? seeds : staticBootstrap.addresses());
     quorum.addMembersAsPeers();
     if (discoversFounders) {
@@ -290,10 +291,10 @@
   }
 
   private void tick() {
-    if (settings.voter() || membership.number() == 0 && bootstrap.isCoordinator()) {
+    if (settings.voter() || membership.version() == 0 && bootstrap.isCoordinator()) {
       heartbeat.send();
     }
-    if (membership.number() == 0) {
+    if (membership.version() == 0) {
       formQuorum();
     }
     if (quorum.isMember() && !stopping) {
@@ -332,9 +333,9 @@
 
   @Override
   protected void learnMembership(QuorumMembership newerMembership) {
-    long before = membership.number();
+    long before = membership.version();
     super.learnMembership(newerMembership);
-    if (membership.number() == before || !started) {
+    if (membership.version() == before || !started) {
       return;
     }
     quorum.addMembersAsPeers();
@@ -347,13 +348,13 @@
       return;
     }
     replicas.adoptConfiguration(
-        QuorumView.SET_NAME, membership.number(), joiningMember::catchUpIfJoining);
+        QuorumView.REPLICA_SET_NAME, membership.version(), joiningMember::catchUpIfJoining);
     keys.reconfigure();
   }
 
   /** Called for each entry that was committed in a log with a replica here. */
   private void committed(String key, LogEntry entry) {
-    boolean isValue = !entry.isTakeover() && entry.whole();
+    boolean isValue = !entry.isEpochStart() && entry.snapshot();
     if (!isValue || key.equals(MetadataKeys.BATCH_CAPACITY)) {
       return;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListManager.java
@@ -62,7 +62,7 @@
     }
     environment.log(
         PART,
-        "Edge list " + next.get().number() + " has " + next.get().addresses().size() + " edges.");
+        "Edge list " + next.get().version() + " has " + next.get().addresses().size() + " edges.");
     keys.put(ledKey, next.get(), error -> {});
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
@@ -93,7 +93,7 @@
             address -> {
               List<String> addresses = new ArrayList<>(current.addresses());
               addresses.add(address);
-              return new EdgeList(current.number() + 1, addresses);
+              return new EdgeList(current.version() + 1, addresses);
             });
   }
 
@@ -105,7 +105,7 @@
             address -> {
               List<String> addresses = new ArrayList<>(current.addresses());
               addresses.remove(address);
-              return new EdgeList(current.number() + 1, addresses);
+              return new EdgeList(current.version() + 1, addresses);
             });
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -78,7 +78,7 @@
             environment,
             identity.id(),
             sender,
-            key -> quorum.replicaSets(),
+            key -> quorum.replicaConfiguration(),
             this::leadershipTaken,
             true);
   }
@@ -126,7 +126,8 @@
   /** Starts an election if the key has no leader in contact and this node is preferred for it. */
   void electIfVacant(String key) {
     LogReplica replica = replicas.replicas().get(key);
-    if ((replica == null || replicas.isLeaderSilent(replica)) && quorum.isPreferredLeaderOf(key)) {
+    if ((replica == null || replicas.isLeaderTimedOut(replica))
+        && quorum.isPreferredLeaderOf(key)) {
       elect(key);
     }
   }
@@ -145,7 +146,7 @@
         .forEach(
             (key, replica) -> {
               if (!ledKeys.containsKey(key)
-                  && replicas.isLeaderSilent(replica)
+                  && replicas.isLeaderTimedOut(replica)
                   && (needsLeader(key) || replicas.hasUncommittedEntries(key))
                   && identity.id().equals(RendezvousHashing.first(key, live))) {
                 elect(key);
@@ -189,7 +190,7 @@
   /** Lets every led key and every election continue with the membership as it is known now. */
   void reconfigure() {
     List.copyOf(ledKeys.values())
-        .forEach(ledKey -> ledKey.leader().reconfigure(quorum.replicaSets()));
+        .forEach(ledKey -> ledKey.leader().reconfigure(quorum.replicaConfiguration()));
     elections.reconfigure();
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/PeerMessageHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/PeerMessageHandler.java
@@ -105,11 +105,11 @@
     if (!started.getAsBoolean() || !quorum.isMember() || !quorum.includes(fromAddress)) {
       return;
     }
-    if (contact.heardAgain()) {
+    if (contact.aliveAgain()) {
       heartbeat.send(List.of(fromAddress));
       feed.poll(fromAddress);
     }
-    if (contact.hearEachOtherAgain() && !stopping.getAsBoolean()) {
+    if (contact.inContactAgain() && !stopping.getAsBoolean()) {
       keys.electForLeaderlessKeys();
     }
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
@@ -70,11 +70,11 @@
     }
     QuorumMembership present =
         ledKey.hasValue() ? ledKey.as(QuorumMembership.class) : quorum.current();
-    boolean presentIsInUse = present.number() == quorum.current().number();
+    boolean presentIsInUse = present.version() == quorum.current().version();
     if (!presentIsInUse) {
       return;
     }
-    if (!present.next().isEmpty()) {
+    if (!present.nextMembers().isEmpty()) {
       completeOrCancelChange(ledKey, present);
     } else if (!replaceLostMember(ledKey, present)) {
       grow(ledKey, present);
@@ -83,27 +83,27 @@
 
   private void completeOrCancelChange(LedKey ledKey, QuorumMembership present) {
     QuorumMember added = addedMember(present);
-    if (ledKey.hasCaughtUp(added.id(), present.number())) {
+    if (ledKey.hasCaughtUp(added.id(), present.version())) {
       environment.log(PART, "Quorum member added: " + added.name() + ".");
-      put(ledKey, present, present.next(), List.of());
+      put(ledKey, present, present.nextMembers(), List.of());
     } else if (!isReachable(added)) {
       put(ledKey, present, present.members(), List.of());
     }
   }
 
   private static QuorumMember addedMember(QuorumMembership changing) {
-    return changing.next().stream()
+    return changing.nextMembers().stream()
         .filter(member -> !changing.members().contains(member))
         .findFirst()
         .orElseThrow(
             () ->
                 new IllegalStateException(
-                    "membership " + changing.number() + " is changing but adds no member"));
+                    "membership " + changing.version() + " is changing but adds no member"));
   }
 
   private boolean isReachable(QuorumMember member) {
     QuorumPeer peer = quorum.peers().get(member.peerAddress());
-    return peer != null && quorum.isAlive(peer) && peer.member.id().equals(member.id());
+    return peer != null && quorum.isAlive(peer) && peer.member().id().equals(member.id());
   }
 
   /** Begins the replacement of the first lost member, if any; true if it did. */
@@ -137,7 +137,7 @@
     long now = environment.nowMs();
     long unreachableMs = now - unreachableSinceMs.computeIfAbsent(member.id(), unknown -> now);
     if (hasNewProcessAtAddress(member, peer)) {
-      return Optional.of(peer.member);
+      return Optional.of(peer.member());
     }
     return unreachableMs >= MembershipConstants.QUORUM_MEMBER_REPLACEMENT_DELAY_MS
         ? candidateFor(member)
@@ -150,8 +150,8 @@
    */
   private boolean hasNewProcessAtAddress(QuorumMember member, QuorumPeer peer) {
     boolean sameProcess =
-        peer != null && peer.member != null && peer.member.id().equals(member.id());
-    return peer != null && !sameProcess && quorum.isAlive(peer) && peer.joinCandidate;
+        peer != null && peer.member() != null && peer.member().id().equals(member.id());
+    return peer != null && !sameProcess && quorum.isAlive(peer) && peer.isJoinCandidate();
   }
 
   private void grow(LedKey ledKey, QuorumMembership present) {
@@ -174,8 +174,8 @@
    */
   private Optional<QuorumMember> candidateFor(QuorumMember lost) {
     return quorum.peers().values().stream()
-        .filter(peer -> quorum.isAlive(peer) && peer.joinCandidate)
-        .map(peer -> peer.member)
+        .filter(peer -> quorum.isAlive(peer) && peer.isJoinCandidate())
+        .map(peer -> peer.member())
         .min(
             Comparator.comparing(
                     (QuorumMember each) -> lost != null && !each.zone().equals(lost.zone()))
@@ -197,6 +197,6 @@
       QuorumMembership present,
       List<QuorumMember> members,
       List<QuorumMember> next) {
-    keys.put(ledKey, new QuorumMembership(present.number() + 1, members, next), error -> {});
+    keys.put(ledKey, new QuorumMembership(present.version() + 1, members, next), error -> {});
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardHealth.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardHealth.java
@@ -28,7 +28,7 @@
    * replica set is in progress.
    */
   boolean isComplete(ShardAssignment shard, Map<String, ?> liveById) {
-    return shard.next().isEmpty()
+    return shard.nextReplicas().isEmpty()
         && shard.replicas().size() == replicationFactor
         && shard.replicas().stream()
             .allMatch(
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
@@ -123,7 +123,7 @@
   }
 
   private static boolean isChanging(ShardAssignment shard) {
-    return !shard.next().isEmpty();
+    return !shard.nextReplicas().isEmpty();
   }
 
   private long changesInProgress() {
@@ -152,7 +152,7 @@
 
   private void beginChange(LedKey ledKey, ShardAssignment shard, List<ShardReplica> next) {
     ledKey.forgetCaughtUpReports();
-    long number = shard.number() + 1;
+    long number = shard.version() + 1;
     traceLog.add("changing", ledKey.key(), "set " + number);
     keys.put(ledKey, new ShardAssignment(number, shard.replicas(), next), error -> {});
   }
@@ -163,11 +163,13 @@
    */
   private void completeOrCancelChange(LedKey ledKey, ShardAssignment shard) {
     List<ShardReplica> added =
-        shard.next().stream().filter(replica -> !shard.replicas().contains(replica)).toList();
-    List<ShardReplica> needed = added.isEmpty() ? shard.next() : added;
-    if (needed.stream().allMatch(replica -> ledKey.hasCaughtUp(replica.id(), shard.number()))) {
+        shard.nextReplicas().stream()
+            .filter(replica -> !shard.replicas().contains(replica))
+            .toList();
+    List<ShardReplica> needed = added.isEmpty() ? shard.nextReplicas() : added;
+    if (needed.stream().allMatch(replica -> ledKey.hasCaughtUp(replica.id(), shard.version()))) {
       environment.log(PART, "Replicas changed: " + ledKey.key() + ".");
-      endChange(ledKey, shard, shard.next());
+      endChange(ledKey, shard, shard.nextReplicas());
     } else if (added.stream().anyMatch(replica -> !repairPolicy.isLive(replica))) {
       endChange(ledKey, shard, shard.replicas());
     }
@@ -175,7 +177,9 @@
 
   private void endChange(LedKey ledKey, ShardAssignment shard, List<ShardReplica> replicas) {
     keys.put(
-        ledKey, new ShardAssignment(shard.number() + 1, replicas, List.of()), error -> checkSoon());
+        ledKey,
+        new ShardAssignment(shard.version() + 1, replicas, List.of()),
+        error -> checkSoon());
   }
 
   /**
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageNodeDirectory.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageNodeDirectory.java
@@ -59,7 +59,7 @@
   /** True if the shard's current or next replica set names the node. */
   static boolean names(ShardAssignment shard, String id) {
     return shard.replicas().stream().anyMatch(replica -> replica.id().equals(id))
-        || shard.next().stream().anyMatch(replica -> replica.id().equals(id));
+        || shard.nextReplicas().stream().anyMatch(replica -> replica.id().equals(id));
   }
 
   /**
--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -13,9 +13,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What a newcomer of a membership change does: copies all core keys from a majority of the members,
- * then reports so until the change is over. Invariant: it reports a membership number only after it
- * has copied under that very number.
+ * The joining member's part in a membership change: copies all keys of the control plane from a
+ * majority of the members, then reports this until the change is complete. Owns no state besides
+ * the copying and reporting in progress.
+ *
+ * <p>Invariant: a version of the membership is reported only after the keys were copied under that
+ * very version.
  */
 public final class JoiningMember {
   private final Environment environment;
@@ -23,6 +26,7 @@
   private final QuorumView quorum;
   private final ReplicaCatchUp catchUp;
 
+  /** Creates the joining member of one node. */
   public JoiningMember(
       Environment environment, Node node, QuorumView quorum, ReplicaCatchUp catchUp) {
     this.environment = environment;
@@ -31,23 +35,23 @@
     this.catchUp = catchUp;
   }
 
-  /** Begins to copy if this node is the newcomer of the present membership. */
+  /** Starts to copy the keys if this node is the joining member of the current membership. */
   public void catchUpIfJoining() {
     if (quorum.isMember() || !quorum.isReplica()) {
       return;
     }
-    long number = quorum.current().number();
-    node.traceLog().add("copying", QuorumView.SET_NAME, "set " + number);
+    long version = quorum.current().version();
+    node.traceLog().add("copying", QuorumView.REPLICA_SET_NAME, "set " + version);
     catchUp.catchUp(
-        QuorumView.SET_NAME,
-        number,
+        QuorumView.REPLICA_SET_NAME,
+        version,
         QuorumView.replicas(quorum.current().members()),
-        () -> isCurrent(number),
-        () -> reportCopied(number));
+        () -> isCurrent(version),
+        () -> reportCopied(version));
   }
 
-  private boolean isCurrent(long number) {
-    return quorum.current().number() == number && !node.isTerminated();
+  private boolean isCurrent(long version) {
+    return quorum.current().version() == version && !node.isTerminated();
   }
 
   private void reportCopied(long number) {
--- a/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonFixtures.java
@@ -6,6 +6,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.lang.reflect.Method;
 import java.lang.reflect.RecordComponent;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -42,7 +43,7 @@
         });
   }
 
-  /** Compares field by field, as equality of records doesn't look into byte arrays. */
+  /** Compares field by field, as the equality of records compares byte arrays by identity. */
   public static void assertSame(String where, Object actual, Object expected) {
     if (expected instanceof Record) {
       assertWithMessage(where).that(actual).isNotNull();
@@ -67,9 +68,11 @@
 
   private static Object fieldOf(Object value, RecordComponent component) {
     try {
-      return component.getAccessor().invoke(value);
-    } catch (ReflectiveOperationException fault) {
-      throw new AssertionError(fault);
+      Method accessor = component.getAccessor();
+      accessor.setAccessible(true);
+      return accessor.invoke(value);
+    } catch (ReflectiveOperationException inaccessible) {
+      throw new AssertionError(inaccessible);
     }
   }
 }
--- a/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/metadata/AcceptedRevisionsTest.java
@@ -23,33 +23,33 @@
   }
 
   @Test
-  void tellsWhatWasAcceptedFromWhatWasNot() {
+  void distinguishesAcceptedFromNeverAcceptedRevisions() {
     AcceptedRevisions accepted = accepted(3);
-    assertThat(accepted.standing(4, content(4))).isEqualTo(RevisionStatus.ACCEPTED);
-    assertThat(accepted.standing(4, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(5, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(8, content(8))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(4, content(4))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(4, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(5, content(5))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(8, content(8))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
   }
 
   @Test
-  void whileAllIsRememberedNothingIsForgotten() {
+  void forgetsNothingBeforeItIsFull() {
     AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
-    assertThat(accepted.standing(2, content(2))).isEqualTo(RevisionStatus.ACCEPTED);
-    assertThat(accepted.standing(1, content(1))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(2, content(2))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(1, content(1))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
   }
 
   @Test
-  void whatIsOlderThanTheMemoryIsForgottenAndNothingElse() {
+  void forgetsOnlyRevisionsOlderThanTheOldestRemembered() {
     AcceptedRevisions accepted = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + 3);
-    assertThat(accepted.standing(2, content(2))).isEqualTo(RevisionStatus.FORGOTTEN);
-    assertThat(accepted.standing(5, content(5))).isEqualTo(RevisionStatus.FORGOTTEN);
-    assertThat(accepted.standing(6, content(6))).isEqualTo(RevisionStatus.FORGOTTEN);
-    assertThat(accepted.standing(7, content(7))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(8, content(8))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(2, content(2))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(5, content(5))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(6, content(6))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(7, content(7))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(8, content(8))).isEqualTo(RevisionStatus.ACCEPTED);
   }
 
   @Test
-  void itsSizeIsBounded() {
+  void sizeIsBounded() {
     int full = accepted(ConfigurationConstants.MAX_REMEMBERED_REVISIONS).packed().length;
     assertThat(full).isEqualTo(16 * ConfigurationConstants.MAX_REMEMBERED_REVISIONS);
     assertThat(accepted(5 * ConfigurationConstants.MAX_REMEMBERED_REVISIONS).packed())
@@ -57,22 +57,22 @@
   }
 
   @Test
-  void afterAWriterWithoutThisMemoryOnlyTheLastIsKnown() {
+  void startsWithTheCurrentRevisionIfNoMemoryWasStored() {
     AcceptedRevisions accepted = AcceptedRevisions.startingWith(10, content(10));
-    assertThat(accepted.standing(10, content(10))).isEqualTo(RevisionStatus.ACCEPTED);
-    assertThat(accepted.standing(10, content(11))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
-    assertThat(accepted.standing(9, content(9))).isEqualTo(RevisionStatus.FORGOTTEN);
+    assertThat(accepted.statusOf(10, content(10))).isEqualTo(RevisionStatus.ACCEPTED);
+    assertThat(accepted.statusOf(10, content(11))).isEqualTo(RevisionStatus.NEVER_ACCEPTED);
+    assertThat(accepted.statusOf(9, content(9))).isEqualTo(RevisionStatus.FORGOTTEN);
   }
 
   @Test
-  void isKeptWithItsBundleAndStrippedForTheFeed() {
+  void isStoredWithTheConfigurationButLeftOutOfTheFeed() {
     SignedConfiguration kept =
         new SignedConfiguration(4, content(4), "", new byte[0], 2L, accepted(2));
-    byte[] event = Json.bytes(kept);
-    assertThat(Json.read(event, SignedConfiguration.class).accepted().standing(2, content(2)))
+    byte[] stored = Json.bytes(kept);
+    assertThat(Json.read(stored, SignedConfiguration.class).accepted().statusOf(2, content(2)))
         .isEqualTo(RevisionStatus.ACCEPTED);
     SignedConfiguration fed =
-        Json.read(ConfigurationManager.forFeed(event), SignedConfiguration.class);
+        Json.read(ConfigurationManager.forFeed(stored), SignedConfiguration.class);
     assertThat(fed.accepted()).isNull();
     assertThat(fed.bytes()).isEqualTo(content(4));
   }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelHistory.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What was told and seen in a run so far, and the invariants that are judged as it happens. */
+/** What was sent and seen in a run so far, and the invariants that are checked as it happens. */
 final class ModelHistory {
   /** By sequence, the entry that some process called committed. */
   private final TreeMap<Long, LogEntry> committed = new TreeMap<>();
 
   private final TreeMap<Long, LogEntry> acknowledged = new TreeMap<>();
 
-  /** By replica, the highest epoch that it has told somebody it would stand by. */
-  private final Map<String, Epoch> told = new TreeMap<>();
+  /** By replica, the highest epoch that it has voted for or acknowledged to others. */
+  private final Map<String, Epoch> promisedToOthers = new TreeMap<>();
 
   /** The last sequence that was acknowledged or in the view of a confirmed read. */
   private long lastSeen;
@@ -35,8 +35,8 @@
     return acknowledged;
   }
 
-  Epoch told(String replica) {
-    return told.getOrDefault(replica, Epoch.NONE);
+  Epoch promisedToOthers(String replica) {
+    return promisedToOthers.getOrDefault(replica, Epoch.NONE);
   }
 
   static boolean same(LogEntry one, LogEntry other) {
@@ -48,7 +48,7 @@
     if (present != null && !same(present, entry)) {
       throw new InvariantViolation(
           Invariant.ONE_VALUE,
-          by + " has " + text(entry) + " where " + text(present) + " was committed");
+          by + " has " + describe(entry) + " where " + describe(present) + " was committed");
     }
   }
 
@@ -59,11 +59,11 @@
   }
 
   void sent(Envelope envelope) {
-    if (envelope.message() instanceof VoteResponse promised && promised.verdict() == Verdict.OK) {
-      told.merge(envelope.fromId(), promised.requestedEpoch(), ModelHistory::higher);
+    if (envelope.message() instanceof VoteResponse vote && vote.verdict() == Verdict.OK) {
+      promisedToOthers.merge(envelope.fromId(), vote.requestedEpoch(), ModelHistory::higher);
     } else if (envelope.message() instanceof AppendResponse appended
         && appended.verdict() == Verdict.OK) {
-      told.merge(envelope.fromId(), appended.epoch(), ModelHistory::higher);
+      promisedToOthers.merge(envelope.fromId(), appended.epoch(), ModelHistory::higher);
     }
   }
 
@@ -72,21 +72,22 @@
   }
 
   /** A leader is about to add an entry to its view. */
-  void folded(String leader, List<LogEntry> log, List<LogEntry> view, LogEntry entry) {
+  void applied(String leader, List<LogEntry> log, List<LogEntry> view, LogEntry entry) {
     committed(leader + "'s view", entry);
     long last = lastOf(view);
     if (entry.sequence() <= last) {
       throw new InvariantViolation(
-          Invariant.VIEW_IS_LOG, leader + " folds " + text(entry) + " after sequence " + last);
+          Invariant.VIEW_IS_LOG,
+          leader + " applies " + describe(entry) + " after sequence " + last);
     }
-    if (entry.whole()) {
+    if (entry.snapshot()) {
       return;
     }
     for (LogEntry each : log) {
-      if (!each.isTakeover() && each.sequence() > last && each.sequence() < entry.sequence()) {
+      if (!each.isEpochStart() && each.sequence() > last && each.sequence() < entry.sequence()) {
         throw new InvariantViolation(
             Invariant.VIEW_IS_LOG,
-            leader + " folds " + text(entry) + " and has never folded " + text(each));
+            leader + " applies " + describe(entry) + " and has never applied " + describe(each));
       }
     }
   }
@@ -113,10 +114,10 @@
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).sequence();
   }
 
-  static String text(LogEntry entry) {
+  static String describe(LogEntry entry) {
     return entry.sequence()
         + "="
-        + (entry.isTakeover() ? "takeover" : new String(entry.event(), UTF_8))
+        + (entry.isEpochStart() ? "start" : new String(entry.event(), UTF_8))
         + " of epoch "
         + entry.epoch().counter()
         + entry.epoch().node();
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -3,8 +3,6 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.constants.ReplicationConstants;
-import applespindle.corelogic.log.Epoch;
-import applespindle.corelogic.log.LogEntry;
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.replication.InvariantViolation.Invariant;
@@ -20,9 +18,9 @@
 import java.util.function.Supplier;
 
 /**
- * One run of the replicated register over the real classes: three replicas, one newcomer, two
- * claimants, the messages in flight. The run is a sequence of steps, each chosen from those that
- * are enabled; the same choices give the same run.
+ * One run of the replicated register over the real classes: three replicas, one joining replica,
+ * two candidates, the messages in flight. The run is a sequence of steps, each chosen from those
+ * that are enabled; the same choices give the same run.
  */
 final class ReplicatedLogModel implements StateText.Named {
   /**
@@ -30,91 +28,73 @@
    *
    * @param label the same whenever the same thing may happen
    * @param link where a message arrives from and to, or the disk that syncs; empty if the step
-   *     needs a client or trouble
+   *     needs a client or a failure
    */
   record Step(Supplier<String> label, String link, Runnable effect) {
-    /** Whether the step needs neither a client nor trouble. */
+    /** Whether the step needs neither a client nor a failure. */
     boolean usual() {
       return !link.isEmpty();
     }
   }
 
   private static final String KEY = "register";
-  private static final String SET = "set";
-  private static final long PENDING_SET = 2;
-  private static final String NEWCOMER = "r4";
-  private static final List<String> CLAIMANTS = List.of("a", "b");
+  private static final String CONFIGURATION = "set";
+  private static final long PENDING_VERSION = 2;
+  private static final String JOINING_REPLICA = "r4";
+  private static final List<String> CANDIDATES = List.of("a", "b");
   private static final ReplicaConfiguration FIRST =
       new ReplicaConfiguration(1, replicas("r1", "r2", "r3"), List.of());
   private static final ReplicaConfiguration PENDING =
-      new ReplicaConfiguration(PENDING_SET, FIRST.current(), replicas("r1", "r2", "r4"));
+      new ReplicaConfiguration(PENDING_VERSION, FIRST.current(), replicas("r1", "r2", "r4"));
   private static final ReplicaConfiguration CHANGED =
       new ReplicaConfiguration(3, PENDING.next(), List.of());
-  private static final ReplicaConfiguration CALLED_OFF =
+  private static final ReplicaConfiguration CANCELLED =
       new ReplicaConfiguration(3, FIRST.current(), List.of());
 
-  private static final Predicate<InFlight> ALL = message -> true;
-  private static final Predicate<InFlight> NOT_TO_FIRST = message -> !message.to.equals("r1");
-  private static final Predicate<InFlight> TO_FIRST = message -> message.to.equals("r1");
+  private static final Predicate<InFlightMessage> ALL = message -> true;
+  private static final Predicate<InFlightMessage> NOT_TO_FIRST =
+      message -> !message.to.equals("r1");
+  private static final Predicate<InFlightMessage> TO_FIRST = message -> message.to.equals("r1");
 
   private static List<NodeAddress> replicas(String... ids) {
     return List.of(ids).stream().map(id -> new NodeAddress(id, id)).toList();
   }
 
-  /** A message on its way. */
-  private static final class InFlight {
-    final String to;
-    final Envelope envelope;
-    final String link;
-    private String text;
-
-    InFlight(String to, Envelope envelope) {
-      this.to = to;
-      this.envelope = envelope;
-      this.link = envelope.fromId() + '>' + to;
-    }
-
-    /** Two messages of the same text are the same; made when asked for, as it takes long. */
-    String text() {
-      if (text == null) {
-        text = to + " " + StateText.of(envelope);
-      }
-      return text;
-    }
-  }
-
   private final ModelBounds bounds;
   private final ModelHistory history = new ModelHistory();
   private final Map<String, ModelDisk> disks = new TreeMap<>();
   private final Map<String, ModelReplica> replicas = new TreeMap<>();
-  private final Map<String, ModelCandidate> claimants = new TreeMap<>();
-  private final Map<String, Epoch> promisedBefore = new TreeMap<>();
-  private final List<InFlight> inFlight = new ArrayList<>();
+  private final Map<String, ModelCandidate> candidates = new TreeMap<>();
+  private final ModelInvariants invariants = new ModelInvariants(KEY, history, disks, replicas);
+  private final List<InFlightMessage> inFlight = new ArrayList<>();
 
   /** By ordinal of the event, how often it has happened. */
   private final int[] taken = new int[ModelEvent.values().length];
 
-  /** The sets in force: what the control plane has committed. */
+  /** The configuration in force: what the control plane has committed. */
   private ReplicaConfiguration inForce = FIRST;
 
-  /** By claimant, the sets that it knows. Kept over its crashes, as it asks before it claims. */
+  /**
+   * By candidate, the configuration that it knows. Kept over its crashes, as it asks for it before
+   * an election.
+   */
   private final Map<String, ReplicaConfiguration> known = new TreeMap<>();
 
-  /** The lives of the newcomer that have begun to copy. */
-  private final Set<ModelReplica> copying = new HashSet<>();
+  /** The lives of the joining replica that have begun to catch up. */
+  private final Set<ModelReplica> startedJoining = new HashSet<>();
 
   ReplicatedLogModel(ModelBounds bounds) {
     this.bounds = bounds;
     for (NodeAddress replica : PENDING.allReplicas()) {
       boolean member = FIRST.current().contains(replica);
-      if (member || bounds.most(ModelEvent.SET_CHANGE) > 0) {
-        disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), SET));
+      if (member || bounds.most(ModelEvent.RECONFIGURATION) > 0) {
+        disks.put(replica.id(), new ModelDisk(bounds.slowDisks(), CONFIGURATION));
         startReplica(replica.id());
       }
     }
-    for (String claimant : CLAIMANTS.subList(0, bounds.claimants())) {
-      known.put(claimant, FIRST);
-      startClaimant(claimant);
+    for (String candidate : CANDIDATES.subList(0, bounds.candidates())) {
+      known.put(candidate, FIRST);
+      startCandidate(candidate);
     }
     begin(bounds.start());
   }
@@ -122,15 +102,15 @@
   private void startReplica(String id) {
     ModelRuntime runtime = new ModelRuntime(id, disks.get(id), this::send);
     ModelReplica replica =
-        new ModelReplica(runtime, id, SET, (key, entry) -> history.committed(id, entry));
+        new ModelReplica(runtime, id, CONFIGURATION, (key, entry) -> history.committed(id, entry));
     disks.get(id).synced().forEach(replica.replicas()::recover);
     replica.start();
     replicas.put(id, replica);
   }
 
-  private void startClaimant(String id) {
+  private void startCandidate(String id) {
     ModelRuntime runtime = new ModelRuntime(id, null, this::send);
-    claimants.put(
+    candidates.put(
         id,
         new ModelCandidate(
             runtime, id, KEY, bounds.snapshotValues(), () -> known.get(id), history));
@@ -140,8 +120,8 @@
     if (start == Start.BLANK) {
       return;
     }
-    ModelCandidate first = claimants.get(CLAIMANTS.get(0));
-    act(first.runtime(), first::claim);
+    ModelCandidate first = candidates.get(CANDIDATES.get(0));
+    act(first.runtime(), first::elect);
     settle(ALL);
     act(first.runtime(), () -> first.append(value(0)));
     settle(ALL);
@@ -152,16 +132,16 @@
       }
       case LAGGING -> appendReaching(first, -1, NOT_TO_FIRST);
       case SUPERSEDED -> {
-        ModelCandidate second = claimants.get(CLAIMANTS.get(1));
-        act(second.runtime(), second::claim);
+        ModelCandidate second = candidates.get(CANDIDATES.get(1));
+        act(second.runtime(), second::elect);
         settle(message -> NOT_TO_FIRST.test(message) && !second.leads());
       }
-      case COPIED -> {
+      case CAUGHT_UP -> {
         inForce = PENDING;
-        copyIn();
+        startJoining();
         settle(ALL);
-        while (!replicas.get(NEWCOMER).copied()) {
-          endPauses(replicas.get(NEWCOMER).runtime());
+        while (!replicas.get(JOINING_REPLICA).hasCaughtUp()) {
+          endPauses(replicas.get(JOINING_REPLICA).runtime());
           settle(ALL);
         }
       }
@@ -170,7 +150,8 @@
     inFlight.removeIf(message -> replicas.containsKey(message.to));
   }
 
-  private void appendReaching(ModelCandidate leader, int number, Predicate<InFlight> reaching) {
+  private void appendReaching(
+      ModelCandidate leader, int number, Predicate<InFlightMessage> reaching) {
     act(leader.runtime(), () -> leader.append(value(number)));
     settle(reaching);
   }
@@ -182,15 +163,17 @@
   }
 
   /** Delivers, in order, all messages of this kind and what follows from them. */
-  private void settle(Predicate<InFlight> arriving) {
-    for (Optional<InFlight> next = first(arriving); next.isPresent(); next = first(arriving)) {
+  private void settle(Predicate<InFlightMessage> arriving) {
+    for (Optional<InFlightMessage> next = first(arriving);
+        next.isPresent();
+        next = first(arriving)) {
       inFlight.remove(next.get());
       deliver(next.get());
       disks.keySet().forEach(this::syncAll);
     }
   }
 
-  private Optional<InFlight> first(Predicate<InFlight> arriving) {
+  private Optional<InFlightMessage> first(Predicate<InFlightMessage> arriving) {
     return inFlight.stream().filter(arriving).findFirst();
   }
 
@@ -211,16 +194,16 @@
 
   private void send(String to, Envelope envelope) {
     history.sent(envelope);
-    inFlight.add(new InFlight(to, envelope));
+    inFlight.add(new InFlightMessage(to, envelope));
   }
 
-  private void deliver(InFlight message) {
+  private void deliver(InFlightMessage message) {
     ModelReplica replica = replicas.get(message.to);
-    ModelCandidate claimant = claimants.get(message.to);
+    ModelCandidate candidate = candidates.get(message.to);
     if (replica != null) {
       act(replica.runtime(), () -> replica.receive(message.envelope));
-    } else if (claimant != null) {
-      act(claimant.runtime(), () -> claimant.receive(message.envelope));
+    } else if (candidate != null) {
+      act(candidate.runtime(), () -> candidate.receive(message.envelope));
     }
   }
 
@@ -234,7 +217,7 @@
     addClients(steps);
     addTimers(steps);
     addCrashes(steps);
-    addSetChange(steps);
+    addReconfiguration(steps);
     return steps;
   }
 
@@ -250,7 +233,7 @@
   }
 
   private void addMessages(List<Step> steps) {
-    for (InFlight message : inFlight) {
+    for (InFlightMessage message : inFlight) {
       steps.add(
           new Step(
               () -> "deliver to " + message.text(),
@@ -283,12 +266,12 @@
   }
 
   private void addClients(List<Step> steps) {
-    claimants.forEach(
-        (id, claimant) -> {
-          if (claimant.idle() && left(ModelEvent.CLAIM)) {
-            steps.add(step("claim by " + id, ModelEvent.CLAIM, claimant, claimant::claim));
+    candidates.forEach(
+        (id, candidate) -> {
+          if (candidate.idle() && left(ModelEvent.ELECTION)) {
+            steps.add(step("election by " + id, ModelEvent.ELECTION, candidate, candidate::elect));
           }
-          if (!claimant.leads()) {
+          if (!candidate.leads()) {
             return;
           }
           if (left(ModelEvent.APPEND)) {
@@ -297,34 +280,35 @@
                 step(
                     "append by " + id,
                     ModelEvent.APPEND,
-                    claimant,
-                    () -> claimant.append(value(number))));
+                    candidate,
+                    () -> candidate.append(value(number))));
           }
           if (left(ModelEvent.READ)) {
-            steps.add(step("read by " + id, ModelEvent.READ, claimant, claimant::read));
+            steps.add(step("read by " + id, ModelEvent.READ, candidate, candidate::read));
           }
-          if (left(ModelEvent.RELEASE)) {
-            steps.add(step("release by " + id, ModelEvent.RELEASE, claimant, claimant::release));
+          if (left(ModelEvent.RESIGNATION)) {
+            steps.add(
+                step("resignation by " + id, ModelEvent.RESIGNATION, candidate, candidate::resign));
           }
         });
   }
 
-  private Step step(String label, ModelEvent event, ModelCandidate claimant, Runnable action) {
-    return new Step(() -> label, "", counting(event, () -> act(claimant.runtime(), action)));
+  private Step step(String label, ModelEvent event, ModelCandidate candidate, Runnable action) {
+    return new Step(() -> label, "", counting(event, () -> act(candidate.runtime(), action)));
   }
 
   private void addTimers(List<Step> steps) {
-    claimants.forEach((id, claimant) -> addTimers(steps, id, claimant.runtime()));
+    candidates.forEach((id, candidate) -> addTimers(steps, id, candidate.runtime()));
     replicas.forEach((id, replica) -> addTimers(steps, id, replica.runtime()));
-    claimants.forEach(
-        (id, claimant) -> {
-          if (!claimant.idle() && left(ModelEvent.CLOCK_JUMP)) {
+    candidates.forEach(
+        (id, candidate) -> {
+          if (!candidate.idle() && left(ModelEvent.CLOCK_JUMP)) {
             steps.add(
                 step(
                     "clock jump at " + id,
                     ModelEvent.CLOCK_JUMP,
-                    claimant,
-                    () -> claimant.runtime().jumpClock(ReplicationConstants.COMMIT_TIMEOUT_MS)));
+                    candidate,
+                    () -> candidate.runtime().jumpClock(ReplicationConstants.COMMIT_TIMEOUT_MS)));
           }
         });
   }
@@ -357,19 +341,19 @@
             }
           });
     }
-    if (left(ModelEvent.CLAIMANT_CRASH)) {
-      claimants.forEach(
-          (id, claimant) -> {
-            if (!claimant.idle()) {
+    if (left(ModelEvent.CANDIDATE_CRASH)) {
+      candidates.forEach(
+          (id, candidate) -> {
+            if (!candidate.idle()) {
               steps.add(
                   new Step(
                       () -> "crash of " + id,
                       "",
                       counting(
-                          ModelEvent.CLAIMANT_CRASH,
+                          ModelEvent.CANDIDATE_CRASH,
                           () -> {
-                            claimant.runtime().end();
-                            startClaimant(id);
+                            candidate.runtime().end();
+                            startCandidate(id);
                           })));
             }
           });
@@ -379,54 +363,62 @@
   private void crashReplica(String id, int kept) {
     replicas.get(id).runtime().end();
     disks.get(id).crash(kept);
-    promisedBefore.remove(id);
+    invariants.replicaRestarted(id);
     startReplica(id);
   }
 
-  private void addSetChange(List<Step> steps) {
-    if (left(ModelEvent.SET_CHANGE)) {
+  private void addReconfiguration(List<Step> steps) {
+    if (left(ModelEvent.RECONFIGURATION)) {
       if (inForce == FIRST) {
-        steps.add(change("pending set in force", PENDING));
+        steps.add(change("pending configuration in force", PENDING));
       } else if (inForce == PENDING) {
-        if (replicas.get(NEWCOMER).copied()) {
-          steps.add(change("new set in force", CHANGED));
+        if (replicas.get(JOINING_REPLICA).hasCaughtUp()) {
+          steps.add(change("new configuration in force", CHANGED));
         }
-        steps.add(change("change of set called off", CALLED_OFF));
+        steps.add(change("change of configuration cancelled", CANCELLED));
       }
     }
-    claimants.forEach(
-        (id, claimant) -> {
+    candidates.forEach(
+        (id, candidate) -> {
           if (known.get(id).version() < inForce.version()) {
             steps.add(
                 new Step(
-                    () -> id + " learns set " + inForce.version(),
+                    () -> id + " learns configuration " + inForce.version(),
                     "",
                     () -> {
                       known.put(id, inForce);
-                      act(claimant.runtime(), () -> claimant.changeSets(inForce));
+                      act(candidate.runtime(), () -> candidate.reconfigure(inForce));
                     }));
           }
         });
-    if (inForce == PENDING && !newcomerKnows()) {
-      steps.add(new Step(() -> NEWCOMER + " learns set " + inForce.version(), "", this::copyIn));
+    if (inForce == PENDING && !hasJoiningReplicaStarted()) {
+      steps.add(
+          new Step(
+              () -> JOINING_REPLICA + " learns configuration " + inForce.version(),
+              "",
+              this::startJoining));
     }
   }
 
   private Step change(String label, ReplicaConfiguration replicaConfiguration) {
     return new Step(
-        () -> label, "", counting(ModelEvent.SET_CHANGE, () -> inForce = replicaConfiguration));
+        () -> label,
+        "",
+        counting(ModelEvent.RECONFIGURATION, () -> inForce = replicaConfiguration));
   }
 
-  private boolean newcomerKnows() {
-    return copying.contains(replicas.get(NEWCOMER));
+  private boolean hasJoiningReplicaStarted() {
+    return startedJoining.contains(replicas.get(JOINING_REPLICA));
   }
 
-  private void copyIn() {
-    ModelReplica newcomer = replicas.get(NEWCOMER);
-    copying.add(newcomer);
+  private void startJoining() {
+    ModelReplica joiningReplica = replicas.get(JOINING_REPLICA);
+    startedJoining.add(joiningReplica);
     act(
-        newcomer.runtime(),
-        () -> newcomer.copyIn(SET, PENDING_SET, FIRST.current(), () -> inForce.version()));
+        joiningReplica.runtime(),
+        () ->
+            joiningReplica.join(
+                CONFIGURATION, PENDING_VERSION, FIRST.current(), () -> inForce.version()));
   }
 
   // ---- invariants and state
@@ -435,55 +427,12 @@
   void take(Step step) {
     try {
       step.effect().run();
-    } catch (InvariantViolation broken) {
-      throw broken;
+    } catch (InvariantViolation violation) {
+      throw violation;
     } catch (RuntimeException thrown) {
       throw new InvariantViolation(Invariant.NO_EXCEPTION, thrown.toString());
     }
-    check();
-  }
-
-  private void check() {
-    replicas.forEach(this::checkPromised);
-    for (LogEntry entry : history.acknowledged().values()) {
-      checkKept(entry);
-    }
-  }
-
-  private void checkPromised(String id, ModelReplica replica) {
-    Epoch promised = promised(replica.replicas());
-    Epoch before = promisedBefore.put(id, promised);
-    if (before != null && promised.isBelow(before)) {
-      throw new InvariantViolation(Invariant.PROMISE_KEPT, id + " fell to " + promised);
-    }
-    Epoch told = history.told(id);
-    if (promised.isBelow(told) || promised(disks.get(id).recoverable()).isBelow(told)) {
-      throw new InvariantViolation(
-          Invariant.PROMISE_KEPT, id + " has promised " + promised + " and told " + told);
-    }
-  }
-
-  private static Epoch promised(LogReplicas replicas) {
-    LogReplica replica = replicas.replicas().get(KEY);
-    return replica == null ? Epoch.NONE : replica.promisedEpoch;
-  }
-
-  private void checkKept(LogEntry entry) {
-    Set<String> holders = new HashSet<>();
-    disks.forEach(
-        (id, disk) -> {
-          if (disk.recoverable()
-              .holds(KEY, entry.sequence(), other -> ModelHistory.same(other, entry))) {
-            holders.add(id);
-          }
-        });
-    ReplicaConfiguration counted =
-        new ReplicaConfiguration(inForce.version(), inForce.current(), List.of());
-    if (!counted.isQuorum(holders)) {
-      throw new InvariantViolation(
-          Invariant.ACKNOWLEDGED_KEPT,
-          ModelHistory.text(entry) + " is recoverable at " + holders + " only");
-    }
+    invariants.check(inForce);
   }
 
   /** A hash of all that may matter for what comes. */
@@ -495,11 +444,14 @@
     StateText text = new StateText();
     replicas.values().forEach(replica -> replica.addTo(text));
     disks.values().forEach(disk -> disk.addTo(text));
-    claimants.values().forEach(claimant -> claimant.addTo(text));
-    text.add(inFlight.stream().map(InFlight::text).sorted().toList());
-    text.add(taken).add(inForce.version()).add(inForce.current()).add(newcomerPending());
+    candidates.values().forEach(candidate -> candidate.addTo(text));
+    text.add(inFlight.stream().map(InFlightMessage::text).sorted().toList());
+    text.add(taken)
+        .add(inForce.version())
+        .add(inForce.current())
+        .add(isJoiningUnderPendingChange());
     known.values().forEach(replicaConfiguration -> text.add(replicaConfiguration.version()));
-    return text.add(history).add(promisedBefore);
+    return text.add(history).add(invariants.promisedBefore());
   }
 
   @Override
@@ -507,7 +459,7 @@
     return "model";
   }
 
-  private boolean newcomerPending() {
-    return inForce == PENDING && newcomerKnows();
+  private boolean isJoiningUnderPendingChange() {
+    return inForce == PENDING && hasJoiningReplicaStarted();
   }
 }
