--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/QuorumMembershipManager.java
@@ -175,7 +175,7 @@
   private Optional<QuorumMember> candidateFor(QuorumMember lost) {
     return quorum.peers().values().stream()
         .filter(peer -> quorum.isAlive(peer) && peer.isJoinCandidate())
-        .map(QuorumPeer::member)
+        .map(peer -> peer.member())
         .min(
             Comparator.comparing(
                     (QuorumMember each) -> lost != null && !each.zone().equals(lost.zone()))
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ShardReplicaManager.java
@@ -163,7 +163,9 @@
    */
   private void completeOrCancelChange(LedKey ledKey, ShardAssignment shard) {
     List<ShardReplica> added =
-        shard.nextReplicas().stream().filter(replica -> !shard.replicas().contains(replica)).toList();
+        shard.nextReplicas().stream()
+            .filter(replica -> !shard.replicas().contains(replica))
+            .toList();
     List<ShardReplica> needed = added.isEmpty() ? shard.nextReplicas() : added;
     if (needed.stream().allMatch(replica -> ledKey.hasCaughtUp(replica.id(), shard.version()))) {
       environment.log(PART, "Replicas changed: " + ledKey.key() + ".");
@@ -175,7 +177,9 @@
 
   private void endChange(LedKey ledKey, ShardAssignment shard, List<ShardReplica> replicas) {
     keys.put(
-        ledKey, new ShardAssignment(shard.version() + 1, replicas, List.of()), error -> checkSoon());
+        ledKey,
+        new ShardAssignment(shard.version() + 1, replicas, List.of()),
+        error -> checkSoon());
   }
 
   /**
