--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -177,7 +177,8 @@
    * later than its silence shows.
    */
   void failIfLost(ItemRun run) {
-    boolean lost = run.isProxied() ? isSilent(run) : registry.isPresumedLost(run.worker, run.lastActivityAt);
+    boolean lost =
+        run.isProxied() ? isSilent(run) : registry.isPresumedLost(run.worker, run.lastActivityAt);
     if (lost) {
       run.exchange.cancel();
       completion.fail(run, new ApiError.WorkerTimeout(run.range.worker));
