--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -21,8 +21,8 @@
  * ranges, record its results, answer its reads and report its capacity.
  *
  * <p>A batch is unknown, then accepted (or refused, for as long as it is not accepted), and at last
- * either finished, when each item has a result, or ended by its client. An over batch stays
- * readable until it is removed. All state comes from the batch's log but for the leases, the
+ * either finished, when each item has a result, or ended by its client. A finished or ended batch
+ * stays readable until it is removed. All state comes from the batch's log but for the leases, the
  * waiting reads and the partial streams, which a new leader begins anew.
  */
 public final class BatchLeader {
@@ -130,7 +130,7 @@
   public void submit(Accepted accepted, Consumer<Response> then) {
     markUsed();
     if (batchState.accepted != null || acceptancePending) {
-      log.confirmLeadership(error -> then.accept(respondToRepeated(accepted, error)));
+      log.confirmLeadership(error -> then.accept(responseToRepeated(accepted, error)));
       return;
     }
     acceptancePending = true;
@@ -158,9 +158,9 @@
             + ".");
   }
 
-  private Response respondToRepeated(Accepted accepted, ApiError error) {
+  private Response responseToRepeated(Accepted accepted, ApiError error) {
     if (error != null) {
-      return respondUnknown(error);
+      return unknownOutcome(error);
     }
     if (batchState.accepted == null) {
       return Response.of(new ApiError.OutcomeUnknown(batch));
@@ -174,11 +174,11 @@
   private Consumer<ApiError> respondWithSummary(int status, Consumer<Response> then) {
     return error ->
         then.accept(
-            error == null ? Response.of(status, responses.summary()) : respondUnknown(error));
+            error == null ? Response.of(status, responses.summary()) : unknownOutcome(error));
   }
 
   /** Only a lost leadership before the append is certain; any other error leaves it open. */
-  private Response respondUnknown(ApiError error) {
+  private Response unknownOutcome(ApiError error) {
     return Response.of(
         error instanceof ApiError.NotLeader ? error : new ApiError.OutcomeUnknown(batch));
   }
@@ -201,7 +201,9 @@
     log.append(BatchEvent.plain(BatchEvent.REFUSED, 0), BatchLog.NO_ACTION, then);
   }
 
-  /** Removes an over batch from the disks; its id may be used again then. An open one stays. */
+  /**
+   * Removes a finished or ended batch from the disks; its id may be used again. An open one stays.
+   */
   public void remove(Consumer<Response> then) {
     if (batchState.accepted != null && !batchState.isOpen()) {
       log.append(
@@ -213,7 +215,7 @@
     }
   }
 
-  /** Ends the batch at its client's wish; results that are not recorded by then are dropped. */
+  /** Ends the batch on request of its client; results that are not recorded by then are dropped. */
   public void end(Consumer<Response> then) {
     markUsed();
     if (batchState.accepted == null) {
