--- a/adapters/src/main/java/applespindle/adapters/MessageEncoder.java
+++ b/adapters/src/main/java/applespindle/adapters/MessageEncoder.java
@@ -142,7 +142,7 @@
     AskBodyEncoder body = out.begin(new AskBodyEncoder());
     body.correlation(request.correlation())
         .hops(request.hops())
-        .duty(request.operation())
+        .duty(request.operationName())
         .key(request.key())
         .originId(request.originId())
         .originAddress(request.originAddress())
@@ -387,7 +387,7 @@
           .run(item.run())
           .worker(item.worker())
           .finishReason(item.finishReason())
-          .faultType(item.faultType())
+          .faultType(item.errorType())
           .putOutput(item.output(), 0, item.output().length);
     }
     body.batch(report.batch()).worker(report.worker());
--- a/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
@@ -16,6 +16,7 @@
 import applespindle.corelogic.log.LogRecord.Kind;
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.WorkerInput;
+import applespindle.corelogic.protocol.Operation;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -129,8 +130,12 @@
     ControlPlaneNode core = fleet.core("core-1");
     fleet.runUntil("the control plane", () -> core.notReadyBecause().isEmpty());
     var worker = new WorkerInput(StoredFleet.WORKER, StoredFleet.WORKER_ADDRESS, "main", "ready");
-    command(core, "worker", "worker/" + worker.id(), ControlPlaneNode.workerListed(worker));
-    command(core, "bundle", "bundle", signed(configuration(1)));
+    command(
+        core,
+        Operation.SET_WORKER,
+        "worker/" + worker.id(),
+        ControlPlaneNode.workerRegistration(worker));
+    command(core, Operation.SET_CONFIGURATION, "bundle", signed(configuration(1)));
     EdgeNode edge = fleet.edge();
     fleet.runUntil("the edge", () -> edge.notReadyBecause().isEmpty());
     fleet.runFor(5_000);
@@ -147,14 +152,14 @@
     }
     good(then -> core.drainStorageNode("storage-1", 0, then));
     fleet.runFor(30_000);
-    edge.unclaimOnce("given-back", "token-2");
+    edge.releaseIdempotencyId("given-back", "token-2");
     submit("ended", "answered prompt", "hold this prompt");
     submitProxied("ended", "answered body", "hold this body");
     submitExpiring("expired", "answered prompt", "hold this prompt");
     fleet.runFor(10_000);
     good(then -> edge.endBatch(BatchKeys.batchId(SENDER, "ended"), then));
     good(then -> edge.endProxiedBatch("ended", then));
-    command(core, "bundle", "bundle", signed(configuration(2)));
+    command(core, Operation.SET_CONFIGURATION, "bundle", signed(configuration(2)));
     submit("open", "answered prompt", "hold this prompt");
     submitProxied("open", "answered body", "hold this body");
     fleet.runFor(10_000);
@@ -167,7 +172,7 @@
     }
   }
 
-  private void command(ControlPlaneNode core, String operation, String key, Object body) {
+  private void command(ControlPlaneNode core, Operation operation, String key, Object body) {
     good(then -> core.command(operation, key, body, then));
   }
 
@@ -211,7 +216,7 @@
 
   private void claim(String id, String token) {
     List<ApiError> answers = new ArrayList<>();
-    fleet.edge().claimOnce(id, token, answers::add);
+    fleet.edge().claimIdempotencyId(id, token, answers::add);
     fleet.runUntil("a claim", () -> !answers.isEmpty());
     if (answers.get(0) != null) {
       throw new IllegalStateException(answers.toString());
--- a/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
@@ -8,6 +8,7 @@
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.batch.BatchKeys;
 import applespindle.corelogic.common.Json;
+import applespindle.corelogic.protocol.Operation;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -184,7 +185,11 @@
   @Test
   void hasTheStoredConfigurationInForce() throws IOException {
     JsonNode configuration =
-        ok(then -> fleet.core("core-2").command("read", "bundle", new byte[] {'{', '}'}, then));
+        ok(
+            then ->
+                fleet
+                    .core("core-2")
+                    .command(Operation.READ_KEY, "bundle", new byte[] {'{', '}'}, then));
     assertThat(configuration.get("number").asLong()).isEqualTo(2);
     assertThat(new String(configuration.get("bytes").binaryValue(), UTF_8))
         .isEqualTo(StoredDataGenerator.configuration(2));
@@ -255,7 +260,7 @@
 
   private ApiError claim(String id, String token) {
     List<ApiError> answers = new ArrayList<>();
-    fleet.edge().claimOnce(id, token, answers::add);
+    fleet.edge().claimIdempotencyId(id, token, answers::add);
     fleet.runUntil("a claim", () -> !answers.isEmpty());
     return answers.get(0);
   }
--- a/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
+++ b/control-plane/src/main/java/applespindle/controlplane/ControlPlaneHttpInterface.java
@@ -14,6 +14,7 @@
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.metadata.WorkerInput;
+import applespindle.corelogic.protocol.Operation;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -87,7 +88,7 @@
     http.get("/v1/storage/{id}/plan", call -> http.ask(then -> planDrain(idOf(call), then)));
     http.post(
         "/v1/storage/{id}/empty",
-        call -> http.ask(then -> markStorageNode(idOf(call), StorageNodeState.EMPTYING, then)));
+        call -> http.ask(then -> markStorageNode(idOf(call), StorageNodeState.DRAINING, then)));
     http.post(
         "/v1/storage/{id}/retire",
         call -> http.ask(then -> markStorageNode(idOf(call), StorageNodeState.RETIRED, then)));
@@ -114,7 +115,10 @@
       return HttpInterface.refuse(SIGNATURE_UNREADABLE);
     }
     var sent = new SignedConfiguration(0, call.body(), call.header(KEY_ID), signature);
-    return http.ask(then -> controlPlane.command("bundle", MetadataKeys.CONFIGURATION, sent, then));
+    return http.ask(
+        then ->
+            controlPlane.command(
+                Operation.SET_CONFIGURATION, MetadataKeys.CONFIGURATION, sent, then));
   }
 
   private Promise<HttpResponse> patchConfiguration(HttpInterface http, Call call) {
@@ -130,7 +134,9 @@
         new ConfigurationPatchRequest(
             call.body(), base.getAsLong(), call.header(KEY_ID), signature);
     return http.ask(
-        then -> controlPlane.command("patch-bundle", MetadataKeys.CONFIGURATION, sent, then));
+        then ->
+            controlPlane.command(
+                Operation.PATCH_CONFIGURATION, MetadataKeys.CONFIGURATION, sent, then));
   }
 
   /** Null if it is not base64. */
@@ -144,7 +150,7 @@
 
   private void readConfiguration(Consumer<Response> then) {
     controlPlane.command(
-        "read",
+        Operation.READ_KEY,
         MetadataKeys.CONFIGURATION,
         NO_BODY,
         response -> then.accept(configurationResponse(response)));
@@ -182,7 +188,7 @@
   private void markStorageNode(String idOrName, String state, Consumer<Response> then) {
     String id = controlPlane.storageId(idOrName);
     controlPlane.command(
-        "storage",
+        Operation.SET_STORAGE_NODE_STATE,
         MetadataKeys.STORAGE_PREFIX + id,
         new StorageNodeState(id, idOrName, state),
         then);
@@ -221,18 +227,18 @@
 
   private void registerWorker(WorkerInput input, Consumer<Response> then) {
     controlPlane.command(
-        "worker",
+        Operation.SET_WORKER,
         MetadataKeys.WORKER_PREFIX + input.id(),
-        ControlPlaneNode.workerListed(input),
+        ControlPlaneNode.workerRegistration(input),
         then);
   }
 
   /** Marks the worker as leaving, or else as gone. */
   private void markWorker(String id, boolean leaving, Consumer<Response> then) {
     controlPlane.command(
-        "worker",
+        Operation.SET_WORKER,
         MetadataKeys.WORKER_PREFIX + id,
-        ControlPlaneNode.workerMarked(id, leaving),
+        ControlPlaneNode.workerMark(id, leaving),
         then);
   }
 
@@ -249,7 +255,7 @@
     return http.ask(
         then ->
             controlPlane.command(
-                "list-version",
+                Operation.RAISE_WORKER_LIST_VERSION,
                 MetadataKeys.WORKER_LIST_VERSION,
                 check,
                 response -> {
--- a/core-logic/src/main/java/applespindle/corelogic/api/Response.java
+++ b/core-logic/src/main/java/applespindle/corelogic/api/Response.java
@@ -119,6 +119,11 @@
     return isSuccess() ? "" : body().path("type").asText();
   }
 
+  /** Whether this is the response of an error of the type. */
+  public boolean failedWith(Class<? extends ApiError> errorClass) {
+    return errorType().equals(ApiErrorTable.descriptionOf(errorClass).type());
+  }
+
   @Override
   public boolean equals(Object other) {
     return other instanceof Response that
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReportHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReportHandler.java
@@ -123,13 +123,13 @@
   private void add(ItemOutcome item, NewOutcomes outcomes) {
     if (isPartialStream(item)) {
       unrecorded.addPartialStream(item);
-    } else if (item.faultType().isEmpty()) {
+    } else if (item.errorType().isEmpty()) {
       unrecorded.removePartialStream(item.index());
       outcomes.results().add(succeeded(item));
-    } else if (item.faultType().equals(ItemErrorTypes.NOT_EXECUTABLE)) {
+    } else if (item.errorType().equals(ItemErrorTypes.NOT_EXECUTABLE)) {
       outcomes.results().add(failed(item));
     } else if (!log.state.hasFailed(item.run())) {
-      outcomes.attempts().add(new Attempt(item.index(), item.run(), item.faultType()));
+      outcomes.attempts().add(new Attempt(item.index(), item.run(), item.errorType()));
       if (log.state.attempts(item.index()) + 1 >= route.maxAttempts()) {
         outcomes.results().add(failed(item));
       }
@@ -138,7 +138,7 @@
 
   private boolean isPartialStream(ItemOutcome item) {
     return log.state.accepted.proxiedRoute() != null
-        && item.faultType().equals(ItemErrorTypes.STREAM_TRUNCATED);
+        && item.errorType().equals(ItemErrorTypes.STREAM_TRUNCATED);
   }
 
   private static Result succeeded(ItemOutcome item) {
@@ -147,7 +147,7 @@
   }
 
   private static Result failed(ItemOutcome item) {
-    return new Result(item.index(), item.run(), item.worker(), null, item.faultType(), null);
+    return new Result(item.index(), item.run(), item.worker(), null, item.errorType(), null);
   }
 
   // ---- responses
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
@@ -13,6 +13,7 @@
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.AppendRequest;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import java.util.List;
 
 /**
@@ -75,7 +76,7 @@
     warmUp(
         new PeerRequest(
             0,
-            PeerRequest.SUBMIT,
+            Operation.SUBMIT_BATCH,
             BATCH,
             identity.id(),
             identity.peerAddress(),
--- a/core-logic/src/main/java/applespindle/corelogic/constants/MembershipConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/MembershipConstants.java
@@ -47,7 +47,7 @@
    * Time without a new voter after which the first seed proposes the initial quorum, so that nodes
    * of all zones can be members.
    */
-  public static final long BOOTSTRAP_SETTLE_MS = 1_000;
+  public static final long BOOTSTRAP_STABLE_MS = 1_000;
 
   /**
    * Time after which the initial quorum is formed by fewer voters than configured: longer than the
@@ -71,7 +71,7 @@
    * Time without a new edge after which the first list of edges is made: machines of a deployment
    * start within about a second of each other.
    */
-  public static final long EDGE_LIST_SETTLE_MS = 1_000;
+  public static final long EDGE_LIST_STABLE_MS = 1_000;
 
   /**
    * Least time between two changes of the list of edges: longer than a control plane node may lag
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/CommandSender.java
@@ -10,6 +10,7 @@
 import applespindle.corelogic.metadata.QuorumMember;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.node.Node;
+import applespindle.corelogic.protocol.Operation;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -34,8 +35,8 @@
    * The callback gets the leader's response, or an error if this process is stopping, is isolated,
    * or got no response in time.
    */
-  void send(String operation, String key, Object body, Consumer<Response> then) {
-    if (node.stopping) {
+  void send(Operation operation, String key, Object body, Consumer<Response> then) {
+    if (node.isStopping()) {
       then.accept(Response.of(new ApiError.NodeStopping()));
       return;
     }
@@ -67,20 +68,27 @@
         name,
         then,
         id -> {
-          StorageNodeState draining = new StorageNodeState(id, name, StorageNodeState.EMPTYING);
-          send("storage", MetadataKeys.STORAGE_PREFIX + id, draining, then);
+          StorageNodeState draining = new StorageNodeState(id, name, StorageNodeState.DRAINING);
+          send(Operation.SET_STORAGE_NODE_STATE, MetadataKeys.STORAGE_PREFIX + id, draining, then);
         });
   }
 
   /** Checks whether the storage node of this name may be removed. */
   void isStorageNodeDrained(String name, Consumer<Response> then) {
     withStorageId(
-        name, then, id -> send("storage-place", MetadataKeys.STORAGE_PREFIX + id, NO_BODY, then));
+        name,
+        then,
+        id ->
+            send(
+                Operation.CHECK_STORAGE_NODE_DRAINED,
+                MetadataKeys.STORAGE_PREFIX + id,
+                NO_BODY,
+                then));
   }
 
   private void withStorageId(String name, Consumer<Response> then, Consumer<String> next) {
     send(
-        "storage-id",
+        Operation.RESOLVE_STORAGE_NODE,
         name,
         NO_BODY,
         response -> {
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -138,22 +138,24 @@
       return;
     }
     switch (request.operation()) {
-      case "grant" -> leases.renew(request, ledKey, decode(request, NodeRegistration.class));
-      case "leave" -> leases.leave(request, ledKey);
-      case "bundle" ->
+      case RENEW_LEASE -> leases.renew(request, ledKey, decode(request, NodeRegistration.class));
+      case RELEASE_LEASE -> leases.leave(request, ledKey);
+      case SET_CONFIGURATION ->
           configurations.set(request, ledKey, decode(request, SignedConfiguration.class));
-      case "patch-bundle" ->
+      case PATCH_CONFIGURATION ->
           configurations.patch(request, ledKey, decode(request, ConfigurationPatchRequest.class));
-      case "worker" -> workers.set(request, ledKey, decode(request, WorkerRegistration.class));
-      case "list-version" ->
+      case SET_WORKER -> workers.set(request, ledKey, decode(request, WorkerRegistration.class));
+      case RAISE_WORKER_LIST_VERSION ->
           workers.raiseListVersion(request, ledKey, decode(request, WorkerListVersionCheck.class));
-      case "room" ->
+      case UPDATE_BATCH_CAPACITY ->
           batchCapacity.set(request, ledKey, decode(request, BatchCapacityRequest.class));
-      case "copied" -> recordCaughtUp(request, ledKey, decode(request, CaughtUpReport.class));
-      case "storage" -> drains.mark(request, ledKey, decode(request, StorageNodeState.class));
-      case "storage-place" -> drains.respondWhetherDrained(request, ledKey);
-      case "read" -> read(request, ledKey);
-      default -> responder.reject(request, new ApiError.UnknownRequest(request.operation()));
+      case REPORT_CAUGHT_UP ->
+          recordCaughtUp(request, ledKey, decode(request, CaughtUpReport.class));
+      case SET_STORAGE_NODE_STATE ->
+          drains.mark(request, ledKey, decode(request, StorageNodeState.class));
+      case CHECK_STORAGE_NODE_DRAINED -> drains.respondWhetherDrained(request, ledKey);
+      case READ_KEY -> read(request, ledKey);
+      default -> responder.reject(request, new ApiError.UnknownRequest(request.operationName()));
     }
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -36,6 +36,7 @@
 import applespindle.corelogic.protocol.Message.AppliedPositionsRequest;
 import applespindle.corelogic.protocol.Message.MetadataRecord;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.LogReplicas;
 import applespindle.corelogic.replication.ReplicaCatchUp;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -389,7 +390,7 @@
 
   @Override
   protected void handleRequest(PeerRequest request) {
-    if (request.operation().equals("copy")) {
+    if (request.operation() == Operation.FETCH_SNAPSHOT_PAGE) {
       catchUp.servePage(request);
       return;
     }
@@ -397,7 +398,7 @@
       responder.reject(request, new ApiError.NotReady("this process is " + NOT_A_MEMBER));
       return;
     }
-    if (request.operation().equals("storage-id")) {
+    if (request.operation() == Operation.RESOLVE_STORAGE_NODE) {
       managers.drains().respondWithId(request, feed.freshness().isFresh());
       return;
     }
@@ -457,7 +458,7 @@
    * Sends a command of an operator or of the platform to the leader of a key; the callback gets the
    * response or an error once.
    */
-  public void command(String operation, String key, Object body, Consumer<Response> then) {
+  public void command(Operation operation, String key, Object body, Consumer<Response> then) {
     commands.send(operation, key, body, then);
   }
 
@@ -472,12 +473,12 @@
   }
 
   /** The body of a command that marks a worker as leaving or gone. */
-  public static WorkerRegistration workerMarked(String id, boolean leaving) {
+  public static WorkerRegistration workerMark(String id, boolean leaving) {
     return new WorkerRegistration(id, "", "", leaving ? LEAVING : GONE);
   }
 
   /** The body of a command that registers a worker. */
-  public static WorkerRegistration workerListed(WorkerInput input) {
+  public static WorkerRegistration workerRegistration(WorkerInput input) {
     return new WorkerRegistration(
         input.id(), input.address(), input.pool(), input.state() == null ? READY : input.state());
   }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/EdgeListPolicy.java
@@ -16,7 +16,7 @@
  *
  * <p>State owned, known to this process only: the edges that joined before the first list, and
  * since when each listed edge has not been live. Invariants: the first list is made only after no
- * edge joined or left for {@link MembershipConstants#EDGE_LIST_SETTLE_MS}; a later one adds or
+ * edge joined or left for {@link MembershipConstants#EDGE_LIST_STABLE_MS}; a later one adds or
  * removes one address; an edge is removed only after {@link
  * MembershipConstants#EDGE_REMOVAL_DELAY_MS}.
  */
@@ -62,7 +62,7 @@
       joiningChangedAtMs = now;
       return Optional.empty();
     }
-    boolean stable = now - joiningChangedAtMs >= MembershipConstants.EDGE_LIST_SETTLE_MS;
+    boolean stable = now - joiningChangedAtMs >= MembershipConstants.EDGE_LIST_STABLE_MS;
     return live.isEmpty() || !stable
         ? Optional.empty()
         : Optional.of(new EdgeList(1, List.copyOf(live)));
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/MemberLeaseManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/MemberLeaseManager.java
@@ -7,6 +7,7 @@
 import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 import java.util.Map;
@@ -108,7 +109,9 @@
         .filter(member -> member.peerAddress().equals(joined.peerAddress()))
         .filter(member -> !member.id().equals(joined.id()))
         .map(predecessor -> MetadataKeys.MEMBER_PREFIX + predecessor.id())
-        .forEach(key -> commands.send("leave", key, CommandSender.NO_BODY, response -> {}));
+        .forEach(
+            key ->
+                commands.send(Operation.RELEASE_LEASE, key, CommandSender.NO_BODY, response -> {}));
   }
 
   /** Ends a membership before the lease expires. Leaving twice gets the same response. */
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageDrainManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageDrainManager.java
@@ -10,6 +10,7 @@
 import applespindle.corelogic.metadata.ShardAssignment;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import java.util.Optional;
 
 /**
@@ -82,7 +83,7 @@
     if (current == null && !table.has(MetadataKeys.MEMBER_PREFIX + requested.id())) {
       return Optional.of(new ApiError.NoSuchStorageNode(requested.id()));
     }
-    return requested.state().equals(StorageNodeState.EMPTYING)
+    return requested.state().equals(StorageNodeState.DRAINING)
         ? drainRefusal(current, requested.id())
         : retireRefusal(current, shards);
   }
@@ -150,7 +151,7 @@
       return;
     }
     commands.send(
-        "read",
+        Operation.READ_KEY,
         MetadataKeys.SHARD_PREFIX + shardNumber,
         JSON.createObjectNode(),
         response -> {
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageNodeDirectory.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageNodeDirectory.java
@@ -113,7 +113,7 @@
   private StorageNodeSummary summary(NodeRegistration member) {
     long shards = shardsNaming(member.id());
     String state = table.storageState(member.id()).state();
-    boolean drained = state.equals(StorageNodeState.EMPTYING) && shards == 0;
+    boolean drained = state.equals(StorageNodeState.DRAINING) && shards == 0;
     return new StorageNodeSummary(
         member.id(),
         member.name(),
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/WorkerListSynchronizer.java
@@ -6,7 +6,7 @@
 import applespindle.corelogic.environment.Environment.WorkerListPage;
 import applespindle.corelogic.environment.NodeSettings;
 import applespindle.corelogic.metadata.MetadataKeys;
-import applespindle.corelogic.metadata.WorkerListSource;
+import applespindle.corelogic.metadata.WorkerList;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import java.util.ArrayList;
 import java.util.List;
@@ -156,7 +156,7 @@
   private void pollCompleted(LedKey ledKey, List<ListedWorker> listed, int pages) {
     lastCompleteAtMs = environment.nowMs();
     List<WorkerRegistration> known =
-        ledKey.hasValue() ? ledKey.as(WorkerListSource.class).workers() : List.of();
+        ledKey.hasValue() ? ledKey.as(WorkerList.class).workers() : List.of();
     emptyPolls = listed.isEmpty() ? emptyPolls + 1 : 0;
     boolean doubtful = emptyPolls == 1 && !known.isEmpty();
     if (!doubtful) {
@@ -172,7 +172,7 @@
       LedKey ledKey, List<WorkerRegistration> known, List<WorkerRegistration> next) {
     if (!next.equals(known)) {
       fastPollsLeft = WorkerListConstants.FAST_POLLS;
-      keys.put(ledKey, new WorkerListSource(next), error -> {});
+      keys.put(ledKey, new WorkerList(next), error -> {});
       environment.log(PART, "Outside list of " + next.size() + " workers taken.");
     } else if (fastPollsLeft > 0) {
       fastPollsLeft--;
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -24,6 +24,7 @@
 import applespindle.corelogic.protocol.Message.KeyPosition;
 import applespindle.corelogic.protocol.Message.MetadataRecord;
 import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.ReplicaConfiguration;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -141,7 +142,7 @@
 
   /** Asks the followed member first, then the others in turn. */
   public void requestControlPlane(
-      String operation, String key, Object body, long expiryMs, Consumer<Response> callback) {
+      Operation operation, String key, Object body, long expiryMs, Consumer<Response> callback) {
     sendRequest(this::controlPlaneMember, operation, key, body, expiryMs, callback);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/FollowedMetadata.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/FollowedMetadata.java
@@ -11,7 +11,7 @@
 import applespindle.corelogic.metadata.QuorumMembership;
 import applespindle.corelogic.metadata.ShardAssignment;
 import applespindle.corelogic.metadata.SignedConfiguration;
-import applespindle.corelogic.metadata.WorkerListSource;
+import applespindle.corelogic.metadata.WorkerList;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.node.TraceLog;
 import applespindle.corelogic.protocol.Message.ChangeFeedPoll;
@@ -69,7 +69,7 @@
     } else if (key.startsWith(MetadataKeys.WORKER_PREFIX)) {
       updateWorker(Json.read(metadataRecord.value(), WorkerRegistration.class));
     } else if (key.equals(MetadataKeys.WORKER_LIST)) {
-      replaceWorkerList(Json.read(metadataRecord.value(), WorkerListSource.class).workers());
+      replaceWorkerList(Json.read(metadataRecord.value(), WorkerList.class).workers());
     } else if (key.equals(MetadataKeys.EDGE_LIST)) {
       listedEdges = Json.read(metadataRecord.value(), EdgeList.class).addresses();
     } else if (key.startsWith(MetadataKeys.SHARD_PREFIX)) {
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/MembershipLease.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/MembershipLease.java
@@ -7,6 +7,7 @@
 import applespindle.corelogic.metadata.MetadataKeys;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.node.NodeIdentity;
+import applespindle.corelogic.protocol.Operation;
 import java.util.function.Consumer;
 
 /**
@@ -18,7 +19,7 @@
   /** Sends a request to the leader of a key of the control plane. */
   interface ControlPlaneRequests {
     void send(
-        String operation, String key, Object body, long expiryMs, Consumer<Response> callback);
+        Operation operation, String key, Object body, long expiryMs, Consumer<Response> callback);
   }
 
   private static final byte[] NO_BODY = {'{', '}'};
@@ -47,7 +48,7 @@
   void renew(NodeSettings settings) {
     long sentAt = environment.nowMs();
     requests.send(
-        "grant",
+        Operation.RENEW_LEASE,
         key(),
         registration(settings),
         MembershipConstants.LEASE_DURATION_MS,
@@ -80,7 +81,11 @@
   /** Ends the lease at the control plane, so that others take this node's work at once. */
   void release(Runnable whenDone) {
     requests.send(
-        "leave", key(), NO_BODY, MembershipConstants.LEASE_DURATION_MS, response -> whenDone.run());
+        Operation.RELEASE_LEASE,
+        key(),
+        NO_BODY,
+        MembershipConstants.LEASE_DURATION_MS,
+        response -> whenDone.run());
   }
 
   private String key() {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
@@ -21,6 +21,7 @@
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.protocol.Message.PeerRequest;
 import applespindle.corelogic.protocol.Message.PeerRequestProgress;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.ElectionOutcome;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -54,7 +55,7 @@
   }
 
   void handle(PeerRequest request) {
-    boolean submission = request.operation().equals(PeerRequest.SUBMIT);
+    boolean submission = request.operation() == Operation.SUBMIT_BATCH;
     if (submission && submissions.join(request)) {
       edge.incrementCounter("submissions_joined");
       return;
@@ -150,7 +151,7 @@
   /** A rejection for want of capacity is given before anything of the batch is written. */
   private void reserveCapacityThenLead(PeerRequest request, Accepted accepted, StageTimer timer) {
     edge.requestControlPlane(
-        "room",
+        Operation.UPDATE_BATCH_CAPACITY,
         MetadataKeys.BATCH_CAPACITY,
         reservation(BatchKeys.batchOf(request.key()), accepted),
         PeerRequestConstants.CAPACITY_RESERVATION_TIMEOUT_MS,
@@ -165,8 +166,8 @@
     Consumer<BatchLeader> serving = leader -> serveSubmission(request, leader, accepted);
     if (response.isSuccess()) {
       lead(request, timer, serving);
-    } else if (response.errorType().equals("NoRoom")
-        || response.errorType().equals("BatchOverCeiling")) {
+    } else if (response.failedWith(ApiError.CapacityExceeded.class)
+        || response.failedWith(ApiError.BatchTooLarge.class)) {
       // A batch that was accepted before is not rejected.
       replicaRequests.lookUp(
           request.key(), lookup -> serveAfterLookup(request, lookup, response, serving));
@@ -248,7 +249,7 @@
     environment.log(
         "batch",
         "Leadership asked for: operation="
-            + request.operation()
+            + request.operationName()
             + " batch="
             + BatchKeys.batchOf(request.key())
             + " outcome="
@@ -274,17 +275,17 @@
     JsonNode body = Json.tree(request.body());
     Consumer<Response> responder = response -> edge.respond(request, response);
     switch (request.operation()) {
-      case "get" -> leader.read(responder);
-      case "results" ->
+      case READ_BATCH -> leader.read(responder);
+      case READ_PROMPT_RESULTS ->
           leader.readPromptResults(
               body.path("after").asLong(), body.path("limit").asInt(), responder);
-      case "remove" -> leader.remove(responder);
-      case "end" -> leader.end(responder);
-      case "opaque-results" ->
+      case REMOVE_BATCH -> leader.remove(responder);
+      case END_BATCH -> leader.end(responder);
+      case READ_PROXIED_RESULTS ->
           leader.readProxiedResults(
               body.path("from").asLong(), body.path("holdMs").asLong(), responder);
-      case "opaque-item" -> leader.readProxiedItem(body.path("item").asText(), responder);
-      default -> respond(request, new ApiError.UnknownRequest(request.operation()));
+      case READ_PROXIED_ITEM -> leader.readProxiedItem(body.path("item").asText(), responder);
+      default -> respond(request, new ApiError.UnknownRequest(request.operationName()));
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequests.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequests.java
@@ -17,7 +17,7 @@
 import applespindle.corelogic.environment.NodeSettings;
 import applespindle.corelogic.environment.StageTimer;
 import applespindle.corelogic.metadata.NodeAddress;
-import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
@@ -96,7 +96,7 @@
     long deadline = environment.nowMs() + timeoutMs + PeerRequestConstants.RESPONSE_SLACK_MS;
     long pending = pendingSubmissions.begin(batch, deadline);
     sendToLeader(
-        PeerRequest.SUBMIT,
+        Operation.SUBMIT_BATCH,
         batch,
         body,
         PeerRequestConstants.ATTEMPT_TIMEOUT_MS + replicationMs,
@@ -149,33 +149,39 @@
             input.expiresInMs(),
             items,
             null);
-    sendToLeader(PeerRequest.SUBMIT, BatchKeys.batchId(sender, idempotencyKey), accepted, callback);
+    sendToLeader(
+        Operation.SUBMIT_BATCH, BatchKeys.batchId(sender, idempotencyKey), accepted, callback);
   }
 
   // ---- reads and ends
 
   void read(String batch, Consumer<Response> callback) {
-    sendToLeader("get", batch, JSON.createObjectNode(), callback);
+    sendToLeader(Operation.READ_BATCH, batch, JSON.createObjectNode(), callback);
   }
 
   void readPromptResults(String batch, long after, int limit, Consumer<Response> callback) {
     ObjectNode body = JSON.createObjectNode().put("after", after).put("limit", limit);
-    sendToLeader("results", batch, body, callback);
+    sendToLeader(Operation.READ_PROMPT_RESULTS, batch, body, callback);
   }
 
   void readProxiedResults(String batch, long from, long holdMs, Consumer<Response> callback) {
     long boundedHoldMs = Math.min(holdMs, BatchConstants.MAX_LONG_POLL_MS);
     ObjectNode body = JSON.createObjectNode().put("from", from).put("holdMs", boundedHoldMs);
-    readProxied("opaque-results", batch, body, boundedHoldMs, callback);
+    readProxied(Operation.READ_PROXIED_RESULTS, batch, body, boundedHoldMs, callback);
   }
 
   void readProxiedItem(String batch, String item, Consumer<Response> callback) {
-    readProxied("opaque-item", batch, JSON.createObjectNode().put("item", item), 0, callback);
+    readProxied(
+        Operation.READ_PROXIED_ITEM, batch, JSON.createObjectNode().put("item", item), 0, callback);
   }
 
   /** A read has no effect: after any failure the reader is told to ask again. */
   private void readProxied(
-      String operation, String batch, ObjectNode body, long holdMs, Consumer<Response> callback) {
+      Operation operation,
+      String batch,
+      ObjectNode body,
+      long holdMs,
+      Consumer<Response> callback) {
     sendToLeader(
         operation,
         BatchKeys.proxiedBatchId(batch),
@@ -188,13 +194,13 @@
   }
 
   void end(String batch, Consumer<Response> callback) {
-    sendToLeader("end", batch, JSON.createObjectNode(), callback);
+    sendToLeader(Operation.END_BATCH, batch, JSON.createObjectNode(), callback);
   }
 
   // ---- finding the leader
 
   private void sendToLeader(
-      String operation, String batch, Object body, Consumer<Response> callback) {
+      Operation operation, String batch, Object body, Consumer<Response> callback) {
     sendToLeader(
         operation,
         batch,
@@ -205,7 +211,7 @@
   }
 
   private void sendToLeader(
-      String operation,
+      Operation operation,
       String batch,
       Object body,
       long attemptTimeoutMs,
@@ -227,7 +233,7 @@
    * the order as seen from here; else the first in the order agreed by all. Whoever is asked finds
    * the true leader.
    */
-  private NodeAddress target(String key, String operation, int attempt) {
+  private NodeAddress target(String key, Operation operation, int attempt) {
     if (leaders.leads(key)) {
       return new NodeAddress(edge.identity().id(), edge.identity().peerAddress());
     }
@@ -236,7 +242,7 @@
       return hinted;
     }
     int rank = hinted == null ? attempt : Math.max(0, attempt - 1);
-    boolean submission = operation.equals(PeerRequest.SUBMIT) && BatchKeys.isProxied(key);
+    boolean submission = operation == Operation.SUBMIT_BATCH && BatchKeys.isProxied(key);
     return submission
         ? edge.leaderPlacement().edgeFrom(edge.identity(), key, rank)
         : edge.leaderPlacement().edge(key, rank);
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -45,6 +45,7 @@
 import applespindle.corelogic.protocol.Message.RangeReportResponse;
 import applespindle.corelogic.protocol.Message.RangeRequest;
 import applespindle.corelogic.protocol.Message.VoteResponse;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.worker.EdgeContext;
 import applespindle.corelogic.worker.PeerLoadReporter;
 import applespindle.corelogic.worker.WorkerRegistry;
@@ -103,7 +104,7 @@
     ReplicaRequests replicaRequests = new ReplicaRequests(this);
     warmUp = new SubmissionWarmUp(environment, identity, format, submissionReader);
     leaders = new BatchLeaders(environment, this, this);
-    registry = new WorkerRegistry(environment, this::pump);
+    registry = new WorkerRegistry(environment, this::dispatchQueued);
     registry.onCallStart(
         new PeerLoadReporter(environment, registry, this::zonePeers, this::send)::reportCallStart);
     liveRequests = new LiveRequestDispatcher(environment, identity.id(), this, registry);
@@ -138,7 +139,7 @@
     warmUpWhenIdle();
   }
 
-  private void pump() {
+  private void dispatchQueued() {
     liveRequests.dispatchQueued();
     batchDispatcher.dispatch();
   }
@@ -349,11 +350,6 @@
     return !isFeedStale();
   }
 
-  @Override
-  public boolean isStopping() {
-    return stopping;
-  }
-
   @Override
   public ApiError rejectionOfNewWork() {
     return stopping ? new ApiError.NodeStopping() : rejectionOfAdmittedWork();
@@ -370,12 +366,12 @@
   }
 
   @Override
-  public void claimOnce(String id, String token, Consumer<ApiError> callback) {
+  public void claimIdempotencyId(String id, String token, Consumer<ApiError> callback) {
     onceClaims.claim(id, token, callback);
   }
 
   @Override
-  public void unclaimOnce(String id, String token) {
+  public void releaseIdempotencyId(String id, String token) {
     onceClaims.release(id, token);
   }
 
@@ -392,7 +388,7 @@
   @Override
   public void reportCapacity(String batch, long capacity, LongConsumer callback) {
     requestControlPlane(
-        "room",
+        Operation.UPDATE_BATCH_CAPACITY,
         MetadataKeys.BATCH_CAPACITY,
         JSON.createObjectNode().put("batch", batch).put("items", capacity),
         ReplicationConstants.COMMIT_TIMEOUT_MS,
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeServices.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeServices.java
@@ -11,6 +11,7 @@
 import applespindle.corelogic.node.TraceLog;
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.ReplicaConfiguration;
 import java.util.List;
 import java.util.Map;
@@ -56,7 +57,7 @@
 
   void sendRequest(
       IntFunction<NodeAddress> targets,
-      String operation,
+      Operation operation,
       String key,
       Object body,
       long attemptTimeoutMs,
@@ -65,14 +66,14 @@
 
   void sendRequest(
       IntFunction<NodeAddress> targets,
-      String operation,
+      Operation operation,
       String key,
       Object body,
       long timeoutMs,
       Consumer<Response> callback);
 
   void requestControlPlane(
-      String operation, String key, Object body, long timeoutMs, Consumer<Response> callback);
+      Operation operation, String key, Object body, long timeoutMs, Consumer<Response> callback);
 
   void respond(PeerRequest request, Response response);
 
--- a/core-logic/src/main/java/applespindle/corelogic/edge/OnceClaims.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/OnceClaims.java
@@ -6,6 +6,7 @@
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.constants.ReplicationConstants;
 import applespindle.corelogic.metadata.MetadataKeys;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.ReplicaConfiguration;
 import java.util.HashSet;
 import java.util.Set;
@@ -34,7 +35,11 @@
     }
     ClaimInProgress claim = new ClaimInProgress(id, token, replicas, callback);
     replicaRequests.sendToAll(
-        replicas, "claim", key, JSON.createObjectNode().put("token", token), claim::handle);
+        replicas,
+        Operation.CLAIM_ONCE_ID,
+        key,
+        JSON.createObjectNode().put("token", token),
+        claim::handle);
   }
 
   /** Releases a claim of this token, as far as replicas can be reached. */
@@ -46,7 +51,7 @@
             replica ->
                 edge.sendRequest(
                     attempt -> replica,
-                    "unclaim",
+                    Operation.RELEASE_ONCE_ID,
                     key,
                     JSON.createObjectNode().put("token", token),
                     ReplicationConstants.COMMIT_TIMEOUT_MS,
@@ -81,7 +86,7 @@
         granted.add(replicaId);
       } else {
         possible.remove(replicaId);
-        claimedByOther |= response.errorType().equals("AlreadyClaimed");
+        claimedByOther |= response.failedWith(ApiError.AlreadyClaimed.class);
       }
       boolean lost = !replicas.isQuorum(possible);
       if (concluded || !lost && !replicas.isQuorum(granted)) {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/ReplicaRequests.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/ReplicaRequests.java
@@ -5,6 +5,7 @@
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.constants.PeerRequestConstants;
 import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.ReplicaConfiguration;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashSet;
@@ -42,7 +43,7 @@
   /** Sends one attempt to each replica; the callback gets each replica's id with its response. */
   void sendToAll(
       ReplicaConfiguration replicas,
-      String operation,
+      Operation operation,
       String key,
       ObjectNode body,
       BiConsumer<String, Response> callback) {
@@ -66,7 +67,7 @@
       return;
     }
     LookupInProgress lookup = new LookupInProgress(replicas, callback);
-    sendToAll(replicas, "peek", key, JSON.createObjectNode(), lookup::handle);
+    sendToAll(replicas, Operation.LOOK_UP_RECORD, key, JSON.createObjectNode(), lookup::handle);
   }
 
   /** Invariant: the callback runs at the first conclusive answer, or else at the last answer. */
--- a/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
@@ -118,7 +118,7 @@
      */
     void head(ProxiedRequest.ResponseHead head);
 
-    void chunk(ProxiedRequest.ResponseChunk piece);
+    void chunk(ProxiedRequest.ResponseChunk chunk);
 
     /** The body is whole. */
     void end();
--- a/core-logic/src/main/java/applespindle/corelogic/environment/ProxiedRequest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/ProxiedRequest.java
@@ -18,7 +18,7 @@
     long deadlineMs,
     String model,
     int promptTokens,
-    int outputTokensMost,
+    int maxOutputTokens,
     List<PromptPart> prompt,
     String resumeAfter) {
   /** As it came; end-to-end headers only, in order. */
@@ -48,7 +48,7 @@
         deadlineMs == 0 ? 0 : Math.max(1, deadlineMs - waitedMs),
         model,
         promptTokens,
-        outputTokensMost,
+        maxOutputTokens,
         prompt,
         resumeAfter);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequest.java
@@ -13,7 +13,7 @@
  * @param prompt its length is used by the routing rules, its prefix to choose the worker
  * @param body what the worker gets
  * @param stream whether the client gets the text as it comes
- * @param onceId idempotency id: the request runs at most once; empty if it may run again
+ * @param idempotencyId idempotency id: the request runs at most once; empty if it may run again
  */
 public record LiveRequest(
     String sender,
@@ -23,4 +23,4 @@
     String prompt,
     ObjectNode body,
     boolean stream,
-    String onceId) {}
+    String idempotencyId) {}
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestCall.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestCall.java
@@ -91,7 +91,7 @@
   }
 
   boolean hasIdempotencyId() {
-    return !request.onceId().isEmpty();
+    return !request.idempotencyId().isEmpty();
   }
 
   /** Whether the worker belongs to the pool of this request. */
@@ -196,7 +196,7 @@
     close();
     listener.fail(
         outcomeUnknown
-            ? Response.of(new ApiError.OutcomeUnknown(request.onceId()))
+            ? Response.of(new ApiError.OutcomeUnknown(request.idempotencyId()))
             : Response.of(error, retryAfterSeconds),
         textForwarded);
   }
@@ -208,7 +208,7 @@
       attempt.cancel();
     }
     if (!claimToken.isEmpty() && !mayHaveRun) {
-      context.edge().unclaimOnce(request.onceId(), claimToken);
+      context.edge().releaseIdempotencyId(request.idempotencyId(), claimToken);
     }
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/LiveRequestDispatcher.java
@@ -138,14 +138,15 @@
 
   private void claimThenEnqueue(LiveRequestCall call) {
     String token = nodeId + "-" + ++claimTokensIssued;
-    edge.claimOnce(call.request().onceId(), token, error -> onClaimAnswered(call, token, error));
+    edge.claimIdempotencyId(
+        call.request().idempotencyId(), token, error -> onClaimAnswered(call, token, error));
   }
 
   /** The claim was granted if error is null. */
   private void onClaimAnswered(LiveRequestCall call, String token, ApiError error) {
     if (call.isClosed()) {
       if (error == null) {
-        edge.unclaimOnce(call.request().onceId(), token);
+        edge.releaseIdempotencyId(call.request().idempotencyId(), token);
       }
     } else if (error != null) {
       call.reject(error);
--- a/core-logic/src/main/java/applespindle/corelogic/live/ProxiedRequestCall.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/ProxiedRequestCall.java
@@ -103,7 +103,7 @@
         route.sticky(),
         request.prompt(),
         PrefixCache.prefixHashes(request.prompt(), request.model()),
-        request.promptTokens() + request.outputTokensMost(),
+        request.promptTokens() + request.maxOutputTokens(),
         cacheTokensPerWorker == null ? 0 : cacheTokensPerWorker);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapProposer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/BootstrapProposer.java
@@ -94,7 +94,7 @@
   }
 
   private boolean isStable() {
-    return environment.nowMs() - candidatesChangedAt >= MembershipConstants.BOOTSTRAP_SETTLE_MS;
+    return environment.nowMs() - candidatesChangedAt >= MembershipConstants.BOOTSTRAP_STABLE_MS;
   }
 
   /** After a long wait fewer candidates than wanted are enough, but never none. */
--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -9,6 +9,7 @@
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.metadata.QuorumMember;
 import applespindle.corelogic.node.Node;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.ReplicaCatchUp;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
@@ -62,7 +63,7 @@
         JSON.createObjectNode().put("id", node.identity().id()).put("number", number);
     node.sendRequest(
         this::memberToAsk,
-        "copied",
+        Operation.REPORT_CAUGHT_UP,
         MetadataKeys.MEMBERSHIP,
         report,
         PeerRequestConstants.REQUEST_TIMEOUT_MS,
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/StorageNodeState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/StorageNodeState.java
@@ -10,7 +10,7 @@
  *
  * @param id id of the node
  * @param name the configured name, for operators; may be empty
- * @param state one of {@link #ACTIVE}, {@link #EMPTYING} and {@link #RETIRED}
+ * @param state one of {@link #ACTIVE}, {@link #DRAINING} and {@link #RETIRED}
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record StorageNodeState(String id, String name, String state) {
@@ -18,7 +18,7 @@
   public static final String ACTIVE = "active";
 
   /** The replicas of the node are being moved to other nodes. */
-  public static final String EMPTYING = "emptying";
+  public static final String DRAINING = "emptying";
 
   /** The node holds no replicas any more and gets none. */
   public static final String RETIRED = "retired";
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerListSource.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/WorkerList.java
@@ -9,4 +9,4 @@
  * @param workers without the workers that are gone
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record WorkerListSource(List<WorkerRegistration> workers) {}
+public record WorkerList(List<WorkerRegistration> workers) {}
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -20,6 +20,7 @@
 import applespindle.corelogic.protocol.Message.PeerResponse;
 import applespindle.corelogic.protocol.Message.QuorumDiscoveryRequest;
 import applespindle.corelogic.protocol.Message.QuorumDiscoveryResponse;
+import applespindle.corelogic.protocol.Operation;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
@@ -42,7 +43,7 @@
   protected QuorumMembership membership = new QuorumMembership(0, List.of(), List.of());
 
   /** Whether a graceful shutdown has begun. */
-  public boolean stopping;
+  protected boolean stopping;
 
   /** Peer addresses at which to look for the control plane. */
   protected List<String> seeds;
@@ -86,6 +87,11 @@
   /** Empty if the node is ready to serve, else the reason why not. */
   public abstract String notReadyBecause();
 
+  /** Whether a graceful shutdown has begun. */
+  public boolean isStopping() {
+    return stopping;
+  }
+
   /** Whether the node has shut down; no timer of it has an effect any more. */
   public boolean isTerminated() {
     return terminated;
@@ -185,7 +191,7 @@
   /** Sends a request with the usual time for an attempt. */
   public void sendRequest(
       IntFunction<NodeAddress> targets,
-      String operation,
+      Operation operation,
       String key,
       Object body,
       long timeoutMs,
@@ -210,7 +216,7 @@
    */
   public void sendRequest(
       IntFunction<NodeAddress> targets,
-      String operation,
+      Operation operation,
       String key,
       Object body,
       long attemptTimeoutMs,
@@ -271,7 +277,7 @@
         toId,
         new PeerRequest(
             request.correlation(),
-            request.operation(),
+            request.operationName(),
             request.key(),
             request.originId(),
             request.originAddress(),
--- a/core-logic/src/main/java/applespindle/corelogic/node/OutgoingRequest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/OutgoingRequest.java
@@ -5,9 +5,9 @@
 import applespindle.corelogic.constants.PeerRequestConstants;
 import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.metadata.NodeAddress;
+import applespindle.corelogic.protocol.Operation;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 
@@ -17,9 +17,15 @@
  * is never passed on as if nothing had been done.
  */
 final class OutgoingRequest {
-  /** Wire names of the errors that say for certain that nothing was done: a retry is safe. */
-  private static final Set<String> NOTHING_DONE =
-      Set.of("NotOwner", "NoMajority", "NotReady", "NodeStopping", "Overloaded", "NodeIsolated");
+  /** The errors that say for certain that nothing was done: a retry is safe. */
+  private static final List<Class<? extends ApiError>> NOTHING_DONE =
+      List.of(
+          ApiError.NotLeader.class,
+          ApiError.NoQuorum.class,
+          ApiError.NotReady.class,
+          ApiError.NodeStopping.class,
+          ApiError.Overloaded.class,
+          ApiError.NodeIsolated.class);
 
   /** Sends one attempt and returns its correlation id. */
   interface AttemptSender {
@@ -30,7 +36,7 @@
   private final AttemptSender sender;
   private final PendingRequests pending;
   private final IntFunction<NodeAddress> targets;
-  final String operation;
+  final Operation operation;
   final String key;
   final byte[] body;
   private final long attemptTimeoutMs;
@@ -61,7 +67,7 @@
       AttemptSender sender,
       PendingRequests pending,
       IntFunction<NodeAddress> targets,
-      String operation,
+      Operation operation,
       String key,
       byte[] body,
       long attemptTimeoutMs,
@@ -133,7 +139,7 @@
   }
 
   void handleResponse(long correlation, Response response) {
-    if (!NOTHING_DONE.contains(response.errorType())) {
+    if (NOTHING_DONE.stream().noneMatch(response::failedWith)) {
       finish(response);
     } else if (isLatest(correlation)) {
       lastResponse = response;
--- a/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
+++ b/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
@@ -30,32 +30,53 @@
     return true;
   }
 
-  /** One node asks another to carry out a duty for a key; hops bounds how often it is forwarded. */
+  /**
+   * A request to the node that leads or holds a key.
+   *
+   * @param operationName the wire name of an {@link Operation}, known to this version or not
+   * @param originId the node that is sent the response, and its address
+   * @param hops how often the request may still be forwarded
+   * @param body JSON, or the encoded batch of a submission
+   */
   record PeerRequest(
       long correlation,
-      String operation,
+      String operationName,
       String key,
       String originId,
       String originAddress,
       int hops,
       byte[] body)
       implements Message {
-    /** Of the ask that hands in a batch. */
-    public static final String SUBMIT = "submit";
+    public PeerRequest(
+        long correlation,
+        Operation operation,
+        String key,
+        String originId,
+        String originAddress,
+        int hops,
+        byte[] body) {
+      this(correlation, operation.wireName(), key, originId, originAddress, hops, body);
+    }
+
+    /** What is asked for; {@link Operation#UNKNOWN} if this version does not know it. */
+    public Operation operation() {
+      return Operation.ofWireName(operationName);
+    }
 
     @Override
     public boolean shouldDeflate() {
-      return !operation.equals(SUBMIT);
+      return operation() != Operation.SUBMIT_BATCH;
     }
   }
 
   /**
-   * The answer to the ask with this correlation; retryAfterSeconds is 0 unless a retry should wait.
+   * The response to the request with this correlation; retryAfterSeconds is 0 unless a retry should
+   * wait.
    */
   record PeerResponse(long correlation, int status, int retryAfterSeconds, byte[] body)
       implements Message {}
 
-  /** The node that was asked lives and still works on the ask with this correlation. */
+  /** The node that was asked still works on the request with this correlation. */
   record PeerRequestProgress(long correlation) implements Message {}
 
   /**
@@ -249,7 +270,7 @@
 
   /** The outcome of one run of an item; errorType is empty if the run finished. */
   record ItemOutcome(
-      int index, String run, String worker, String finishReason, String faultType, byte[] output) {}
+      int index, String run, String worker, String finishReason, String errorType, byte[] output) {}
 
   /**
    * offset: every item before it is done, counting the results carried here and those answered
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -12,6 +12,7 @@
 import applespindle.corelogic.metadata.NodeAddress;
 import applespindle.corelogic.node.Node;
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -152,7 +153,7 @@
       }
       node.sendRequest(
           attempt -> new NodeAddress(source.id(), source.address()),
-          "copy",
+          Operation.FETCH_SNAPSHOT_PAGE,
           name,
           JSON.createObjectNode()
               .put("setNumber", version)
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -24,6 +24,7 @@
 import applespindle.corelogic.protocol.Message.LogFetchRequest;
 import applespindle.corelogic.protocol.Message.PeerRequest;
 import applespindle.corelogic.protocol.Message.VoteRequest;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.replication.LogReplica;
 import applespindle.corelogic.replication.LogReplicas;
 import applespindle.corelogic.replication.ReplicaCatchUp;
@@ -139,7 +140,7 @@
   private void requestRemoval(String key) {
     sendRequest(
         attempt -> leaderPlacement().edge(key, attempt),
-        "remove",
+        Operation.REMOVE_BATCH,
         key,
         JSON.createObjectNode(),
         BatchConstants.RETENTION_SCAN_INTERVAL_MS,
@@ -188,11 +189,12 @@
   @Override
   protected void handleRequest(PeerRequest request) {
     switch (request.operation()) {
-      case "copy" -> catchUp.servePage(request);
-      case "peek" -> lookUpRecord(request);
-      case "claim" -> claimOnceId(request);
-      case "unclaim" -> releaseOnceId(request);
-      default -> respond(request, Response.of(new ApiError.UnknownRequest(request.operation())));
+      case FETCH_SNAPSHOT_PAGE -> catchUp.servePage(request);
+      case LOOK_UP_RECORD -> lookUpRecord(request);
+      case CLAIM_ONCE_ID -> claimOnceId(request);
+      case RELEASE_ONCE_ID -> releaseOnceId(request);
+      default ->
+          respond(request, Response.of(new ApiError.UnknownRequest(request.operationName())));
     }
   }
 
@@ -257,7 +259,7 @@
   }
 
   private void reportCaughtUp(String shard, Object body, long timeoutMs) {
-    requestControlPlane("copied", shard, body, timeoutMs, response -> {});
+    requestControlPlane(Operation.REPORT_CAUGHT_UP, shard, body, timeoutMs, response -> {});
   }
 
   // ---- readiness, status and shutdown
--- a/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
@@ -28,10 +28,10 @@
    * @param token identifies this claim among others for the same id
    * @param then gets null when the claim is granted, or why it is not
    */
-  void claimOnce(String id, String token, Consumer<ApiError> then);
+  void claimIdempotencyId(String id, String token, Consumer<ApiError> then);
 
   /** Gives up a claim of a request that has certainly not run. */
-  void unclaimOnce(String id, String token);
+  void releaseIdempotencyId(String id, String token);
 
   void incrementCounter(String counter);
 }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherFixture.java
@@ -161,7 +161,7 @@
                     .noneMatch(
                         each ->
                             each.run().equals(item.run())
-                                && each.faultType().equals(item.faultType())))
+                                && each.errorType().equals(item.errorType())))
         .forEach(found::add);
     return found;
   }
--- a/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/BatchDispatcherTest.java
@@ -106,7 +106,7 @@
     assertThat(fixture.outcomes(0)).isEmpty();
     run.worker.end();
     ItemOutcome outcome = fixture.outcomes(0).get(0);
-    assertThat(outcome.faultType()).isEmpty();
+    assertThat(outcome.errorType()).isEmpty();
     assertThat(new String(outcome.output(), UTF_8)).isEqualTo("a\nb");
   }
 
@@ -188,7 +188,7 @@
     run.event(3, "late");
     fixture.run(500);
     ItemOutcome partial = fixture.outcomes(0).get(0);
-    assertThat(partial.faultType()).isEqualTo("WorkerCut");
+    assertThat(partial.errorType()).isEqualTo("WorkerCut");
     assertThat(partial.finishReason()).isEqualTo("2");
     assertThat(new String(partial.output(), UTF_8)).isEqualTo("a\nb");
     assertThat(fixture.returnedRange()).isTrue();
@@ -223,7 +223,7 @@
     run.worker.fail(new ApiError.WorkerStreamTruncated("w"), true);
     fixture.run(500);
     ItemOutcome partial = fixture.outcomes(0).get(0);
-    assertThat(partial.faultType()).isEqualTo("WorkerCut");
+    assertThat(partial.errorType()).isEqualTo("WorkerCut");
     assertThat(partial.finishReason()).isEqualTo("1");
     assertThat(new String(partial.output(), UTF_8)).isEqualTo("a");
     assertThat(fixture.sent).hasSize(1);
@@ -254,7 +254,7 @@
     Sent next = fixture.sent.get(1);
     next.worker.head(new ResponseHead(500, List.of()));
     next.worker.end();
-    assertThat(fixture.outcomes(0).get(0).faultType()).isEqualTo("ItemFailed");
+    assertThat(fixture.outcomes(0).get(0).errorType()).isEqualTo("ItemFailed");
   }
 
   @Test
@@ -262,7 +262,7 @@
     Sent run = assignOneItem();
     run.worker.head(new ResponseHead(422, List.of()));
     run.worker.end();
-    assertThat(fixture.outcomes(0).get(0).faultType()).isEqualTo("ItemImpossible");
+    assertThat(fixture.outcomes(0).get(0).errorType()).isEqualTo("ItemImpossible");
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/batch/RecordFormatTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/RecordFormatTest.java
@@ -30,7 +30,7 @@
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.metadata.WorkerInput;
-import applespindle.corelogic.metadata.WorkerListSource;
+import applespindle.corelogic.metadata.WorkerList;
 import applespindle.corelogic.metadata.WorkerListVersion;
 import applespindle.corelogic.metadata.WorkerRegistration;
 import applespindle.corelogic.replication.LogEndPosition;
@@ -72,7 +72,7 @@
             QuorumMembership.class,
             NodeRegistration.class,
             WorkerRegistration.class,
-            WorkerListSource.class,
+            WorkerList.class,
             EdgeList.class,
             SignedConfiguration.class,
             ShardAssignment.class,
@@ -156,11 +156,11 @@
     Map<String, Object> records = new LinkedHashMap<>();
     QuorumMember core =
         new QuorumMember("27a7d9882d5c", "10.0.2.1:7400", "10.0.2.1:8080", "zone-0", "core-1");
-    QuorumMember newcomer =
+    QuorumMember joiningMember =
         new QuorumMember("536acd9bcd3f", "10.0.2.2:7400", "10.0.2.2:8080", "zone-1", "core-2");
     records.put("core-member", core);
     records.put("roster", new QuorumMembership(1, List.of(core), List.of()));
-    records.put("roster-changing", new QuorumMembership(2, List.of(core), List.of(newcomer)));
+    records.put("roster-changing", new QuorumMembership(2, List.of(core), List.of(joiningMember)));
     records.put("member", edge(true, 2.5, 1000));
     records.put("member-ended", edge(false, 0, 0));
     WorkerRegistration ready =
@@ -171,8 +171,8 @@
     records.put("worker-leaving", leaving);
     records.put(
         "worker-gone", new WorkerRegistration("w3", "10.0.3.3:9000", "main", "gone", "", 0));
-    records.put("listed-workers-none", new WorkerListSource(List.of()));
-    records.put("listed-workers", new WorkerListSource(List.of(ready, leaving)));
+    records.put("listed-workers-none", new WorkerList(List.of()));
+    records.put("listed-workers", new WorkerList(List.of(ready, leaving)));
     records.put("worker-input", new WorkerInput("w1", "10.0.3.1:9000", "main", "ready"));
     records.put("edge-list", new EdgeList(2, List.of("10.0.0.1:7400", "10.0.0.2:7400")));
     records.put("list-version", new WorkerListVersion(5));
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionsInProgressTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SubmissionsInProgressTest.java
@@ -3,6 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import applespindle.corelogic.protocol.Message.PeerRequest;
+import applespindle.corelogic.protocol.Operation;
 import org.junit.jupiter.api.Test;
 
 /** The same batch that arrives again while it is being accepted is not taken up anew. */
@@ -14,7 +15,7 @@
     for (int index = 0; index < body.length; index++) {
       bytes[index] = (byte) body[index];
     }
-    return new PeerRequest(correlation, PeerRequest.SUBMIT, key, "edge", "edge:1", 1, bytes);
+    return new PeerRequest(correlation, Operation.SUBMIT_BATCH, key, "edge", "edge:1", 1, bytes);
   }
 
   @Test
--- a/core-logic/src/test/java/applespindle/corelogic/controlplane/ShardRepairPolicyTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/controlplane/ShardRepairPolicyTest.java
@@ -67,7 +67,7 @@
   void movesReplicasOffADrainingNodeAndLostOnesFirst() {
     fixture.registerLive("a", "b", "c", "d");
     ShardAssignment shard = fixture.assign("a", "b", "c");
-    fixture.mark("a", StorageNodeState.EMPTYING);
+    fixture.mark("a", StorageNodeState.DRAINING);
     policy.refresh(START_MS);
     assertThat(ShardMetadataFixture.ids(policy.nextReplicas(SHARD, shard).orElseThrow()))
         .containsExactly("b", "c", "d");
@@ -87,7 +87,7 @@
         .containsExactly("a", "b", "c")
         .inOrder();
     ShardAssignment shard = fixture.assign("a", "b", "c");
-    fixture.mark("a", StorageNodeState.EMPTYING);
+    fixture.mark("a", StorageNodeState.DRAINING);
     policy.refresh(START_MS);
     assertThat(policy.nextReplicas(SHARD, shard).isPresent()).isFalse();
   }
--- a/core-logic/src/test/java/applespindle/corelogic/controlplane/StorageNodeDirectoryTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/controlplane/StorageNodeDirectoryTest.java
@@ -13,7 +13,7 @@
   @Test
   void describesADrainedNode() throws Exception {
     fixture.registerLive("a");
-    fixture.mark("a", StorageNodeState.EMPTYING);
+    fixture.mark("a", StorageNodeState.DRAINING);
     assertThat(JSON.writeValueAsString(fixture.directory.summaries()))
         .isEqualTo(
             "[{\"id\":\"a\",\"name\":\"name-a\",\"zone\":\"zone-a\",\"live\":true,"
@@ -24,7 +24,7 @@
   void describesADrainingNode() {
     fixture.registerLive("a");
     fixture.assign("a");
-    fixture.mark("a", StorageNodeState.EMPTYING);
+    fixture.mark("a", StorageNodeState.DRAINING);
     assertThat(fixture.directory.summaries().get(0).state()).isEqualTo("emptying");
   }
 
@@ -34,7 +34,7 @@
     fixture.assign("a", "b", "c");
     fixture.end("c");
     assertThat(fixture.directory.activeBesides("a")).isEqualTo(2);
-    fixture.mark("b", StorageNodeState.EMPTYING);
+    fixture.mark("b", StorageNodeState.DRAINING);
     assertThat(fixture.directory.activeBesides("a")).isEqualTo(1);
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
+++ b/core-logic/src/test/java/applespindle/corelogic/live/ProxyDispatcherFixture.java
@@ -107,10 +107,10 @@
   }
 
   @Override
-  public void claimOnce(String id, String token, Consumer<ApiError> then) {}
+  public void claimIdempotencyId(String id, String token, Consumer<ApiError> then) {}
 
   @Override
-  public void unclaimOnce(String id, String token) {}
+  public void releaseIdempotencyId(String id, String token) {}
 
   @Override
   public void incrementCounter(String counter) {}
--- a/operator-tool/src/main/java/applespindle/operatortool/HttpCaller.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/HttpCaller.java
@@ -35,7 +35,7 @@
     }
   }
 
-  private static final int BODY_BYTES_MOST = 64 << 20;
+  private static final int MAX_BODY_BYTES = 64 << 20;
   private final Duration timeout;
 
   public HttpCaller(Duration timeout) {
@@ -63,7 +63,7 @@
         .then(
             response ->
                 response
-                    .loadBody(BODY_BYTES_MOST)
+                    .loadBody(MAX_BODY_BYTES)
                     .whenResult(
                         bytes -> {
                           String text = bytes.getString(UTF_8);
--- a/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
@@ -1,6 +1,7 @@
 package applespindle.testfleet;
 
 import applespindle.corelogic.controlplane.ControlPlaneNode;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
@@ -99,7 +100,7 @@
     fleet.command(
         core,
         PATIENCE_MS,
-        "read",
+        Operation.READ_KEY,
         key,
         new byte[] {'{', '}'},
         response -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
@@ -17,6 +17,7 @@
 import applespindle.corelogic.live.ProxiedResponseListener;
 import applespindle.corelogic.live.RequestHandle;
 import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.ProxyWorkers.Worker;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
@@ -161,7 +162,7 @@
         (Consumer<Response> then) ->
             ((ControlPlaneNode) simulation.processes.get("core-0").node())
                 .command(
-                    "bundle",
+                    Operation.SET_CONFIGURATION,
                     "bundle",
                     new SignedConfiguration(0, Json.bytes(bundle), "", new byte[0], 0L),
                     then),
@@ -335,7 +336,7 @@
     public void head(ResponseHead head) {}
 
     @Override
-    public void chunk(ResponseChunk piece) {
+    public void chunk(ResponseChunk chunk) {
       double nowMs = simulation.nowUs() / 1_000.0;
       if (first) {
         first = false;
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -4,6 +4,7 @@
 
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.metadata.WorkerInput;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -26,9 +27,9 @@
     var input = new WorkerInput(id, SimulatedWorkers.address(id), pool, null);
     fleet.command(
         fleet.liveCore(),
-        "worker",
+        Operation.SET_WORKER,
         "worker/" + id,
-        ControlPlaneNode.workerListed(input),
+        ControlPlaneNode.workerRegistration(input),
         response -> {
           if (response == null || !response.isSuccess()) {
             simulation.afterMs(500, () -> listWorker(id));
@@ -39,9 +40,9 @@
   void markLeaving(String id) {
     fleet.command(
         fleet.liveCore(),
-        "worker",
+        Operation.SET_WORKER,
         "worker/" + id,
-        ControlPlaneNode.workerMarked(id, true),
+        ControlPlaneNode.workerMark(id, true),
         response -> {
           int status = response == null ? 0 : response.status();
           simulation.history.add(
@@ -69,7 +70,7 @@
                     number));
     fleet.command(
         coreName,
-        "bundle",
+        Operation.SET_CONFIGURATION,
         "bundle",
         fleet.signed(bytes, null),
         response -> {
@@ -95,7 +96,7 @@
     long begunAt = simulation.simulatedNowMs();
     fleet.command(
         fleet.liveCore(),
-        "read",
+        Operation.READ_KEY,
         "bundle",
         new byte[] {'{', '}'},
         response -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
@@ -306,11 +306,11 @@
     }
 
     @Override
-    public void chunk(ResponseChunk piece) {
+    public void chunk(ResponseChunk chunk) {
       later(
           () -> {
-            String bytes = new String(piece.bytes(), UTF_8);
-            if (piece.eventId().isEmpty()) {
+            String bytes = new String(chunk.bytes(), UTF_8);
+            if (chunk.eventId().isEmpty()) {
               text.append(bytes);
             } else {
               String data =
@@ -320,8 +320,8 @@
                       .map(line -> line.substring(6))
                       .findFirst()
                       .orElse("");
-              text.append(piece.eventId()).append(':').append(data).append('\n');
-              lastEvent = piece.eventId();
+              text.append(chunk.eventId()).append(':').append(data).append('\n');
+              lastEvent = chunk.eventId();
             }
           });
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
@@ -5,6 +5,7 @@
 
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.common.Json;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.History.Kind;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -333,7 +334,7 @@
             fleet.command(
                 fleet.anyCore(),
                 patienceMs,
-                "bundle",
+                Operation.SET_CONFIGURATION,
                 "bundle",
                 fleet.signed(order.bytes(), order.buildsOn()),
                 passage == Passage.ANSWER_LOST ? response -> {} : once);
@@ -421,7 +422,7 @@
     fleet.command(
         fleet.anyCore(),
         SILENCE_MS,
-        "read",
+        Operation.READ_KEY,
         "bundle",
         new byte[] {'{', '}'},
         response -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -10,6 +10,7 @@
 import applespindle.corelogic.edge.EdgeNode;
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.StorageNodeState;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.operatortool.Signing;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
@@ -418,7 +419,7 @@
   }
 
   void command(
-      String coreName, String operation, String key, Object body, Consumer<Response> then) {
+      String coreName, Operation operation, String key, Object body, Consumer<Response> then) {
     command(simulation.processes.get(coreName), SENDER_PATIENCE_MS, operation, key, body, then);
   }
 
@@ -439,7 +440,7 @@
   void command(
       Process core,
       long patienceMs,
-      String operation,
+      Operation operation,
       String key,
       Object body,
       Consumer<Response> then) {
@@ -492,7 +493,7 @@
     String id = ((ControlPlaneNode) simulation.processes.get(core).node()).storageId(name);
     command(
         core,
-        "storage",
+        Operation.SET_STORAGE_NODE_STATE,
         "storage/" + id,
         new StorageNodeState(id, name, state),
         response -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -536,8 +536,8 @@
                 }
 
                 @Override
-                public void chunk(ProxiedRequest.ResponseChunk piece) {
-                  enter(inLife, () -> unlessCancelled(() -> listener.chunk(piece)));
+                public void chunk(ProxiedRequest.ResponseChunk chunk) {
+                  enter(inLife, () -> unlessCancelled(() -> listener.chunk(chunk)));
                 }
 
                 @Override
@@ -680,7 +680,7 @@
 
     static String kindOf(Message message) {
       return message instanceof Message.PeerRequest request
-          ? "Ask:" + request.operation()
+          ? "Ask:" + request.operationName()
           : MessageNames.of(message);
     }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
@@ -1,6 +1,7 @@
 package applespindle.testfleet;
 
 import applespindle.corelogic.protocol.Message;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -98,9 +99,9 @@
   }
 
   private void asked(Process from, Message.PeerRequest request) {
-    if (request.operation().equals("submit") && arriving.containsKey(from.name)) {
+    if (request.operation() == Operation.SUBMIT_BATCH && arriving.containsKey(from.name)) {
       clientIds.put(recordId(request.key()), arriving.remove(from.name));
-    } else if (request.operation().equals("room")) {
+    } else if (request.operation() == Operation.UPDATE_BATCH_CAPACITY) {
       var body = Simulation.tree(request.body());
       String clientId = clientIds.get(body.path("batch").asText());
       if (clientId != null && body.path("reserve").asBoolean()) {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -27,6 +27,7 @@
 import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
 import applespindle.corelogic.protocol.Message.MetadataRecord;
 import applespindle.corelogic.protocol.MessageNames;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.storage.StorageNode;
 import applespindle.operatortool.Signing;
 import java.lang.management.ManagementFactory;
@@ -316,7 +317,7 @@
 
   static String kindOf(Message message) {
     if (message instanceof Message.PeerRequest request) {
-      return "Ask:" + request.operation();
+      return "Ask:" + request.operationName();
     }
     if (message instanceof ChangeFeedUpdate update) {
       return kindOfNews(update);
@@ -427,7 +428,7 @@
   }
 
   /** Sends again, as an operator does, until something certain is said. */
-  private void command(String operation, String key, Object body, Consumer<Response> then) {
+  private void command(Operation operation, String key, Object body, Consumer<Response> then) {
     ControlPlaneNode core = core();
     Machine machine = machines.get(core.identity().name());
     machine.enter(
@@ -463,7 +464,7 @@
     change.sentAtMs = nowMs();
     byte[] signature = java.util.Base64.getDecoder().decode(Signing.sign(bytes, KEYS.privateKey()));
     command(
-        "bundle",
+        Operation.SET_CONFIGURATION,
         "bundle",
         new SignedConfiguration(0, bytes, "operator", signature),
         response -> {
@@ -509,9 +510,9 @@
                     "main",
                     "ready");
             command(
-                "worker",
+                Operation.SET_WORKER,
                 "worker/" + input.id(),
-                ControlPlaneNode.workerListed(input),
+                ControlPlaneNode.workerRegistration(input),
                 response -> {
                   answered[0]++;
                   next[0].run();
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -10,6 +10,7 @@
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.environment.NodeSettings;
 import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -57,7 +58,7 @@
       return simulation.processes.get("core-" + index);
     }
 
-    private SimulatedResponse command(int core, String operation, Object body) {
+    private SimulatedResponse command(int core, Operation operation, Object body) {
       SimulatedResponse answer = new SimulatedResponse();
       simulation.call(
           core(core),
@@ -69,13 +70,16 @@
 
     private SimulatedResponse sendWhole(long number) {
       byte[] bytes = Deployment.AUTHORITY.bundle(number).strip().getBytes(UTF_8);
-      return command(0, "bundle", new SignedConfiguration(0, bytes, "", new byte[0], number - 1));
+      return command(
+          0,
+          Operation.SET_CONFIGURATION,
+          new SignedConfiguration(0, bytes, "", new byte[0], number - 1));
     }
 
     SimulatedResponse patch(int core, long buildsOn, String patch) {
       return command(
           core,
-          "patch-bundle",
+          Operation.PATCH_CONFIGURATION,
           new ConfigurationPatchRequest(
               patch.replace('\'', '"').getBytes(UTF_8), buildsOn, "", new byte[0]));
     }
@@ -103,7 +107,8 @@
 
     JsonNode inForce() {
       for (int attempt = 0; attempt < 30; attempt++) {
-        Response response = await(command(attempt % CORES, "read", new byte[] {'{', '}'}));
+        Response response =
+            await(command(attempt % CORES, Operation.READ_KEY, new byte[] {'{', '}'}));
         if (response != null && response.isSuccess()) {
           return Json.tree(Base64.getDecoder().decode(response.body().path("bytes").asText()));
         }
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
@@ -5,6 +5,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.api.Response;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.Simulation.Process;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
@@ -21,13 +22,18 @@
     AtomicReference<Response> answer = new AtomicReference<>();
     byte[] bytes = Deployment.SMALL.bundle(number).getBytes(UTF_8);
     fleet.command(
-        core, PATIENCE_MS, "bundle", "bundle", fleet.signed(bytes, buildsOn), answer::set);
+        core,
+        PATIENCE_MS,
+        Operation.SET_CONFIGURATION,
+        "bundle",
+        fleet.signed(bytes, buildsOn),
+        answer::set);
     return answer;
   }
 
   private AtomicReference<Response> read(Process core) {
     AtomicReference<Response> answer = new AtomicReference<>();
-    fleet.command(core, PATIENCE_MS, "read", "bundle", NOTHING, answer::set);
+    fleet.command(core, PATIENCE_MS, Operation.READ_KEY, "bundle", NOTHING, answer::set);
     return answer;
   }
 
@@ -76,7 +82,12 @@
           orderAfterMs,
           () ->
               fleet.command(
-                  leader, PATIENCE_MS, "bundle", "bundle", fleet.signed(bytes, base), order::set));
+                  leader,
+                  PATIENCE_MS,
+                  Operation.SET_CONFIGURATION,
+                  "bundle",
+                  fleet.signed(bytes, base),
+                  order::set));
       simulation.afterMs(cutAfterMs, () -> simulation.isolate(leader.name));
       run(6_000);
       Process other =
--- a/test-fleet/src/test/java/applespindle/testfleet/LintSuppressionsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/LintSuppressionsTest.java
@@ -15,7 +15,7 @@
 /** The list of files that break a rule of the linter only ever shrinks. */
 class LintSuppressionsTest {
   /** Lower this with each entry that goes. */
-  private static final int ENTRIES_MOST = 20;
+  private static final int MAX_ENTRIES = 20;
 
   private static final Path ROOT = Path.of("..");
   private static final Pattern ENTRY =
@@ -55,7 +55,7 @@
 
   @Test
   void areNoMoreThanWereAgreed() throws IOException {
-    assertThat(suppressions().size()).isAtMost(ENTRIES_MOST);
+    assertThat(suppressions().size()).isAtMost(MAX_ENTRIES);
     assertThat(suppressions()).containsNoDuplicates();
   }
 
--- a/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
@@ -6,6 +6,7 @@
 
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.constants.ConfigurationConstants;
+import applespindle.corelogic.protocol.Operation;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
@@ -26,7 +27,7 @@
     fleet.command(
         fleet.anyCore(),
         PATIENCE_MS,
-        "bundle",
+        Operation.SET_CONFIGURATION,
         "bundle",
         fleet.signed(content(number, pool).getBytes(UTF_8), buildsOn),
         answer::set);
--- a/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -14,6 +14,7 @@
 import applespindle.corelogic.environment.ProxiedRequest;
 import applespindle.corelogic.live.ProxiedResponseListener;
 import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.Simulation.Caller;
 import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -126,7 +127,7 @@
         (Consumer<Response> then) ->
             core(core)
                 .command(
-                    "bundle",
+                    Operation.SET_CONFIGURATION,
                     "bundle",
                     new SignedConfiguration(0, content.getBytes(UTF_8), null, null, buildsOn),
                     then),
@@ -267,7 +268,7 @@
     public void head(ProxiedRequest.ResponseHead head) {}
 
     @Override
-    public void chunk(ProxiedRequest.ResponseChunk piece) {}
+    public void chunk(ProxiedRequest.ResponseChunk chunk) {}
 
     @Override
     public void end() {}
--- a/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
@@ -11,6 +11,7 @@
 import applespindle.corelogic.edge.EdgeNode;
 import applespindle.corelogic.environment.NodeSettings;
 import applespindle.corelogic.metadata.SignedConfiguration;
+import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.List;
@@ -74,7 +75,7 @@
         (Consumer<Response> then) ->
             ((ControlPlaneNode) process("core-0").node())
                 .command(
-                    "bundle",
+                    Operation.SET_CONFIGURATION,
                     "bundle",
                     new SignedConfiguration(0, content.getBytes(UTF_8), null, null, number - 1),
                     then),
