--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeGateway.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeGateway.java
@@ -9,34 +9,37 @@
 import java.util.function.Consumer;
 
 /**
- * What a door for opaque requests asks of the logic behind it; on the logic's thread, but for
- * onConfigurationChange.
+ * The interface of the edge for endpoints that accept proxied requests. To be called on the logic
+ * thread, except for {@link #onConfigurationChange}.
  */
 public interface EdgeGateway {
-  /** Told of each bundle that comes into force here; to be set before the start. */
+  /** Sets the listener for each routing configuration applied here; to be set before the start. */
   void onConfigurationChange(Consumer<RoutingConfiguration> then);
 
-  /** Passes an opaque request on to a worker by the bundle's routes. */
+  /** Forwards a request to a worker by the routes of the configuration in force. */
   RequestHandle proxy(ProxiedRequest request, ProxiedResponseListener listener);
 
-  /** The route an opaque request or batch would take under the bundle in force, or null. */
+  /** The route of a request or batch under the configuration in force; null if there is none. */
   RoutingConfiguration.Route route(String host, String path);
 
   /**
-   * Takes a whole batch of opaque items under the client's own id; 201 once it is on a majority of
-   * disks. The body is read by whoever leads the batch; what is wrong with it comes as the
-   * response.
+   * Submits a batch of proxied items under the client's own id. The response is 201 once a quorum
+   * of replicas has synced the batch. The body is read by the edge that leads the batch, so its
+   * errors come with the response.
    */
   void submitProxiedBatch(BatchSubmission submission, Consumer<Response> then);
 
   /**
-   * Results from a position on: {total, results: [{id, state: complete|expired, output}], next}.
-   * holdMs: how long the answer may wait for a first result; 0 not at all.
+   * Reads results from a position on: {@code {total, results: [{id, state: complete|expired,
+   * output}], next}}.
+   *
+   * @param holdMs how long the response may wait for a first result; 0 if it must not wait
    */
   void readProxiedResults(String batch, long from, long holdMs, Consumer<Response> then);
 
-  /** The body of an item without a result yet: {body: base64}. */
+  /** Reads the body of an item that has no result yet: {@code {body: base64}}. */
   void readProxiedItem(String batch, String item, Consumer<Response> then);
 
+  /** Ends a batch; no item of it starts any more. */
   void endProxiedBatch(String batch, Consumer<Response> then);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The ports of one process: all that the logic sees of the world. Every call and callback is on the
- * logic thread.
+ * The ports of one process: everything outside the logic that it depends on. Every call and every
+ * callback is on the logic thread.
  */
 public interface Environment {
   /**
@@ -18,9 +18,13 @@
    */
   long nowMs();
 
+  /** Runs a task once after a delay in milliseconds. */
   ScheduledTask schedule(long millis, Runnable task);
 
-  /** Sends to a peer address; may be lost, repeated or late. The own address is delivered too. */
+  /**
+   * Sends a message to a peer address; it may be lost, duplicated or delayed. A message to this
+   * process's own address is delivered as well.
+   */
   void send(String peerAddress, Envelope envelope);
 
   /**
@@ -30,29 +34,32 @@
   void write(List<LogRecord> records, Runnable whenSynced);
 
   /**
-   * False while the disk is so far behind that a replica must stay silent rather than promise more.
+   * False while the disk is so far behind with its writes that a replica must not answer requests
+   * which need further ones.
    */
   boolean acceptsWrites();
 
   /**
-   * Starts a run at a worker. The listener hears zero or more texts and then exactly one end or
-   * fault.
+   * Starts a run of a prompt at a worker. The listener gets any number of texts, and then exactly
+   * one end or failure.
    */
   WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener);
 
+  /** Polls a worker's load; exactly one of the callbacks runs. */
   void readLoad(String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty);
 
   /**
-   * Hands an opaque request to a worker, in the worker's own format. The listener hears one end or
-   * one fault.
+   * Sends a proxied request to a worker, in the worker's own format. The listener gets exactly one
+   * end or failure, unless the exchange is cancelled before.
    */
   default WorkerCallHandle exchange(WorkerExchange exchange, ExchangeListener listener) {
     throw new UnsupportedOperationException("no workers of opaque requests here");
   }
 
   /**
-   * Reads a page of the list of workers that is kept outside; an empty token asks for the first
-   * page.
+   * Reads a page of the external list of workers.
+   *
+   * @param pageToken from the page before; empty for the first page
    */
   default void listWorkers(
       String pageToken, Consumer<WorkerListPage> whenRead, Consumer<ApiError> whenFaulty) {
@@ -68,16 +75,22 @@
   }
 
   /**
-   * Runs the code that a message takes on its way to a peer and from one, without sending it; for
-   * code that has not run yet.
+   * Encodes and decodes a message without sending it, so that this code is loaded and compiled
+   * before the first message that matters.
    */
   default void warmUp(Envelope envelope) {}
 
   /** An invariant of the node was violated; a test ends here. */
   default void invariantViolated(Invariant invariant, String detail) {}
 
+  /** The source of all randomness of the logic. */
   RandomGenerator random();
 
+  /**
+   * Writes a line to the log of events.
+   *
+   * @param part the part of the system that logs; operators search for it
+   */
   void log(String part, String sentence);
 
   /** A timer that was set. */
@@ -85,22 +98,35 @@
     void cancel();
   }
 
-  /** A request that is under way at a worker. */
+  /** A request that was sent to a worker and has not ended. */
   interface WorkerCallHandle {
     /** Closes the connection; no callback comes after this. */
     void cancel();
   }
 
-  /** A prompt for a worker, as JSON, with how long the worker may work on it. */
+  /**
+   * A run of a prompt at a worker.
+   *
+   * @param body the prompt as JSON
+   * @param expiryMs how long the worker may work on it
+   */
   record WorkerCall(String workerAddress, byte[] body, long expiryMs) {}
 
-  /** A worker's own account of its load. */
+  /**
+   * The load that a worker itself reports.
+   *
+   * @param leaving whether the worker is draining
+   */
   record WorkerLoad(int running, int queued, int capacity, boolean leaving) {}
 
   /**
-   * One try of an opaque request at one worker. workerId is the life that is meant: another one at
-   * the same address must turn it away. expiryMs: how long the worker may still work on it.
-   * resumeAfter: go on behind this event; or empty.
+   * One attempt of a proxied request at one worker.
+   *
+   * @param workerId names the expected incarnation of the worker; a different one at the same
+   *     address must reject the request
+   * @param expiryMs how long the worker may work on it
+   * @param resumeAfter id of the event after which the worker is to resume a stream; empty to start
+   *     from the beginning
    */
   record WorkerExchange(
       String address,
@@ -110,32 +136,38 @@
       long expiryMs,
       String resumeAfter) {}
 
-  /** Hears how one try of an opaque request goes on. */
+  /** Gets the response to one {@link WorkerExchange}. */
   interface ExchangeListener {
     /**
-     * Final status and headers of the worker's own response, whatever the status, unless it says
-     * that it has not run.
+     * The final status and the headers of the worker's own response, whatever the status. Not
+     * called for a response by which the worker states that it has not run the request.
      */
     void head(ProxiedRequest.ResponseHead head);
 
+    /** The next part of the body. */
     void chunk(ProxiedRequest.ResponseChunk chunk);
 
-    /** The body is whole. */
+    /** The response is complete. */
     void end();
 
-    /** What the worker says of its load, with any response. */
+    /** The load that the worker reports in a response, whatever the status. */
     void load(WorkerLoad load);
 
     /**
-     * mayHaveRun is false only if the worker said so (WorkerRejected) or nothing of the request was
-     * ever sent.
+     * The exchange has ended without a complete response.
+     *
+     * @param mayHaveRun false only if the worker stated that it has not run the request ({@link
+     *     ApiError.WorkerRejected}) or nothing of the request was sent
      */
     void fail(ApiError error, boolean mayHaveRun);
   }
 
   /**
-   * A worker as listed outside; slots: how many requests it works on at once; warmUpMs: how much
-   * longer it is slow.
+   * A worker on the external list.
+   *
+   * @param slots how many requests it runs at once
+   * @param leaving whether it is draining
+   * @param warmUpMs for how much longer it is warming up, and slow
    */
   record ListedWorker(
       String id,
@@ -146,17 +178,27 @@
       boolean leaving,
       long warmUpMs) {}
 
-  /** nextToken is empty on the last page. */
+  /**
+   * A page of the external list of workers.
+   *
+   * @param nextToken requests the next page; empty on the last one
+   */
   record WorkerListPage(List<ListedWorker> workers, String nextToken) {}
 
-  /** Hears how a prompt at a worker goes on. */
+  /** Gets the output of one {@link WorkerCall}. */
   interface WorkerCallListener {
+    /** The next piece of output. */
     void text(String text);
 
-    /** The terminal event and the end mark were both seen: the output is whole. */
+    /** The final event and the end mark were both received: the output is complete. */
     void end(String finishReason);
 
-    /** mayHaveRun is false only when the worker can not have begun: no connection, or a refusal. */
+    /**
+     * The run has ended without complete output.
+     *
+     * @param mayHaveRun false only if the worker cannot have started the run: the connection
+     *     failed, or the worker rejected the prompt
+     */
     void fail(ApiError error, boolean mayHaveRun);
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
@@ -4,19 +4,32 @@
 import applespindle.corelogic.constants.LifecycleConstants;
 
 /**
- * What a process is told of the deployment's bounds at its start; times in milliseconds.
- * faultTolerance: nodes with a disk that may be lost at once while every rule holds. bootstrap:
- * this is the first start ever of the whole fleet, with empty disks. voter: this node's disk
- * counts. signedConfigurations: operators' bundles need a signature. listCallsPerS: the most calls
- * to the outside list of workers from all nodes together; 0 where there is no such list.
- * drainTimeoutMs: after a worker was seen as leaving, how long requests may still reach it.
- * cancelTimeoutMs: after a batch's end was acknowledged, how long its items may. shutdownGraceMs:
- * from the request to stop to the kill. quotaOvershoot: part of a batch route's ceiling that may be
- * passed. batchRetentionMs: how long a batch stays readable. configurationApplyMs: how long after
- * an acknowledgement old news may still be used. edgesAcknowledge: a yes also binds edges that are
- * cut off from the core, so most edges must have confirmed it; else it binds only those that hear
- * the core, which have the news within configurationApplyMs of the commit. processorCores: what the
- * machine has for this process, in cores of full speed; 0 where that is not told.
+ * The requirements and limits of the deployment, as a process gets them at its start. Times are in
+ * milliseconds.
+ *
+ * @param faultTolerance how many nodes with a disk may be lost at once without any guarantee being
+ *     broken
+ * @param bootstrap whether this is the first start of the fleet, with empty disks
+ * @param voter whether this node's disk counts for quorums
+ * @param signedConfigurations whether routing configurations of operators need a signature
+ * @param listCallsPerS highest rate of calls to the external list of workers, from all nodes
+ *     together; 0 if there is no such list
+ * @param listLagMs how far the external list of workers may be behind
+ * @param drainTimeoutMs how long requests may still reach a worker after it was listed as leaving
+ * @param cancelTimeoutMs how long items of a batch may still be sent after its end was acknowledged
+ * @param shutdownGraceMs time between the request to stop and the kill
+ * @param configurationApplyMs how long an edge may still use an older configuration after a newer
+ *     one was acknowledged
+ * @param batchRetentionMs how long a batch stays readable
+ * @param quotaOvershoot by which part the limit of waiting tokens of a batch route may be exceeded
+ * @param diskBytes size of the disk
+ * @param linkMegabits bandwidth of the machine's network link; 0 if unknown
+ * @param edgesAcknowledge whether an acknowledgement also binds edges that are cut off from the
+ *     control plane, so that a majority of the edges must have confirmed the update; otherwise it
+ *     binds only connected edges, which receive the update within configurationApplyMs of its
+ *     commit
+ * @param processorCores processor time that the machine has for this process, in full-speed cores;
+ *     0 if unknown
  */
 public record NodeSettings(
     int faultTolerance,
@@ -36,8 +49,8 @@
     boolean edgesAcknowledge,
     double processorCores) {
   /**
-   * The product's own way of running: one loss, signed bundles, workers told by the platform's own
-   * calls.
+   * The settings without a platform: one node may be lost, configurations are signed, and workers
+   * are registered by calls instead of an external list.
    */
   public static final NodeSettings DEFAULT =
       new NodeSettings(
@@ -94,9 +107,7 @@
         0);
   }
 
-  /**
-   * The same on a machine that has so much processor time for this process, in full-speed cores.
-   */
+  /** These settings with another amount of processor time for this process, in full-speed cores. */
   public NodeSettings withProcessorCores(double cores) {
     return new NodeSettings(
         faultTolerance,
@@ -118,8 +129,8 @@
   }
 
   /**
-   * The same for a process at its own place: whether its disk counts, and whether this is the first
-   * start of all.
+   * These settings for one process of the fleet: whether its disk counts for quorums, and whether
+   * this is the first start of the fleet.
    */
   public NodeSettings atNode(boolean votes, boolean firstStart) {
     return new NodeSettings(
@@ -142,8 +153,8 @@
   }
 
   /**
-   * These, with what may change while a process runs as the newer ones have it; the rest holds
-   * until its next start.
+   * These settings with the newer values of those that may change while the process runs; the
+   * others keep their values until the next start.
    */
   public NodeSettings withReloadable(NodeSettings newer) {
     return new NodeSettings(
@@ -166,7 +177,8 @@
   }
 
   /**
-   * Replicas of whatever must survive faultTolerance: a majority is left when that many are gone.
+   * The number of replicas of data that must survive the loss of faultTolerance nodes: a majority
+   * of the replicas is then left.
    */
   public int replicas() {
     return 2 * faultTolerance + 1;
--- a/core-logic/src/main/java/applespindle/corelogic/environment/ProxiedRequest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/ProxiedRequest.java
@@ -3,10 +3,12 @@
 import java.util.List;
 
 /**
- * A request that is passed on as it came. The door has read from its headers what decisions need:
- * how long the client waits (deadlineMs from the moment it was taken; 0 if it did not say), its
- * model, its tokens, and the prompt's parts in order, which say what a worker may still keep from
- * earlier requests. resumeAfter: the id of the last event the client already has, or empty.
+ * A client's request that is forwarded to a worker unchanged. The endpoint has read from its
+ * headers what routing and the choice of a worker need.
+ *
+ * @param deadlineMs how long the client waits, counted from the arrival; 0 if it did not say
+ * @param prompt the parts of the prompt in order, by which prefix caches of workers are recognized
+ * @param resumeAfter id of the last event that the client already has; empty if none
  */
 public record ProxiedRequest(
     String id,
@@ -21,7 +23,7 @@
     int maxOutputTokens,
     List<PromptPart> prompt,
     String resumeAfter) {
-  /** As it came; end-to-end headers only, in order. */
+  /** An end-to-end header as the client sent it. */
   public record Header(String name, String value) {}
 
   /** A part of the prompt that other requests may share, with its size in tokens. */
@@ -31,12 +33,12 @@
   public record ResponseHead(int status, List<Header> headers) {}
 
   /**
-   * One whole event with its id, or, where the body is no event stream, some of its bytes with an
-   * empty id.
+   * Part of a response body: one complete event with its id, or, if the body is not an event
+   * stream, some of its bytes with an empty id.
    */
   public record ResponseChunk(String eventId, byte[] bytes) {}
 
-  /** The same after it has waited for a while. */
+  /** The same request with its deadline reduced by the time that it has waited. */
   public ProxiedRequest after(long waitedMs) {
     return new ProxiedRequest(
         id,
@@ -53,6 +55,7 @@
         resumeAfter);
   }
 
+  /** The target without its query. */
   public String path() {
     int query = target.indexOf('?');
     return query < 0 ? target : target.substring(0, query);
--- a/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
@@ -1,9 +1,9 @@
 package applespindle.corelogic.environment;
 
 /**
- * The stages that one piece of work went through, each with its elapsed time and the processor time
- * of the thread that ran it, for one line of the log. Confined to that thread. Processor time
- * covers all that the thread did meanwhile, also for other work.
+ * Measures the stages of one piece of work, each with its elapsed time and the processor time of
+ * the thread that ran it, for a line of the log. Confined to that thread. Processor time includes
+ * everything else that the thread did during the stage.
  */
 public final class StageTimer {
   private final Environment environment;
@@ -19,7 +19,7 @@
     lastProcessorMicros = environment.processorMicros();
   }
 
-  /** Ends a stage: the time since the last one ended, or since the trace began, belongs to it. */
+  /** Ends a stage that began when the last one ended or, for the first, when this was created. */
   public void mark(String stage) {
     long now = environment.nowMs();
     long processorMicros = environment.processorMicros();
@@ -36,12 +36,12 @@
     lastProcessorMicros = processorMicros;
   }
 
-  /** Milliseconds from the beginning of the trace to the end of its last stage. */
+  /** Milliseconds from the creation to the end of the last stage. */
   public long elapsedMs() {
     return lastAt - beganAt;
   }
 
-  /** key=value fields, each behind a blank: of each stage, then the whole time. */
+  /** The stages as key=value fields, each preceded by a space, and at the end the total time. */
   @Override
   public String toString() {
     return stages + " total_ms=" + elapsedMs();
