--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -14,7 +14,7 @@
 
 /**
  * The dispatcher of batch items at an edge, for the workers that this edge dispatches to. It takes
- * the messages of batch leaders and does the regular duties; {@link WorkerDispatcher} sends the
+ * the messages of batch leaders and does the periodic work; {@link WorkerDispatcher} sends the
  * items.
  *
  * <p>A range is requested after its batch was offered, held from its assignment, and forgotten once
@@ -30,7 +30,7 @@
     /** Whether this edge is the one that dispatches batch items to the worker. */
     boolean dispatchesTo(String worker);
 
-    /** Why no work may be started now, or null; asked right before each item is sent. */
+    /** The error that forbids new work now, or null; checked right before each item is sent. */
     ApiError rejectionOfNewWork();
 
     /** The configuration this edge works by, or null. */
@@ -122,7 +122,7 @@
     ranges.removeIfDone(range);
   }
 
-  // ---- regular duties
+  // ---- periodic work
 
   /** Sends as many items to each worker as it has capacity for, and requests ranges. */
   public void dispatch() {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -311,7 +311,7 @@
   // ---- time
 
   /**
-   * The regular duties of the leader.
+   * Does the periodic work of the leader.
    *
    * @return true once nothing is left to do here and no client has asked for {@link
    *     BatchConstants#LEADER_IDLE_TIMEOUT_MS}, or the leadership is lost: this object may be
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRun.java
@@ -14,7 +14,7 @@
   final AssignedRange range;
   final AssignedItem item;
 
-  /** Unique over the life of this node; results carry it. */
+  /** Unique among the runs of this node's process; results carry it. */
   final String id;
 
   final WorkerState worker;
--- a/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/ItemRunner.java
@@ -61,8 +61,9 @@
   // ---- sending
 
   /**
-   * Sends the range's next item; false if it may not be sent. The range's lease, the age of what
-   * this node knows and the worker's state are checked here, right before the item is sent.
+   * Sends the range's next item; false if it may not be sent. The range's lease, whether this edge
+   * may begin work (not while it is stopping or isolated) and the worker's state are checked here,
+   * right before the item is sent.
    */
   boolean start(AssignedRange range, WorkerState worker) {
     if (range.returning
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/BatchLeaderPlacement.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/BatchLeaderPlacement.java
@@ -15,14 +15,15 @@
 import java.util.stream.Stream;
 
 /**
- * Which edges lead batches, and in which order they are asked. Leading takes processor time in
- * proportion to a batch's bytes, and sends them to every replica: on a machine with little of
- * either that alone takes longer than clients wait. An edge is fit to lead when its processor and
- * link, as it told them when it joined, let it take a batch of typical size in a moment, or nearly
- * as fast as any edge could. Where no machine tells what it has, all are fit.
+ * Which edges lead batches, and in which order they are tried. Leading costs processor time in
+ * proportion to a batch's bytes, and bandwidth to send them to every replica: on a machine with
+ * little of either, that alone takes longer than clients wait. An edge is fit to lead if, with the
+ * processor and link that its registration states, it can accept a batch of typical size within
+ * {@link BatchConstants#MAX_LEADER_ACCEPT_MS}, or within twice the time of the fastest edge. An
+ * edge whose registration does not state them is fit.
  */
 public final class BatchLeaderPlacement {
-  /** How many fit edges are asked before an edge that is not fit leads what was handed in to it. */
+  /** How many fit edges are tried before an edge that is not fit leads a batch submitted to it. */
   private static final int TRIES_ELSEWHERE = 2;
 
   private final int replicas;
@@ -30,7 +31,7 @@
   private final Map<String, NodeRegistration> others = new LinkedHashMap<>();
 
   /**
-   * @param replicas how many copies of a batch its leader sends out
+   * @param replicas how many replicas of a batch its leader sends to
    * @param edges those that are live now
    */
   BatchLeaderPlacement(int replicas, Collection<NodeRegistration> edges) {
@@ -47,12 +48,14 @@
     return fit.containsKey(edgeId) || fit.isEmpty();
   }
 
-  /** The edge at this place in the agreed order for a key, begun anew behind the last; or null. */
+  /**
+   * The edge for an attempt, in the agreed order for a key and cyclically; null if there is none.
+   */
   public NodeAddress edge(String key, int attempt) {
     return target(order(key), attempt);
   }
 
-  /** The same in the order for a batch that is handed in at an edge; itself where none is known. */
+  /** The edge for an attempt at a batch submitted to this edge; this edge if none is known. */
   public NodeAddress edgeFrom(NodeIdentity here, String key, int attempt) {
     NodeAddress chosen = target(orderFrom(here.id(), here.zone(), key), attempt);
     return chosen != null ? chosen : new NodeAddress(here.id(), here.peerAddress());
@@ -74,10 +77,10 @@
   }
 
   /**
-   * The order for a batch handed in at one edge: itself if it is fit; else the fit ones of its own
-   * zone, so that no body crosses between zones only to reach a leader, at most {@link
-   * #TRIES_ELSEWHERE} of them; then itself, as one that is cut off from those can still lead; then
-   * the agreed order.
+   * The order for a batch submitted to one edge. A fit edge comes first itself. Before an edge that
+   * is not fit come at most {@link #TRIES_ELSEWHERE} fit ones, those of its own zone first, so that
+   * the body crosses zones only if it must; then the edge itself, which can still lead if it does
+   * not reach those. The rest is the agreed order.
    */
   List<NodeRegistration> orderFrom(String ownId, String ownZone, String key) {
     List<NodeRegistration> agreed = order(key);
@@ -93,7 +96,7 @@
     return List.copyOf(order);
   }
 
-  /** How long an edge takes for a typical batch, in milliseconds; 0 where it told nothing. */
+  /** How long an edge takes to accept a typical batch, in milliseconds; 0 if it is not known. */
   private double acceptMs(NodeRegistration edge) {
     double processorMs =
         edge.processorCores() <= 0
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -58,10 +58,10 @@
   private boolean started;
   private long startedAt;
 
-  /** When the present feed source was last heard, or chosen. */
+  /** When the last fresh update came from the present feed source, or when that was chosen. */
   private long sourceHeardAt;
 
-  /** At this time, on this node's clock, all that was acknowledged was known here. */
+  /** The latest time, on this node's clock, at which every acknowledged update was known here. */
   private long upToDateAt = NEVER;
 
   /** Whether an update came from the control plane itself since the start. */
@@ -69,10 +69,10 @@
 
   private long controlPlaneHeardAt = NEVER;
 
-  /** Which of the members is asked next where the control plane is. */
+  /** Index of the node of the data plane that gets the next discovery request. */
   private int nextAskedMember;
 
-  /** Null after the members have changed, until it is asked for. */
+  /** Computed when it is needed; null after the members have changed. */
   private BatchLeaderPlacement leaderPlacement;
 
   protected DataPlaneNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
@@ -111,9 +111,9 @@
   }
 
   /**
-   * Seeds and members may be stale or down: all seeds and all known control plane members are
-   * asked, and a few of the other members in turn, so that the messages of a large fleet grow only
-   * with its nodes.
+   * Sends discovery requests to all seeds and all known control plane members, any of which may be
+   * stale or down, and to a few of the other nodes in turn: the number of messages grows only in
+   * proportion to the nodes of the fleet.
    */
   private void discoverControlPlane() {
     List<NodeRegistration> known = List.copyOf(members().values());
@@ -128,7 +128,7 @@
         .forEach(member -> send(member.peerAddress(), member.id(), new QuorumDiscoveryRequest()));
   }
 
-  /** The first membership: the feed is polled and the lease asked for at once. */
+  /** Called with the first membership: polls the feed and requests the lease immediately. */
   @Override
   protected void learnMembership(QuorumMembership learned) {
     boolean first = membership.members().isEmpty();
@@ -140,7 +140,7 @@
     }
   }
 
-  /** Asks the followed member first, then the others in turn. */
+  /** Sends a request to the control plane: to the followed member first, then to others in turn. */
   public void requestControlPlane(
       Operation operation, String key, Object body, long expiryMs, Consumer<Response> callback) {
     sendRequest(this::controlPlaneMember, operation, key, body, expiryMs, callback);
@@ -182,8 +182,8 @@
   // ---- polling the feed
 
   /**
-   * A node without metadata can serve nobody: it polls often, and waits only shortly for a control
-   * plane member that does not answer.
+   * Polls at a short interval until the first update, without which the node cannot serve, and
+   * switches sooner to another control plane member if one does not answer.
    */
   private void pollUntilFirstUpdate() {
     environment.schedule(
@@ -238,9 +238,9 @@
   }
 
   /**
-   * While the control plane is silent every peer edge is polled, as a majority of them decides
-   * whether this node goes on. A few in turn get this node's positions: one that reaches the
-   * control plane forwards them.
+   * Polls every peer edge while the control plane does not answer, because this node may then begin
+   * new work only if it reaches a majority of the listed edges. A few of them in turn also get this
+   * node's positions, which an edge that reaches the control plane forwards.
    */
   private void pollPeerEdges() {
     List<String> addresses = peerEdgeAddresses();
@@ -256,8 +256,8 @@
   }
 
   /**
-   * A node that had to turn to a member of another zone polls the preferred one now and then, and
-   * follows it from its answer on.
+   * Polls the preferred member at long intervals while this node follows one of another zone; the
+   * preferred one is followed again as soon as it answers.
    */
   private void probePreferredSource() {
     if (receivedFromControlPlane
@@ -283,7 +283,7 @@
     }
   }
 
-  /** Answers a peer edge that does not hear the control plane. */
+  /** Responds to a peer edge that has no contact with the control plane. */
   private void handlePoll(ChangeFeedPoll poll, String fromId, String fromAddress) {
     if (!receivedFromControlPlane) {
       return;
@@ -341,7 +341,7 @@
     return update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
-  /** Applies what is newer; the positions of those keys whose updates are acknowledged. */
+  /** Applies the newer records; returns the positions of those whose updates are acknowledged. */
   private List<KeyPosition> applyRecords(List<MetadataRecord> records) {
     List<KeyPosition> applied = new ArrayList<>();
     for (MetadataRecord metadataRecord : records) {
@@ -390,7 +390,7 @@
     reportApplied(addresses, metadata.acknowledgedPositions());
   }
 
-  /** Reports what this edge has applied, unless it knows only what peer edges sent. */
+  /** Reports the applied positions, but not before the first update of the control plane itself. */
   private void reportApplied(List<String> addresses, List<KeyPosition> positions) {
     if (!receivedFromControlPlane || !identity.role().equals(EDGE_ROLE)) {
       return;
@@ -412,9 +412,9 @@
 
   /**
    * Whether this node must not begin new work: its metadata is stale, and it does not reach a
-   * majority of the listed edges. If it does, it is the control plane that is cut off and live
-   * traffic goes on: whatever was acknowledged is known to one of that majority, and by its answer
-   * here.
+   * majority of the listed edges. If it does reach one, the control plane is cut off, and live
+   * traffic continues: every acknowledged update is known to an edge of that majority, and through
+   * its response to this node.
    */
   public boolean isIsolated() {
     return isFeedStale()
@@ -428,7 +428,7 @@
         && environment.nowMs() - startedAt < LifecycleConstants.MAX_STARTUP_MS;
   }
 
-  // ---- what subclasses work by
+  // ---- for subclasses
 
   /** Called once, when the first update of the control plane itself was applied. */
   protected void firstUpdateApplied() {}
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/PeerEdges.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/PeerEdges.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * The other edges as this node reached them of late. While the control plane is silent, a majority
- * of the listed edges decides whether an edge goes on.
+ * When this node last reached each of the other edges. While it has no contact with the control
+ * plane, it may begin new work only if it reaches a majority of the listed edges.
  */
 final class PeerEdges {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final String ownAddress;
 
-  /** By peer address: when the poll was sent that the edge answered last. */
+  /** By peer address: the sending time of the latest poll that the edge answered. */
   private final Map<String, Long> answeredPollSentAt = new HashMap<>();
 
   private int nextNotified;
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchHints.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchHints.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What the leaders of batches said of them last, for a bounded number of batches. Only hints:
- * whoever acts on one must bear that it is old.
+ * The leader and due time of batches, as their leaders last announced them, for a bounded number of
+ * batches. These are hints, which may be out of date: no decision may depend on their being right.
  */
 final class BatchHints {
   private static final class BoundedMap<V> extends LinkedHashMap<String, V> {
@@ -20,8 +20,9 @@
   }
 
   /**
-   * By batch, when it is due on this node's clock. A batch's log knows its age only up to its last
-   * event: without this a new leader would put a batch that waited long behind younger ones.
+   * By batch, when it is due on this node's clock. The log of a batch records its age only up to
+   * the last event, so that without this hint a new leader would rank a batch that has waited for
+   * long after younger ones.
    */
   private final Map<String, Long> dueAt = new BoundedMap<>();
 
@@ -36,12 +37,12 @@
     dueAt.remove(batch);
   }
 
-  /** Null if no leader has said so. */
+  /** When the batch is due, on this node's clock; null if no leader has announced it. */
   Long dueAt(String batch) {
     return dueAt.get(batch);
   }
 
-  /** Null if none is known. */
+  /** The leader that last announced the batch; null if none has. */
   NodeAddress leader(String batch) {
     return leader.get(batch);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
@@ -22,7 +22,8 @@
 
 /**
  * The batches that this edge leads, and its elections to lead others. Invariant: a batch is listed
- * from a won election until its leadership is lost, transferred or given up.
+ * from a won election until its leadership is lost or resigned, which is also how a transfer
+ * begins.
  */
 final class BatchLeaders {
   private static final String LOG_PART = "edge";
@@ -71,7 +72,7 @@
   /**
    * Stands for election as the leader of a key, unless this edge leads it.
    *
-   * @param transferred whether the former leader gave the key to this edge
+   * @param transferred whether the former leader transferred the key to this edge
    */
   void elect(String key, boolean transferred, Consumer<ElectionOutcome> callback) {
     BatchLeader present = leaders.get(key);
@@ -117,7 +118,7 @@
     }
   }
 
-  /** The former leader gives a batch to this edge. */
+  /** The former leader transfers a batch to this edge, which stands for election. */
   void acceptTransfer(LeadershipTransfer transfer) {
     if (!edge.isStopping() && !leaders.containsKey(transfer.key())) {
       elect(transfer.key(), true, outcome -> {});
@@ -152,8 +153,8 @@
   }
 
   /**
-   * Leads on a batch whose leader is gone. Of one that was reserved but never accepted it makes the
-   * rejection lasting; of one that has ended it releases the capacity.
+   * Stands for election to lead a batch whose leader has failed. If the batch has a reservation but
+   * was never accepted, its rejection is made permanent; if it has ended, its capacity is released.
    */
   void recoverLeaderless(String key) {
     if (edge.isStopping() || edge.isIsolated()) {
@@ -189,7 +190,7 @@
 
   // ---- shutdown and status
 
-  /** Gives every batch up; the open ones to the edge that is to lead them next. */
+  /** Resigns from every batch, and transfers the open ones to the next edges in their order. */
   void transferAll(BatchDispatcher batchDispatcher) {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
       NodeAddress successor = successorFor(leader.leader.key);
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
@@ -29,9 +29,9 @@
 import java.util.function.Consumer;
 
 /**
- * Requests about batches, at the edge that leads the batch or is to lead it. Invariants: a request
- * is served only by a leader in contact with a quorum; a submission reserves its capacity before
- * anything of it is written; one that arrives again while it is worked on joins it.
+ * Handles requests about batches at the edge that leads the batch or is to lead it. Invariants: a
+ * request is served only by a leader in contact with a quorum; a submission reserves its capacity
+ * before anything of it is written; one that is repeated while the first is in progress joins it.
  */
 final class BatchRequestHandler {
   private final Environment environment;
@@ -87,7 +87,7 @@
     edge.respond(request, Response.of(error));
   }
 
-  /** The requests that joined this one and get the same answer; work on it is over. */
+  /** Ends a submission; returns the requests that joined it and get the same response. */
   List<PeerRequest> endSubmission(PeerRequest request) {
     return submissions.end(request);
   }
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Tells the sender that this edge still works on its submission, as long as the edge is not
-   * isolated: the sender asks no second leader meanwhile.
+   * Reports progress to the sender of a submission, unless this edge is isolated, so that the
+   * sender does not try another leader in the meantime.
    */
   private void reportProgress(PeerRequest submission) {
     List<PeerRequest> waiting = submissions.waitingFor(submission);
@@ -148,7 +148,7 @@
     }
   }
 
-  /** A rejection for want of capacity is given before anything of the batch is written. */
+  /** Reserves first, so that a batch without capacity is rejected before any of it is written. */
   private void reserveCapacityThenLead(PeerRequest request, Accepted accepted, StageTimer timer) {
     edge.requestControlPlane(
         Operation.UPDATE_BATCH_CAPACITY,
@@ -168,7 +168,7 @@
       lead(request, timer, serving);
     } else if (response.failedWith(ApiError.CapacityExceeded.class)
         || response.failedWith(ApiError.BatchTooLarge.class)) {
-      // A batch that was accepted before is not rejected.
+      // An earlier attempt may have been accepted: then the batch must not be rejected.
       replicaRequests.lookUp(
           request.key(), lookup -> serveAfterLookup(request, lookup, response, serving));
     } else {
@@ -207,8 +207,9 @@
   }
 
   /**
-   * A node that leads the record or stands for election is forwarded the request: a second election
-   * would only overtake the first one. Else this edge stands for election.
+   * Serves a request after the replicas were asked for the record. If another node leads the record
+   * or stands for election, the request is forwarded to it, since a second election would only
+   * disturb the first. Otherwise this edge stands for election.
    */
   private void serveAfterLookup(
       PeerRequest request, RecordLookup lookup, Response ifAbsent, Consumer<BatchLeader> serving) {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequests.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequests.java
@@ -25,8 +25,9 @@
 import java.util.function.Supplier;
 
 /**
- * Clients' requests about batches, at the edge where they arrive: each is sent to the edge that
- * leads the batch. Invariant: every submission is answered by its deadline.
+ * Sends clients' requests about batches from the edge where they arrive to the edge that leads the
+ * batch, which may be the same; {@link BatchRequestHandler} handles them there. Invariant: every
+ * submission is answered by its deadline.
  */
 final class BatchRequests {
   private final Environment environment;
@@ -53,7 +54,7 @@
     return pendingSubmissions.size();
   }
 
-  /** Batches that should have been answered by now. */
+  /** Batches whose submission was not answered by its deadline. */
   List<String> overdueSubmissions() {
     return pendingSubmissions.overdue(environment.nowMs());
   }
@@ -175,7 +176,7 @@
         Operation.READ_PROXIED_ITEM, batch, JSON.createObjectNode().put("item", item), 0, callback);
   }
 
-  /** A read has no effect: after any failure the reader is told to ask again. */
+  /** A read has no effect, so that after any failure the client may simply repeat it. */
   private void readProxied(
       Operation operation,
       String batch,
@@ -229,9 +230,9 @@
   }
 
   /**
-   * The edge to ask: the leader as far as it is known; else, for a submission, the first edge in
-   * the order as seen from here; else the first in the order agreed by all. Whoever is asked finds
-   * the true leader.
+   * The edge for an attempt: the leader if it is known, or else the next edge in the order of
+   * {@link DataPlaneNode#leaderPlacement}, which for submissions of proxied batches depends on this
+   * edge. An edge that does not lead the batch finds the leader through the replicas.
    */
   private NodeAddress target(String key, Operation operation, int attempt) {
     if (leaders.leads(key)) {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -56,8 +56,8 @@
 
 /**
  * The edge: the node that takes clients' requests and batches. It wires the parts that do the work,
- * routes messages to them, and gives them what they need of the node: {@link LiveRequestDispatcher}
- * and {@link ProxyDispatcher} for live requests, {@link BatchRequests} for what clients ask about
+ * routes messages to them, and implements the services that they use: {@link LiveRequestDispatcher}
+ * and {@link ProxyDispatcher} for live requests, {@link BatchRequests} for clients' requests about
  * batches, {@link BatchRequestHandler} and {@link BatchLeaders} for the batches led here, and
  * {@link BatchDispatcher} for the items that run at this edge's workers. It holds no state on disk.
  */
@@ -144,7 +144,7 @@
     batchDispatcher.dispatch();
   }
 
-  /** Not before this edge is a member: only then is it known whether it is to lead batches. */
+  /** Waits until this edge is a member: only then is it known whether it may lead batches. */
   private void warmUpWhenIdle() {
     boolean idle =
         leaders.isEmpty()
@@ -248,7 +248,7 @@
     batchRequests.read(batch, callback);
   }
 
-  /** Reads results of a batch of prompts, behind a position. */
+  /** Reads results of a batch of prompts after a position. */
   public void readResults(String batch, long after, int limit, Consumer<Response> callback) {
     batchRequests.readPromptResults(batch, after, limit, callback);
   }
@@ -333,7 +333,7 @@
     return true;
   }
 
-  // ---- what its parts need of the node
+  // ---- services for the parts
 
   @Override
   public RoutingConfiguration configuration() {
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeServices.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeServices.java
@@ -36,7 +36,7 @@
   /** Milliseconds for which an acknowledged update may be unknown here. */
   long feedAge();
 
-  /** Null if new work may begin, else why not. */
+  /** The error with which new work must be rejected; null if it may begin. */
   ApiError rejectionOfNewWork();
 
   /** The configuration in force here; null until one is known. */
--- a/core-logic/src/main/java/applespindle/corelogic/edge/GracefulShutdown.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/GracefulShutdown.java
@@ -7,17 +7,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The graceful shutdown of an edge: it announces itself and still takes work until the platform has
- * had time to notice; then it rejects new work, releases its lease, transfers its batches, and
- * waits for what still runs. Invariant: the end comes at the latest when the time for draining is
- * up.
+ * The graceful shutdown of an edge. The edge announces the shutdown by its readiness and still
+ * accepts work until the platform has had time to notice. Then it rejects new work, releases its
+ * lease, transfers its batches and waits for the requests and items that still run. Invariant: it
+ * terminates no later than when the time for draining is up.
  */
 final class GracefulShutdown {
-  /** What the shutdown does with the edge. */
+  /** The steps of the shutdown, as implemented by the edge. */
   interface ShutdownSteps {
     boolean isStopping();
 
-    /** New work is rejected from here on; the lease is released. */
+    /** Rejects new work from now on and releases the lease. */
     void rejectNewWork();
 
     void transferLeadership();
@@ -58,7 +58,7 @@
     environment.schedule(LifecycleConstants.SHUTDOWN_NOTICE_MS, () -> drain(whenDone));
   }
 
-  /** Items take longer than live requests: with no more dispatched, few are left to wait for. */
+  /** Stops sending items early, because they run longer than live requests. */
   private void stopDispatching() {
     if (!steps.isStopping()) {
       batchDispatcher.drain();
--- a/core-logic/src/main/java/applespindle/corelogic/edge/OnceClaims.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/OnceClaims.java
@@ -25,7 +25,7 @@
     this.replicaRequests = replicaRequests;
   }
 
-  /** Claims an id; the callback gets null if the token has it, else why not. */
+  /** Claims an id; the callback gets null if the claim succeeded, or the error. */
   void claim(String id, String token, Consumer<ApiError> callback) {
     String key = MetadataKeys.ONCE_PREFIX + id;
     ReplicaConfiguration replicas = edge.replicaConfigurationOf(key);
@@ -42,7 +42,7 @@
         claim::handle);
   }
 
-  /** Releases a claim of this token, as far as replicas can be reached. */
+  /** Releases the token's claim at all replicas that can be reached. */
   void release(String id, String token) {
     String key = MetadataKeys.ONCE_PREFIX + id;
     edge.replicaConfigurationOf(key)
--- a/core-logic/src/main/java/applespindle/corelogic/edge/ReplicaRequests.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/ReplicaRequests.java
@@ -16,7 +16,7 @@
 /** Requests to all replicas of a key at once. */
 final class ReplicaRequests {
   /**
-   * What the replicas know of a record.
+   * What a quorum of the replicas reported about a record.
    *
    * @param presence whether there is such a record, as far as a quorum's answers tell
    * @param leader the node that leads the record or is being elected; {@link NodeAddress#NONE} if
--- a/core-logic/src/main/java/applespindle/corelogic/edge/StartupHold.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/StartupHold.java
@@ -17,8 +17,9 @@
 import java.util.function.Supplier;
 
 /**
- * Requests that came before this edge knew its first metadata. Invariant: each is dispatched or
- * rejected when that arrives, or when its time here is up, unless its client has cancelled it.
+ * Holds requests that arrive before this edge has its first metadata. Invariant: each is dispatched
+ * or rejected when the metadata arrives, or after {@link LifecycleConstants#STARTUP_HOLD_MS},
+ * unless its client has cancelled it.
  */
 final class StartupHold {
   private final Environment environment;
@@ -69,7 +70,8 @@
       }
       Route route = routes.get().find(request.host(), request.path());
       if (route != null && route.type() == RouteType.BATCH) {
-        // Without routes it was not known that this is a batch: its client has to submit it again.
+        // On arrival the missing routes did not show that this is a batch: the client must resubmit
+        // it.
         listener.rejected(
             Response.ofRetryAfterMs(
                 new ApiError.NoConfiguration(), LiveRequestConstants.MIN_RETRY_AFTER_MS));
--- a/core-logic/src/main/java/applespindle/corelogic/live/SilenceDetector.java
+++ b/core-logic/src/main/java/applespindle/corelogic/live/SilenceDetector.java
@@ -66,7 +66,7 @@
         SILENCE_TIMEOUT_LATENCIES * expectedMs);
   }
 
-  /** Whether at least half of a pool would be unresponsive with one more worker marked. */
+  /** Whether more than half of a pool would be unresponsive with one more worker marked. */
   private boolean isMostOfPoolUnresponsive(String pool) {
     int workers = 0;
     int unresponsive = 0;
--- a/core-logic/src/main/java/applespindle/corelogic/log/LogRecord.java
+++ b/core-logic/src/main/java/applespindle/corelogic/log/LogRecord.java
@@ -24,7 +24,7 @@
     COMMITTED,
     /** The once-id is claimed by this token, or free again if the token is empty. */
     ONCE_CLAIM,
-    /** A membership of the core, or that this process has started for the first time. */
+    /** A membership of the control plane, or that this process has started for the first time. */
     MEMBERSHIP,
     /** Messages of older versions of the configuration are refused. */
     CONFIGURATION_VERSION
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -45,7 +45,7 @@
   /** Whether a graceful shutdown has begun. */
   protected boolean stopping;
 
-  /** Peer addresses at which to look for the control plane. */
+  /** Peer addresses at which the control plane may be found. */
   protected List<String> seeds;
 
   private final PendingRequests pendingRequests = new PendingRequests();
@@ -64,7 +64,7 @@
   /** Starts the node's timers; called once, after the log was recovered. */
   public abstract void start();
 
-  /** Takes over changed settings; of these only what may change while the process runs. */
+  /** Applies reloaded settings, as far as they may change while the process runs. */
   public void reload(List<String> newSeeds, NodeSettings newSettings) {
     seeds = List.copyOf(newSeeds);
     settingsChanged(newSettings);
@@ -76,7 +76,7 @@
   /** Replays one record of the log; called before {@link #start}, in order. */
   public void recover(LogRecord record) {}
 
-  /** The records that stand for all of the log so far. */
+  /** The records of a checkpoint, which replace the log written so far. */
   public List<LogRecord> checkpoint() {
     return List.of();
   }
@@ -101,7 +101,7 @@
     terminated = true;
   }
 
-  /** Runs a task again and again, first after the interval, until the node has terminated. */
+  /** Runs a task at regular intervals, first after one interval, until the node has terminated. */
   protected void repeatEvery(long intervalMs, Runnable task) {
     environment.schedule(
         intervalMs,
@@ -113,7 +113,7 @@
         });
   }
 
-  // ---- what others see of it
+  // ---- status, counters and invariants
 
   /** The node's state for operators. */
   public abstract ObjectNode status();
@@ -143,13 +143,13 @@
 
   // ---- messages
 
-  /** Handles a message that no request or discovery is about. */
+  /** Handles a message other than requests, their responses, and discovery. */
   protected abstract void handle(Message message, String fromId, String fromAddress);
 
   /** Handles a request of another node, or of this one; it gets one response. */
   protected abstract void handleRequest(PeerRequest request);
 
-  /** Takes in a message; one that is meant for an earlier process at this address is dropped. */
+  /** Receives a message; one addressed to an earlier process at this address is dropped. */
   public void receive(Envelope envelope) {
     if (!envelope.toId().isEmpty() && !envelope.toId().equals(identity.id())) {
       return;
@@ -207,11 +207,11 @@
   }
 
   /**
-   * Sends a request to one node after the other until one answers for good.
+   * Sends a request, attempt by attempt, until a node gives a final response or the time is up.
    *
    * @param targets the node for each attempt, counted from 0; null if none is known at present
    * @param body written as JSON, unless it is bytes already
-   * @param attemptTimeoutMs how long one node may take before the next one is asked
+   * @param attemptTimeoutMs how long to wait for one node before the next attempt
    * @param callback runs exactly once
    */
   public void sendRequest(
@@ -254,7 +254,7 @@
     return correlation;
   }
 
-  /** Sends the response to the node that the request came from at first. */
+  /** Sends the response to the origin of the request, which may have been forwarded. */
   public void respond(PeerRequest request, Response response) {
     send(
         request.originAddress(),
--- a/core-logic/src/main/java/applespindle/corelogic/node/OutgoingRequest.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/OutgoingRequest.java
@@ -12,9 +12,9 @@
 import java.util.function.IntFunction;
 
 /**
- * One request to other nodes, attempt by attempt, until one of them answers for good or the time is
- * up. Invariants: the callback runs exactly once; after an attempt that went unanswered a rejection
- * is never passed on as if nothing had been done.
+ * One request to other nodes, sent in one or more attempts until a node gives a final response or
+ * the time is up. Invariants: the callback runs exactly once; after an attempt that went unanswered
+ * a rejection is never passed on as if nothing had been done.
  */
 final class OutgoingRequest {
   /** The errors that say for certain that nothing was done: a retry is safe. */
@@ -43,7 +43,7 @@
   private final long expiresAt;
   private final Consumer<Response> callback;
 
-  /** Of all attempts: an answer that comes after the next attempt was sent still counts. */
+  /** Of all attempts, since a response that comes after the next attempt was sent still counts. */
   private final List<Long> correlations = new ArrayList<>();
 
   private int attempts;
@@ -59,7 +59,7 @@
 
   /**
    * @param targets the node for each attempt, counted from 0; null if none is known at present
-   * @param attemptTimeoutMs how long one node may take before the next one is asked
+   * @param attemptTimeoutMs how long to wait for one node before the next attempt
    * @param expiresAt when the request ends, on this node's clock
    */
   OutgoingRequest(
@@ -127,7 +127,7 @@
     }
   }
 
-  /** The node that was asked last still works on the request: it gets more time. */
+  /** The node of the latest attempt is still working on the request: it gets more time. */
   void handleProgress(long correlation) {
     if (!finished && isLatest(correlation)) {
       awaitAnswer(correlation);
--- a/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
@@ -5,9 +5,12 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** What happened in this process, in order, bounded. The tracer and the status page read it. */
+/**
+ * A bounded log, in memory, of the events in this process; read by the trace command and the
+ * status.
+ */
 public final class TraceLog {
-  /** One thing that happened; atMs is the node's own clock. */
+  /** One event; atMs is on this node's clock. */
   public record Event(long number, long atMs, String kind, String key, String detail) {}
 
   /** Invariant: numbers rise by one; at most JOURNAL_KEPT events are held. */
--- a/core-logic/src/main/java/applespindle/corelogic/replication/AppendHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/AppendHandler.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Tells the leader where to start again: at the end of this log, or, if it holds other entries,
-   * behind the last one that is certain.
+   * Responds with a hint where the leader should continue: after the end of this log or, if this
+   * log holds different entries, after the last committed one.
    */
   private void refuseMismatch(
       AppendRequest message,
@@ -86,8 +86,8 @@
   }
 
   /**
-   * A leader without contact to a quorum doesn't count as heard, except while it waits for this
-   * very disk.
+   * Records the leader and, if the leader has a quorum, the contact with it. Without one it counts
+   * as in contact only while it waits for this replica's own disk.
    */
   private void noteLeader(LogReplica replica, AppendRequest message, String fromAddress) {
     replica.leaderId = message.epoch().node();
--- a/core-logic/src/main/java/applespindle/corelogic/replication/Election.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/Election.java
@@ -84,8 +84,8 @@
   private LogTransfer transfer;
 
   /**
-   * @param leadershipTransferred whether the former leader has handed the key over, so that
-   *     replicas vote even if they heard from it of late
+   * @param leadershipTransferred whether the former leader has transferred the key, so that
+   *     replicas vote even if they were in contact with it recently
    * @param victoryListener runs once a quorum has voted and the log is complete
    * @param failureListener runs once the election has failed
    */
@@ -121,7 +121,7 @@
     return epoch;
   }
 
-  /** Begins anew with the replicas of a newer configuration, at the addresses given. */
+  /** Starts again with the replicas of a newer configuration, at the addresses given. */
   void reconfigure(ReplicaConfiguration newer, List<NodeAddress> replicasOfNewer) {
     configuration = newer;
     replicas = List.copyOf(replicasOfNewer);
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Asks first whether a quorum would vote for this node: a candidate that has no quorum, or that
-   * comes while the leader lives, raises no replica's epoch and disturbs nobody.
+   * Starts a pre-vote round, which asks whether a quorum would vote for this node. A candidate that
+   * reaches no quorum, or that meets a live leader, thus raises no replica's epoch.
    */
   private void startPreVoteRound() {
     startRound(State.PRE_VOTE);
--- a/core-logic/src/main/java/applespindle/corelogic/replication/Elections.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/Elections.java
@@ -14,9 +14,9 @@
 /**
  * The elections in which this node is a candidate, by key.
  *
- * <p>Invariants: there is at most one election for each key; whoever asks for it while it runs gets
- * its outcome too, each exactly once. A leader that was elected is handed to the listener before
- * anybody gets the outcome, and isn't kept here.
+ * <p>Invariants: there is at most one election for each key; every caller that requests it while it
+ * runs gets its outcome, exactly once. An elected leader is passed to the listener before any
+ * caller gets the outcome, and isn't kept here.
  */
 public final class Elections {
   private final Environment environment;
@@ -63,8 +63,8 @@
   /**
    * Makes this node a candidate for the key, unless it is one already.
    *
-   * @param leadershipTransferred whether the former leader has handed the key over, so that
-   *     replicas vote even if they heard from it of late
+   * @param leadershipTransferred whether the former leader has transferred the key, so that
+   *     replicas vote even if they were in contact with it recently
    * @param callback gets the outcome; possibly before this returns
    */
   public void elect(String key, boolean leadershipTransferred, Consumer<ElectionOutcome> callback) {
--- a/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/FaultToleranceMonitor.java
@@ -7,7 +7,7 @@
 
 /**
  * How many more replicas may fail without a loss of quorum, and for how long it has been fewer than
- * required: for the core, and for the shard with the least tolerance.
+ * required: for the control plane, and for the shard with the least tolerance.
  *
  * <p>Invariant: a shortage lasts from the first update below the required number to the first one
  * that reaches it.
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplica.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplica.java
@@ -31,7 +31,7 @@
   /** The commit listener has got every committed entry up to here. */
   long announcedSequence;
 
-  /** The leader heard last; empty if there was none since the start. */
+  /** The leader last in contact; empty if there was none since the start. */
   public String leaderId = "";
 
   public String leaderAddress = "";
@@ -90,21 +90,21 @@
     LogEntries.trim(entries, committedSequence);
   }
 
-  /** A candidate that this replica voted for was heard. */
+  /** Records contact with the candidate that this replica voted for. */
   void noteCandidate(String id, String address, long nowMs) {
     candidateId = id;
     candidateAddress = address;
     candidateContactAtMs = nowMs;
   }
 
-  /** Whether the leader wasn't heard for {@link ReplicationConstants#LEADER_TIMEOUT_MS}. */
+  /** Whether there was no leader contact for {@link ReplicationConstants#LEADER_TIMEOUT_MS}. */
   boolean isLeaderTimedOut(long nowMs) {
     return nowMs - leaderContactAtMs >= ReplicationConstants.LEADER_TIMEOUT_MS;
   }
 
   /**
-   * The candidate or leader heard last, or {@link NodeAddress#NONE}. A candidate counts while it
-   * may still be fetching the log, a leader until it has timed out.
+   * The candidate or leader last in contact, or {@link NodeAddress#NONE}. A candidate counts while
+   * it may still be fetching the log, a leader until it has timed out.
    */
   NodeAddress knownLeader(long nowMs) {
     boolean candidateCounts =
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -22,8 +22,8 @@
  * their order on disk belong to {@link ReplicaStore}, elections to {@link VoteHandler}, appends to
  * {@link AppendHandler}, and what joining replicas are sent to {@link SnapshotPages}.
  *
- * <p>Life: {@link #recover} for each record on disk, then {@link #finishRecovery} once, then
- * messages. A node whose disk doesn't accept writes answers neither votes nor appends.
+ * <p>Order of calls: {@link #recover} for each record on disk, then {@link #finishRecovery} once,
+ * then messages. A node whose disk doesn't accept writes answers neither votes nor appends.
  *
  * <p>Invariants, over restarts too: the promised epoch of a key never falls, nor does its commit
  * position; a committed entry is never replaced.
@@ -37,8 +37,7 @@
   private final UncommittedEntries uncommittedEntries = new UncommittedEntries();
 
   /**
-   * @param commitListener gets each committed entry with its key, once in the life of the process
-   *     and in log order
+   * @param commitListener gets each committed entry with its key, once per process and in log order
    * @param configurationNameOf names the replica configuration that a key belongs to; keys of one
    *     configuration change their replicas together
    */
@@ -97,7 +96,7 @@
     store.recover(record);
   }
 
-  /** To be called once all records are replayed; hands committed entries to the listener. */
+  /** To be called once all records are replayed; passes the committed entries to the listener. */
   public void finishRecovery() {
     store.announceRecovered();
     uncommittedEntries.recovered(store.replicas());
@@ -160,7 +159,7 @@
 
   /**
    * The leader's process said that it still leads the key; as good as a heartbeat, unless another
-   * leader was heard since. Ignored for a key that this node has no replica of.
+   * leader was in contact since. Ignored for a key that this node has no replica of.
    */
   public void noteLeaderContact(String key, String leaderId, String leaderAddress) {
     LogReplica replica = store.find(key);
@@ -171,12 +170,12 @@
     }
   }
 
-  /** Whether the key's leader wasn't heard for the leader timeout, or never. */
+  /** Whether the key's leader was not in contact within the leader timeout, or never. */
   public boolean isLeaderTimedOut(LogReplica replica) {
     return replica.isLeaderTimedOut(environment.nowMs());
   }
 
-  /** The candidate or leader heard last, while it counts; else {@link NodeAddress#NONE}. */
+  /** The candidate or leader last in contact, unless timed out; else {@link NodeAddress#NONE}. */
   public NodeAddress knownLeader(LogReplica replica) {
     return replica.knownLeader(environment.nowMs());
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaCatchUp.java
@@ -24,7 +24,7 @@
 
 /**
  * Brings the replicas of one configuration that a joining node keeps up to date, and serves the
- * pages that other joining nodes ask for.
+ * pages that other joining nodes request.
  *
  * <p>A joining node fetches all pages from a majority of the present replicas. Each source refuses
  * older configuration versions before it serves its first page, so that nothing can be committed
@@ -54,7 +54,7 @@
   private final Function<String, String> configurationNameOfOnceId;
 
   /**
-   * @param onceClaims by once-id, the token that claimed it; empty for the core
+   * @param onceClaims by once-id, the token that claimed it; empty in the control plane
    * @param configurationNameOfOnceId names the configuration that a once-id belongs to
    */
   public ReplicaCatchUp(
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaStore.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaStore.java
@@ -18,7 +18,7 @@
  *
  * <p>Invariants: the state in memory is that of the records written so far, synced or not; a reply
  * leaves only once every record that it depends on is synced; the commit listener gets each
- * committed entry that is held, once in the life of the process and in log order.
+ * committed entry that is held, once per process and in log order.
  */
 final class ReplicaStore {
   private final Environment environment;
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Hands the committed entries of all replicas to the listener, once all records are replayed. */
+  /** Passes all committed entries to the listener; called once all records are replayed. */
   void announceRecovered() {
     replicas.forEach(this::announceCommitted);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -76,7 +76,7 @@
   /**
    * Starts the election at once; the listener may run before this returns.
    *
-   * @param leadershipTransferred whether the former leader has handed the key over
+   * @param leadershipTransferred whether the former leader has transferred the key
    * @param quietWhenIdle whether the replicas know by other messages that this node lives
    * @param electionListener runs once, when the election has ended; never after {@link #resign} in
    *     the state ELECTING
--- a/core-logic/src/main/java/applespindle/corelogic/replication/VoteHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/VoteHandler.java
@@ -23,8 +23,9 @@
  * LogReplica}.
  *
  * <p>Invariants: a vote goes to an epoch above every epoch promised before, and leaves only once
- * its record is synced; no vote goes to a candidate while a leader with a quorum is heard, unless
- * that leader has handed the key over; a pre-vote changes and writes nothing.
+ * its record is synced; no candidate gets a vote while this replica is in contact with a leader
+ * that has a quorum, unless that leader has transferred the key; a pre-vote changes and writes
+ * nothing.
  */
 final class VoteHandler {
   private final Environment environment;
@@ -74,7 +75,7 @@
         });
   }
 
-  /** Another leader was heard within the leader timeout, and has not handed the key over. */
+  /** Whether another leader was in contact within the timeout and has not transferred the key. */
   private boolean isProtectedForLeader(LogReplica replica, VoteRequest message) {
     return !replica.isLeaderTimedOut(environment.nowMs())
         && !message.leadershipTransferred()
--- a/core-logic/src/main/java/applespindle/corelogic/storage/OnceClaimStore.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/OnceClaimStore.java
@@ -48,14 +48,15 @@
   }
 
   /**
-   * Claims an id that no other token holds; the records to write, none if it was claimed before.
+   * Claims an id that no other token holds. Returns the records to write; none if this token had
+   * claimed it before.
    */
   List<LogRecord> claim(String id, String token) {
     boolean claimedBefore = tokenOfId.putIfAbsent(id, token) != null;
     return claimedBefore ? List.of() : List.of(ReplicaCatchUp.onceClaimRecord(id, token));
   }
 
-  /** Releases the token's claim; the records to write, none if the token does not hold the id. */
+  /** Releases a claim. Returns the records to write; none if the token does not hold the id. */
   List<LogRecord> release(String id, String token) {
     boolean held = tokenOfId.remove(id, token);
     return held ? List.of(ReplicaCatchUp.onceClaimRecord(id, RELEASED)) : List.of();
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -109,7 +109,8 @@
   }
 
   /**
-   * The first replica of an ended batch asks the batch's leader to remove it after its retention.
+   * Requests the removal of ended batches whose retention is over, by the edge that is to lead
+   * them. Only the first replica of a batch does so.
    */
   private void removeExpiredBatches() {
     if (currentConfiguration() == null) {
@@ -147,7 +148,7 @@
         response -> {});
   }
 
-  /** Unfinished batches whose leader is silent are reported to the edge that is to lead them. */
+  /** Reports unfinished batches whose leader has timed out to the edges that are to lead them. */
   private void reportLeaderlessBatches() {
     Map<NodeAddress, List<String>> leaderlessByEdge = new HashMap<>();
     for (String key : batches.unfinished()) {
@@ -164,7 +165,9 @@
         (edge, keys) -> send(edge.address(), edge.id(), new LeaderlessBatches(keys)));
   }
 
-  /** The first edge in the order for a key, or the second if the first is the silent leader. */
+  /**
+   * The first edge in the order for a key; the second if the first is the leader that timed out.
+   */
   private NodeAddress successorFor(String key, String silentLeaderId) {
     NodeAddress first = leaderPlacement().edge(key, 0);
     boolean firstIsSilent = first != null && first.id().equals(silentLeaderId);
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StoredBatches.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StoredBatches.java
@@ -17,7 +17,7 @@
   /** Keys of batches that were accepted and have neither finished, ended nor been rejected. */
   private final Set<String> unfinished = new TreeSet<>();
 
-  /** By key of an ended batch: since when this process has known of its end. */
+  /** By key of an ended batch: when this process learned of its end. */
   private final Map<String, Long> endedSince = new TreeMap<>();
 
   private long removed;
@@ -40,7 +40,7 @@
     return unfinished;
   }
 
-  /** By key of an ended batch: since when, in milliseconds on this node's clock, it is known so. */
+  /** By key of an ended batch: when this process learned of its end, on this node's clock. */
   Map<String, Long> endedSince() {
     return endedSince;
   }
