--- a/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/AssignedRange.java
@@ -18,8 +18,8 @@
 import java.util.TreeSet;
 
 /**
- * One range of a batch's items that is assigned to this edge for one worker: what is unsent, what
- * runs, and which outcomes the batch's leader has not acknowledged. All times are of this node's
+ * One range of a batch's items that is assigned to this edge for one worker: the unsent items, the
+ * runs, and the outcomes that the batch's leader has not acknowledged. All times are on this node's
  * clock.
  */
 final class AssignedRange {
@@ -29,7 +29,7 @@
   /** How many sent reports are remembered; an answer to an older one does not renew the lease. */
   private static final int REPORTS_REMEMBERED = 16;
 
-  /** Further doublings would overflow; the most the backoff can be is reached before. */
+  /** Bounds the doublings so that they cannot overflow; the longest backoff is reached before. */
   private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
   /** The outcome of one run, kept until the leader has answered a report that carried it. */
@@ -53,32 +53,32 @@
   final long epoch;
   final String worker;
 
-  /** When the batch is due, by the assignment. */
+  /** When the batch is due, as the assignment states. */
   final long dueAt;
 
-  /** When the assignment came; its times until a deadline count from here. */
+  /** When the assignment arrived; the remaining times that it states count from then. */
   final long assignedAt;
 
   NodeAddress leader;
 
   /**
-   * Counted from the sending of the request or report that the leader answered, so that it is
-   * always before the end of the lease at the leader.
+   * When the range lease ends. It counts from the sending of the request or report that the leader
+   * answered, and so always ends before the lease does at the leader.
    */
   long leaseEndsAt;
 
   final ArrayDeque<AssignedItem> unsent = new ArrayDeque<>();
   final Map<Integer, ItemRun> running = new LinkedHashMap<>();
 
-  /**
-   * By item: the stream that earlier runs of a proxied item brought, which the next one resumes.
-   */
+  /** By item: the partial stream of earlier runs of a proxied item, which the next run resumes. */
   final Map<Integer, StreamText> partialStreams = new HashMap<>();
 
-  /** By item: how many runs ended without saying anything about the item. */
+  /**
+   * By item: how many runs ended inconclusively, neither with a result nor with a failed attempt.
+   */
   private final Map<Integer, Integer> interruptions = new HashMap<>();
 
-  /** By item: when it may run again. */
+  /** By item: when its backoff ends, so that it may run again. */
   private final Map<Integer, Long> retryAt = new HashMap<>();
 
   /** Items of the range without a finished run; the lowest is the range's offset. */
@@ -94,13 +94,13 @@
 
   private long lastReport;
 
-  /** Nothing more of the range is started; it is returned once nothing of it runs. */
+  /** Whether the range is being returned: no item is started, and it is returned once none runs. */
   boolean returning;
 
-  /** A report has returned the range, with every outcome that the leader had not acknowledged. */
+  /** Whether a report has returned the range, with all outcomes not acknowledged by the leader. */
   boolean returnReported;
 
-  /** The leader has reassigned the range, or its batch has ended. */
+  /** Whether the leader has reassigned the range, or its batch has ended. */
   boolean dropped;
 
   AssignedRange(Message.RangeAssignment assignment, NodeAddress leader, long now) {
@@ -117,7 +117,7 @@
     this.end = unfinished.isEmpty() ? 0 : unfinished.last() + 1;
   }
 
-  /** One assignment of a range is held once; a later assignment has a higher epoch. */
+  /** Identifies this assignment: a later one of the same range has a higher epoch. */
   static String name(String batch, int number, long epoch) {
     return batch + " " + number + " " + epoch;
   }
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Starts nothing more of the range; what runs goes on and is reported, as its item may still lack
-   * a result.
+   * Drops the range: no item is started any more. Runs continue and are reported, because their
+   * items may still lack a result.
    */
   void drop() {
     dropped = true;
@@ -139,12 +139,12 @@
     return unsent.isEmpty() && running.isEmpty() && unacknowledged.isEmpty();
   }
 
-  /** The item needs no further run. */
+  /** Records that the item needs no further run. */
   void markFinished(int index) {
     unfinished.remove(index);
   }
 
-  /** Delays the next run of an item whose run was cut, longer each time. */
+  /** Delays the next run of an item whose run was inconclusive, with exponential backoff. */
   void backOff(int index, long now) {
     int times = interruptions.merge(index, 1, Integer::sum);
     long backoffMs =
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Sends all outcomes again with the next report, as a new leader has none of the reports. */
+  /** Makes the next report carry all outcomes, because a new leader has received none. */
   void changeLeader(NodeAddress next) {
     leader = next;
     unacknowledged.forEach(outcome -> outcome.sentAt = NEVER);
@@ -188,7 +188,7 @@
     }
   }
 
-  /** Gives the next number to a report that is sent now. */
+  /** Returns the number of a report that is sent now. */
   long nextReportNumber(long now) {
     long report = ++lastReport;
     reportsSentAt.put(report, now);
@@ -204,7 +204,8 @@
   }
 
   /**
-   * The outcomes that are new or should have been answered by now, or all; they count as sent now.
+   * Returns the outcomes that are new or whose last report is overdue for an answer, or all of
+   * them, and records that they are sent now.
    */
   List<ItemOutcome> takeOutcomesDue(long report, boolean all, long now) {
     List<ItemOutcome> due = new ArrayList<>();
@@ -219,8 +220,8 @@
   }
 
   /**
-   * The first item that is not done, counting only outcomes that this report carries, as an earlier
-   * one may be lost.
+   * The offset for a report: the first item without an outcome, counting only acknowledged outcomes
+   * and those in this report, because an earlier report may be lost.
    */
   int offset(long report) {
     int offset = unfinished.isEmpty() ? end : unfinished.first();
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLog.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLog.java
@@ -116,7 +116,7 @@
         answer);
   }
 
-  /** Asks a majority at once whether this node still leads; null means that it does. */
+  /** Confirms the leadership with a majority immediately; the callback gets null on success. */
   void confirmLeadership(Consumer<ApiError> then) {
     leader.confirmLeadership(then);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeAssigner.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeAssigner.java
@@ -83,7 +83,7 @@
     log.append(BatchEvent.ordered(order, BatchConstants.ITEMS_PER_RANGE), this::offer);
   }
 
-  /** Tells all edges that this node leads the batch, without offering ranges. */
+  /** Announces to all edges that this node leads the batch, without offering ranges. */
   void announceLeader() {
     edge.broadcastToEdges(createOffer(0));
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReportHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReportHandler.java
@@ -13,15 +13,15 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the reports of dispatchers at the batch's leader: renews leases, records results and failed
- * attempts, and takes returned ranges back.
+ * Handles the reports of dispatchers at the batch's leader: renews leases, records results and
+ * failed attempts, and makes returned ranges available again.
  *
  * <p>Invariants: an item gets at most one result. A report is answered only after the entries that
  * it led to are committed and the leadership is confirmed, as the dispatcher then forgets the
  * outcomes it carried.
  */
 final class RangeReportHandler {
-  /** What is to be recorded of a report; outcomes of items that have a result are left out. */
+  /** The outcomes of a report to be recorded; those of items that have a result are left out. */
   private record NewOutcomes(List<Result> results, List<Attempt> attempts) {
     NewOutcomes() {
       this(new ArrayList<>(), new ArrayList<>());
@@ -57,7 +57,7 @@
     this.whenRecorded = whenRecorded;
   }
 
-  /** Takes a report in; a range that is not assigned by that epoch is not to be kept. */
+  /** Handles a report; the lease of a range that is not assigned under its epoch is not renewed. */
   void handle(RangeReport report, String fromId, String fromAddress) {
     if (!log.isTakingWork() || report.range() >= log.state.ranges.size()) {
       log.confirmLeadership(error -> respond(report, fromId, fromAddress, false));
--- a/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/WorkerBatchCapacity.java
@@ -12,8 +12,8 @@
 
 /**
  * How many more batch items a worker may get from this edge, so that live requests keep their
- * capacity and no stream at the worker pauses for long. It holds moving averages of the times that
- * proxied items take, and since when each worker is dispatched to from here.
+ * capacity and no stream at the worker pauses for long. Owns moving averages of the durations of
+ * proxied items, and the time at which this edge began to dispatch to each worker.
  */
 final class WorkerBatchCapacity {
   private final Environment environment;
@@ -23,7 +23,7 @@
   /** Counts the runs at a worker without a response head. */
   private final ToIntFunction<WorkerState> startingRuns;
 
-  /** By worker: since when it is fed from here. */
+  /** By worker: when this edge began to dispatch items to it. */
   private final Map<String, Long> dispatchingSince = new HashMap<>();
 
   /** Milliseconds from sending a proxied item to the head of its response; a moving average. */
@@ -92,7 +92,10 @@
     return Math.round(itemDurationMs);
   }
 
-  /** A dispatcher that is new to a worker takes its slots gradually. */
+  /**
+   * Limits the slots that a dispatcher uses at a worker that is new to it; the limit rises
+   * gradually.
+   */
   private double slowStartShare(WorkerState worker) {
     Long since = dispatchingSince.get(worker.registration.id());
     if (since == null) {
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -37,7 +37,7 @@
  * won and removed when its leadership is lost, transferred or resigned. Invariants: a key is listed
  * exactly while this node believes to lead it; except for a transfer, an election starts only at
  * the live member that is first in the key's rendezvous order, and only once the key's leader has
- * been silent.
+ * timed out.
  */
 final class LedKeys implements KeyLeadership {
   private final Environment environment;
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicator.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicator.java
@@ -106,7 +106,9 @@
     return hasQuorumContactWithin(ReplicationConstants.QUORUM_CONTACT_TIMEOUT_MS);
   }
 
-  /** Starts with what the votes say of the replicas' logs; others are taken to have all of it. */
+  /**
+   * Starts from the replicas' logs as their votes describe them; others are assumed to be complete.
+   */
   void startFrom(ElectionVictory victory) {
     long lastAdopted = log.firstOwnSequence() - 1;
     for (FollowerProgress each : followers.values()) {
@@ -127,7 +129,7 @@
     followers.values().forEach(each -> each.heartbeatElapsed(environment.nowMs()));
   }
 
-  /** Begins a round that spares the replicas which have everything most of their heartbeats. */
+  /** Begins a round in which up-to-date replicas get only some of their heartbeats. */
   void sendNeededHeartbeats() {
     round++;
     for (FollowerProgress each : followers.values()) {
@@ -181,7 +183,9 @@
     }
   }
 
-  /** How many milliseconds it takes at most, on a slow link that they share, to reach all. */
+  /**
+   * The longest time, in milliseconds, to send so many bytes to all replicas over one slow link.
+   */
   long transferToAllReplicasMs(long bytes) {
     return bytes * followers.size() / ReplicationConstants.SLOW_LINK_BYTES_PER_MS;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogTransfer.java
@@ -18,7 +18,7 @@
 /**
  * Fetches the log that a candidate has to adopt, part by part, from replicas that voted for its
  * epoch and whose logs end with the same entry; in such logs every entry is the same. What has
- * arrived is kept: a slow link delays the election and doesn't begin it anew.
+ * arrived is kept: a slow link delays the election but does not restart it.
  *
  * <p>State: the entries received so far and the next sequence to fetch. A request that isn't
  * answered goes to the next source after a wait that doubles each time.
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicaConfiguration.java
@@ -12,9 +12,9 @@
 
 /**
  * The replicas of a key under a version that only rises. While a change is pending there is a next
- * set of replicas too, and every decision needs a majority of either set (joint consensus, as in
- * Raft): neither a leader that hasn't heard of the change nor one that is ahead of it can act by
- * replicas that don't meet the other's.
+ * set of replicas too, and every decision needs a majority of each set (joint consensus, as in
+ * Raft): the quorums of a leader that does not know of the change yet and of one that does always
+ * share a replica.
  *
  * @param version 0 for {@link #NONE} only
  * @param current the replicas in force
@@ -22,7 +22,7 @@
  */
 public record ReplicaConfiguration(
     long version, List<NodeAddress> current, List<NodeAddress> next) {
-  /** What a node has that knows no replicas. */
+  /** The configuration of a node that knows no replicas. */
   public static final ReplicaConfiguration NONE = new ReplicaConfiguration(0, List.of(), List.of());
 
   /** The replicas of a shard. */
