--- a/adapters/src/main/java/applespindle/adapters/HttpInterface.java
+++ b/adapters/src/main/java/applespindle/adapters/HttpInterface.java
@@ -135,7 +135,7 @@
   }
 
   private Response ready() {
-    String reason = process.diskFull() ? "the disk is full" : process.node().notReadyBecause();
+    String reason = process.diskFull() ? "the disk is full" : process.node().notReadyReason();
     return reason.isEmpty()
         ? Response.of(200, JSON.createObjectNode().put("ready", true))
         : Response.of(new ApiError.NotReady(reason));
--- a/adapters/src/main/java/applespindle/adapters/PeerChannel.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerChannel.java
@@ -41,7 +41,7 @@
   private long nextConnectAt;
 
   /** Since when bytes are written without any sign of the peer; 0 if there was one since. */
-  private long silentSince;
+  private long unansweredSince;
 
   /** When the peer was asked for a keepalive; 0 if none is awaited. */
   private long keepaliveSentAt;
@@ -69,7 +69,7 @@
 
   /** Notes that the peer has shown a sign of life, here or on another connection. */
   void noteContact() {
-    silentSince = 0;
+    unansweredSince = 0;
     keepaliveSentAt = 0;
   }
 
@@ -78,7 +78,7 @@
    * connection when none comes.
    */
   private void checkSilence() {
-    if (socket == null || silentSince == 0) {
+    if (socket == null || unansweredSince == 0) {
       return;
     }
     long now = eventloop.currentTimeMillis();
@@ -86,7 +86,7 @@
         && now - keepaliveSentAt > PeerConnectionConstants.SILENCE_TIMEOUT_MS) {
       close(socket);
     } else if (keepaliveSentAt == 0
-        && now - silentSince > PeerConnectionConstants.SILENCE_TIMEOUT_MS) {
+        && now - unansweredSince > PeerConnectionConstants.SILENCE_TIMEOUT_MS) {
       keepaliveSentAt = now;
       queue.add(PeerFrame.KEEPALIVE);
     }
@@ -150,8 +150,8 @@
       return;
     }
     ByteBuf bytes = takeQueued();
-    if (silentSince == 0) {
-      silentSince = eventloop.currentTimeMillis();
+    if (unansweredSince == 0) {
+      unansweredSince = eventloop.currentTimeMillis();
     }
     writing = true;
     ITcpSocket present = socket;
--- a/adapters/src/main/java/applespindle/adapters/ResponseParser.java
+++ b/adapters/src/main/java/applespindle/adapters/ResponseParser.java
@@ -122,14 +122,14 @@
   /** Adds bytes and reads on; false when they are no response or the listener wants no more. */
   boolean take(byte[] chunk, int offset, int size) {
     if (to + size > buffer.length) {
-      makeRoom(size);
+      ensureCapacity(size);
     }
     System.arraycopy(chunk, offset, buffer, to, size);
     to += size;
     return goOn();
   }
 
-  private void makeRoom(int size) {
+  private void ensureCapacity(int size) {
     int unread = to - from;
     byte[] target =
         unread + size > buffer.length
--- a/adapters/src/main/java/applespindle/adapters/WorkerConnection.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerConnection.java
@@ -208,7 +208,7 @@
   }
 
   /** Nobody waits for the rest of the present response, which must not keep this for ever. */
-  void limitRest() {
+  void limitIdleTime() {
     WorkerHttpExchange refused = exchange;
     eventloop.delayBackground(
         WorkerConstants.REJECTION_BACKOFF_MS,
--- a/adapters/src/main/java/applespindle/adapters/WorkerHttpExchange.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerHttpExchange.java
@@ -103,7 +103,7 @@
     }
     if (client.protocol().saysNotRun(status, values)) {
       fail(new ApiError.WorkerRejected(status), false);
-      connection.limitRest();
+      connection.limitIdleTime();
       return true;
     }
     if (status < 300 && !client.protocol().isComplete(status, values)) {
--- a/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataGenerator.java
@@ -128,7 +128,7 @@
 
   private void fill() throws GeneralSecurityException {
     ControlPlaneNode core = fleet.core("core-1");
-    fleet.runUntil("the control plane", () -> core.notReadyBecause().isEmpty());
+    fleet.runUntil("the control plane", () -> core.notReadyReason().isEmpty());
     var worker = new WorkerInput(StoredFleet.WORKER, StoredFleet.WORKER_ADDRESS, "main", "ready");
     command(
         core,
@@ -137,7 +137,7 @@
         ControlPlaneNode.workerRegistration(worker));
     command(core, Operation.SET_CONFIGURATION, "bundle", signed(configuration(1)));
     EdgeNode edge = fleet.edge();
-    fleet.runUntil("the edge", () -> edge.notReadyBecause().isEmpty());
+    fleet.runUntil("the edge", () -> edge.notReadyReason().isEmpty());
     fleet.runFor(5_000);
     submit("removed", "a prompt long gone");
     fleet.runFor(3 * RETENTION_MS);
--- a/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
@@ -52,9 +52,9 @@
       firstStatus.put(name, fleet.storage(name).status());
     }
     for (String name : NODES.subList(0, 3)) {
-      fleet.runUntil(name, () -> fleet.core(name).notReadyBecause().isEmpty());
+      fleet.runUntil(name, () -> fleet.core(name).notReadyReason().isEmpty());
     }
-    fleet.runUntil("the edge", () -> fleet.edge().notReadyBecause().isEmpty());
+    fleet.runUntil("the edge", () -> fleet.edge().notReadyReason().isEmpty());
   }
 
   @AfterEach
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchCapacityReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchCapacityReporter.java
@@ -33,7 +33,7 @@
 
   /** Reports a changed capacity, or zero, whatever the time of the last report. */
   void reportNow() {
-    if (hasNews()) {
+    if (hasChange()) {
       report(environment.nowMs());
     }
   }
@@ -41,12 +41,12 @@
   /** Reports a changed capacity, or zero, if the last report is old enough. */
   void reportIfDue() {
     long now = environment.nowMs();
-    if (hasNews() && now - lastReportAt >= reportIntervalMs()) {
+    if (hasChange() && now - lastReportAt >= reportIntervalMs()) {
       report(now);
     }
   }
 
-  private boolean hasNews() {
+  private boolean hasChange() {
     long remaining = log.state.remainingCapacity();
     return log.state.accepted != null && (remaining != lastReported || remaining == 0);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -44,7 +44,7 @@
   }
 
   /** After so many lease times a range without outcomes is forgotten. */
-  private static final int LAPSED_LEASES = 4;
+  private static final int ABANDONED_AFTER_LEASES = 4;
 
   private final Environment environment;
   private final WorkerRegistry registry;
@@ -143,7 +143,7 @@
       if (range.isReportDue(now)) {
         reporter.report(range);
       }
-      if (isLapsed(range, now)) {
+      if (isAbandoned(range, now)) {
         ranges.remove(range);
       }
     }
@@ -151,10 +151,10 @@
   }
 
   /** Nothing of the range runs, and its lease ended so long ago that no response will come. */
-  private static boolean isLapsed(AssignedRange range, long now) {
+  private static boolean isAbandoned(AssignedRange range, long now) {
     long lapsedMs = now - range.leaseEndsAt;
     return range.running.isEmpty()
-        && lapsedMs > LAPSED_LEASES * BatchConstants.RANGE_LEASE_MS
+        && lapsedMs > ABANDONED_AFTER_LEASES * BatchConstants.RANGE_LEASE_MS
         && (range.unacknowledged.isEmpty() || lapsedMs > BatchConstants.OUTCOME_RETENTION_MS);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -69,7 +69,7 @@
   }
 
   public final String batch;
-  public final ReplicatedLogLeader leader;
+  public final ReplicatedLogLeader logLeader;
   public final BatchState batchState;
   private final Environment environment;
   private final Context edge;
@@ -88,14 +88,14 @@
    * Starts to lead a batch: folds its log, completes an acceptance that an earlier leader left
    * without an order of ranges, and offers the unassigned ranges.
    *
-   * @param leader of the batch's log; the node must have won its election
+   * @param logLeader of the batch's log; the node must have won its election
    */
   public BatchLeader(
       Environment environment, Context edge, String batch, ReplicatedLogLeader leader) {
     this.environment = environment;
     this.edge = edge;
     this.batch = batch;
-    this.leader = leader;
+    this.logLeader = leader;
     log = new BatchLog(environment, edge, batch, leader);
     batchState = log.state;
     lastUsedAt = log.startedAt();
@@ -319,7 +319,7 @@
    */
   public boolean tick() {
     long now = environment.nowMs();
-    if (!leader.isLeading()) {
+    if (!logLeader.isLeading()) {
       return true;
     }
     if (!batchState.isOpen()) {
@@ -336,6 +336,6 @@
 
   /** Answers the waiting reads with NotLeader, so that their clients ask again. */
   public void leadershipLost() {
-    reads.failWaiting(new ApiError.NotLeader(leader.key));
+    reads.failWaiting(new ApiError.NotLeader(logLeader.key));
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLog.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLog.java
@@ -25,7 +25,7 @@
   final BatchState state = new BatchState();
   private final Environment environment;
   private final BatchLeader.Context edge;
-  private final ReplicatedLogLeader leader;
+  private final ReplicatedLogLeader logLeader;
   private final long startedAt;
   private final long ageAtStartMs;
   private boolean endPending;
@@ -36,7 +36,7 @@
     this.environment = environment;
     this.edge = edge;
     this.batch = batch;
-    this.leader = leader;
+    this.logLeader = leader;
     for (LogEntry entry : leader.entries()) {
       if (!entry.isEpochStart()) {
         state.apply(entry.event());
@@ -88,7 +88,7 @@
    */
   void append(BatchEvent event, Runnable whenCommitted, Consumer<ApiError> answer) {
     byte[] bytes = BatchEventCodec.encode(event);
-    leader.append(
+    logLeader.append(
         event.kind().equals(BatchEvent.REMOVED),
         bytes,
         () -> {
@@ -118,12 +118,12 @@
 
   /** Confirms the leadership with a majority immediately; the callback gets null on success. */
   void confirmLeadership(Consumer<ApiError> then) {
-    leader.confirmLeadership(then);
+    logLeader.confirmLeadership(then);
   }
 
   /** The same with the next regular heartbeat, for callers that can wait for it. */
-  void confirmAtBeat(Consumer<ApiError> then) {
-    leader.confirmLeadershipWithHeartbeat(then);
+  void confirmWithHeartbeat(Consumer<ApiError> then) {
+    logLeader.confirmLeadershipWithHeartbeat(then);
   }
 
   private void checkAcceptedOnce() {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchReads.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchReads.java
@@ -23,17 +23,17 @@
   private final Environment environment;
   private final BatchLog log;
   private final BatchResponses responses;
-  private final Runnable whenAsked;
+  private final Runnable readListener;
   private final List<WaitingRead> waitingReads = new ArrayList<>();
 
   /**
-   * @param whenAsked runs at the arrival of each read
+   * @param readListener runs at the arrival of each read
    */
   BatchReads(Environment environment, BatchLog log, BatchResponses responses, Runnable whenAsked) {
     this.environment = environment;
     this.log = log;
     this.responses = responses;
-    this.whenAsked = whenAsked;
+    this.readListener = whenAsked;
   }
 
   void readSummary(Consumer<Response> then) {
@@ -72,7 +72,7 @@
 
   /** Responds with an error if the leadership is lost or the batch is unknown; else responds. */
   private void confirmAccepted(Consumer<Response> then, Runnable respond) {
-    whenAsked.run();
+    readListener.run();
     log.confirmLeadership(
         error -> {
           if (error != null) {
--- a/core-logic/src/main/java/applespindle/corelogic/batch/RangeReportHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/RangeReportHandler.java
@@ -71,7 +71,7 @@
     if (current && !report.returned()) {
       ranges.renewLease(report.range());
     }
-    NewOutcomes outcomes = selectNew(report);
+    NewOutcomes outcomes = selectUnrecorded(report);
     if (!outcomes.isEmpty()) {
       record(report, outcomes);
     }
@@ -85,7 +85,7 @@
           }
         };
     if (outcomes.isEmpty() && !report.returned()) {
-      log.confirmAtBeat(respond);
+      log.confirmWithHeartbeat(respond);
     } else {
       log.confirmLeadership(respond);
     }
@@ -106,7 +106,7 @@
 
   // ---- outcomes
 
-  private NewOutcomes selectNew(RangeReport report) {
+  private NewOutcomes selectUnrecorded(RangeReport report) {
     NewOutcomes outcomes = new NewOutcomes();
     for (ItemOutcome item : report.results()) {
       if (item.index() < 0
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlManagers.java
@@ -152,7 +152,7 @@
       case REPORT_CAUGHT_UP ->
           recordCaughtUp(request, ledKey, decode(request, CaughtUpReport.class));
       case SET_STORAGE_NODE_STATE ->
-          drains.mark(request, ledKey, decode(request, StorageNodeState.class));
+          drains.setState(request, ledKey, decode(request, StorageNodeState.class));
       case CHECK_STORAGE_NODE_DRAINED -> drains.respondWhetherDrained(request, ledKey);
       case READ_KEY -> read(request, ledKey);
       default -> responder.reject(request, new ApiError.UnknownRequest(request.operationName()));
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/ControlPlaneNode.java
@@ -484,7 +484,7 @@
   }
 
   @Override
-  public String notReadyBecause() {
+  public String notReadyReason() {
     if (stopping) {
       return "stopping";
     }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKey.java
@@ -36,7 +36,7 @@
   private long leaseExpiresAtMs;
 
   /** For a changing replica set: the latest set number under which each node has caught up. */
-  private final Map<String, Long> caughtUpNumbers = new HashMap<>();
+  private final Map<String, Long> caughtUpVersions = new HashMap<>();
 
   /** The value as last decoded, and the value from which it was decoded. */
   private Object decoded;
@@ -134,16 +134,16 @@
 
   /** Records that a node has copied the data under this number of the replica set. */
   void recordCaughtUp(CaughtUpReport report) {
-    caughtUpNumbers.put(report.id(), report.number());
+    caughtUpVersions.put(report.id(), report.number());
   }
 
   /** True if the node reported that it caught up under exactly this number of the replica set. */
   boolean hasCaughtUp(String id, long number) {
-    return caughtUpNumbers.getOrDefault(id, 0L) == number;
+    return caughtUpVersions.getOrDefault(id, 0L) == number;
   }
 
   /** Called when a change of the replica set begins. */
   void forgetCaughtUpReports() {
-    caughtUpNumbers.clear();
+    caughtUpVersions.clear();
   }
 }
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/LedKeys.java
@@ -103,7 +103,7 @@
 
   @Override
   public void noteContact(String replicaId) {
-    ledKeys.values().forEach(ledKey -> ledKey.leader().noteContact(replicaId));
+    ledKeys.values().forEach(ledKey -> ledKey.leader().recordContact(replicaId));
   }
 
   // ---- taking the leadership
--- a/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageDrainManager.java
+++ b/core-logic/src/main/java/applespindle/corelogic/controlplane/StorageDrainManager.java
@@ -57,7 +57,7 @@
    * present state gets the same response. If fewer nodes than needed remain after a drain began,
    * the drain waits for others.
    */
-  void mark(PeerRequest request, LedKey ledKey, StorageNodeState requested) {
+  void setState(PeerRequest request, LedKey ledKey, StorageNodeState requested) {
     StorageNodeState current = ledKey.as(StorageNodeState.class);
     int shards = directory.shardsNaming(requested.id());
     Optional<ApiError> refusal = refusal(current, requested, shards);
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -59,7 +59,7 @@
   private long startedAt;
 
   /** When the last fresh update came from the present feed source, or when that was chosen. */
-  private long sourceHeardAt;
+  private long lastSourceContactAt;
 
   /** The latest time, on this node's clock, at which every acknowledged update was known here. */
   private long upToDateAt = NEVER;
@@ -67,10 +67,10 @@
   /** Whether an update came from the control plane itself since the start. */
   private boolean receivedFromControlPlane;
 
-  private long controlPlaneHeardAt = NEVER;
+  private long lastControlPlaneContactAt = NEVER;
 
   /** Index of the node of the data plane that gets the next discovery request. */
-  private int nextAskedMember;
+  private int nextDiscoveryTarget;
 
   /** Computed when it is needed; null after the members have changed. */
   private BatchLeaderPlacement leaderPlacement;
@@ -93,19 +93,19 @@
   public void start() {
     started = true;
     startedAt = environment.nowMs();
-    sourceHeardAt = startedAt;
+    lastSourceContactAt = startedAt;
     discoverControlPlane();
     pollUntilFirstUpdate();
     repeatEvery(ChangeFeedConstants.POLL_INTERVAL_MS, this::pollFeed);
     repeatEvery(MembershipConstants.LEASE_RENEWAL_INTERVAL_MS, this::renewLease);
     repeatEvery(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::probePreferredSource);
-    repeatEvery(MembershipConstants.LEASE_DURATION_MS, this::discoverControlPlaneIfSilent);
+    repeatEvery(MembershipConstants.LEASE_DURATION_MS, this::discoverControlPlaneAfterTimeout);
   }
 
   // ---- finding the control plane
 
-  private void discoverControlPlaneIfSilent() {
-    if (environment.nowMs() - controlPlaneHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
+  private void discoverControlPlaneAfterTimeout() {
+    if (environment.nowMs() - lastControlPlaneContactAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
       discoverControlPlane();
     }
   }
@@ -119,7 +119,7 @@
     List<NodeRegistration> known = List.copyOf(members().values());
     int asked = Math.min(ChangeFeedConstants.DISCOVERY_FANOUT, known.size());
     for (int count = 0; count < asked; count++) {
-      NodeRegistration member = known.get(Math.floorMod(nextAskedMember++, known.size()));
+      NodeRegistration member = known.get(Math.floorMod(nextDiscoveryTarget++, known.size()));
       send(member.peerAddress(), "", new QuorumDiscoveryRequest());
     }
     seeds.forEach(seed -> send(seed, "", new QuorumDiscoveryRequest()));
@@ -134,7 +134,7 @@
     boolean first = membership.members().isEmpty();
     super.learnMembership(learned);
     if (started && first && !membership.members().isEmpty()) {
-      sourceHeardAt = environment.nowMs();
+      lastSourceContactAt = environment.nowMs();
       pollFeed();
       renewLease();
     }
@@ -200,9 +200,9 @@
   }
 
   private void switchSourceAfter(long timeoutMs) {
-    if (environment.nowMs() - sourceHeardAt > timeoutMs) {
+    if (environment.nowMs() - lastSourceContactAt > timeoutMs) {
       feedSource.chooseNext();
-      sourceHeardAt = environment.nowMs();
+      lastSourceContactAt = environment.nowMs();
     }
   }
 
@@ -217,7 +217,7 @@
         source.peerAddress(),
         source.id(),
         poll(feedSource.sourceId(), feedSource.incarnation(), feedSource.position()));
-    long silentMs = Math.max(feedAge(), environment.nowMs() - controlPlaneHeardAt);
+    long silentMs = Math.max(feedAge(), environment.nowMs() - lastControlPlaneContactAt);
     if (receivedFromControlPlane && silentMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
       pollPeerEdges();
     }
@@ -331,7 +331,7 @@
     }
     boolean fresh = isFresh(update);
     if (fresh) {
-      sourceHeardAt = environment.nowMs();
+      lastSourceContactAt = environment.nowMs();
     }
     feedSource.advance(update, fresh);
     return true;
@@ -383,7 +383,7 @@
       long tookMs = environment.nowMs() - startedAt;
       environment.log(LOG_PART, "First update applied " + tookMs + " ms after the start.");
     }
-    controlPlaneHeardAt = Math.max(controlPlaneHeardAt, update.echoedAt());
+    lastControlPlaneContactAt = Math.max(lastControlPlaneContactAt, update.echoedAt());
   }
 
   private void reportApplied(List<String> addresses) {
@@ -477,15 +477,15 @@
   // ---- readiness and status
 
   @Override
-  public String notReadyBecause() {
+  public String notReadyReason() {
     if (stopping) {
       return "stopping";
     }
-    return hasLease() ? notServingBecause() : "no grant from the core";
+    return hasLease() ? notServingReason() : "no grant from the core";
   }
 
   /** Empty if all metadata that serving takes is here, else what is missing. */
-  protected String notServingBecause() {
+  protected String notServingReason() {
     if (isFeedStale()) {
       return "the feed is stale";
     }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
@@ -76,7 +76,7 @@
    */
   void elect(String key, boolean transferred, Consumer<ElectionOutcome> callback) {
     BatchLeader present = leaders.get(key);
-    if (present != null && present.leader.isLeading()) {
+    if (present != null && present.logLeader.isLeading()) {
       callback.accept(
           new ElectionOutcome(
               ElectionResult.ELECTED, edge.identity().id(), edge.identity().peerAddress()));
@@ -112,7 +112,7 @@
   void handleAppendResponse(AppendResponse response, String fromId) {
     BatchLeader leader = leaders.get(response.key());
     ReplicatedLogLeader logLeader =
-        leader != null ? leader.leader : elections.inProgress(response.key());
+        leader != null ? leader.logLeader : elections.inProgress(response.key());
     if (logLeader != null) {
       logLeader.handleAppendResponse(response, fromId);
     }
@@ -128,7 +128,7 @@
   /** The replicas of a shard have changed. */
   void reconfigure(String shardKey) {
     leaders.values().stream()
-        .map(leader -> leader.leader)
+        .map(leader -> leader.logLeader)
         .filter(logLeader -> MetadataKeys.shardOf(logLeader.key).equals(shardKey))
         .toList()
         .forEach(logLeader -> logLeader.reconfigure(edge.replicaConfigurationOf(logLeader.key)));
@@ -147,8 +147,8 @@
   }
 
   private void resign(BatchLeader leader) {
-    leader.leader.resign();
-    leaders.remove(leader.leader.key);
+    leader.logLeader.resign();
+    leaders.remove(leader.logLeader.key);
     leader.leadershipLost();
   }
 
@@ -193,14 +193,14 @@
   /** Resigns from every batch, and transfers the open ones to the next edges in their order. */
   void transferAll(BatchDispatcher batchDispatcher) {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
-      NodeAddress successor = successorFor(leader.leader.key);
+      NodeAddress successor = successorFor(leader.logLeader.key);
       resign(leader);
       if (successor != null && leader.batchState.isOpen()) {
         edge.send(
             successor.address(),
             successor.id(),
             new LeadershipTransfer(
-                leader.leader.key, leader.leader.epoch(), leader.leader.lastSequence()));
+                leader.logLeader.key, leader.logLeader.epoch(), leader.logLeader.lastSequence()));
         batchDispatcher.leaderMoved(leader.batch, successor.id(), successor.address());
         environment.log("batch", "Leadership transferred: batch=" + leader.batch + ".");
       }
@@ -226,7 +226,7 @@
                 leader.batch,
                 leader.batchState.state()
                     + ", epoch "
-                    + leader.leader.epoch().counter()
+                    + leader.logLeader.epoch().counter()
                     + ", recorded "
                     + leader.batchState.results.size()
                     + " of "
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchRequestHandler.java
@@ -61,7 +61,7 @@
       return;
     }
     BatchLeader leader = leaders.get(request.key());
-    if (leader != null && leader.leader.isLeading()) {
+    if (leader != null && leader.logLeader.isLeading()) {
       handleAsLeader(request, submission, leader);
     } else if (edge.isStopping()) {
       respond(request, new ApiError.NodeStopping());
@@ -141,7 +141,7 @@
   }
 
   private void serveSubmission(PeerRequest request, BatchLeader leader, Accepted accepted) {
-    if (leader.leader.isInContactWithQuorum()) {
+    if (leader.logLeader.isInContactWithQuorum()) {
       leader.submit(accepted, response -> edge.respond(request, response));
     } else {
       respond(request, new ApiError.NoQuorum(request.key()));
@@ -269,7 +269,7 @@
   }
 
   private void serve(PeerRequest request, BatchLeader leader) {
-    if (!leader.leader.isInContactWithQuorum()) {
+    if (!leader.logLeader.isInContactWithQuorum()) {
       respond(request, new ApiError.NoQuorum(request.key()));
       return;
     }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -428,8 +428,8 @@
 
   /** An edge is ready without a lease: live requests do not need one. */
   @Override
-  public String notReadyBecause() {
-    return shutdown.isAnnounced() ? "stopping" : super.notServingBecause();
+  public String notReadyReason() {
+    return shutdown.isAnnounced() ? "stopping" : super.notServingReason();
   }
 
   @Override
--- a/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/HeartbeatExchange.java
@@ -101,7 +101,8 @@
 
   /** Replicas on this node learn of their leader's contact without a message. */
   private void notifyLocalReplicas(List<String> ledKeys) {
-    ledKeys.forEach(key -> replicas.noteLeaderContact(key, identity.id(), identity.peerAddress()));
+    ledKeys.forEach(
+        key -> replicas.recordLeaderContact(key, identity.id(), identity.peerAddress()));
   }
 
   private HeartbeatBody describeSelf(QuorumMembership membership, List<String> ledKeys) {
@@ -142,7 +143,8 @@
     if (peer.receivesFromThisNode()) {
       keys.noteContact(peer.member().id());
     }
-    body.ledKeys().forEach(key -> replicas.noteLeaderContact(key, peer.member().id(), fromAddress));
+    body.ledKeys()
+        .forEach(key -> replicas.recordLeaderContact(key, peer.member().id(), fromAddress));
     if (body.membership() != null) {
       membershipListener.accept(body.membership());
     }
--- a/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
+++ b/core-logic/src/main/java/applespindle/corelogic/membership/JoiningMember.java
@@ -62,7 +62,7 @@
     ObjectNode report =
         JSON.createObjectNode().put("id", node.identity().id()).put("number", number);
     node.sendRequest(
-        this::memberToAsk,
+        this::targetMember,
         Operation.REPORT_CAUGHT_UP,
         MetadataKeys.MEMBERSHIP,
         report,
@@ -72,7 +72,7 @@
         ReplicationConstants.CATCH_UP_REPORT_INTERVAL_MS, () -> reportCopied(number));
   }
 
-  private NodeAddress memberToAsk(int attempt) {
+  private NodeAddress targetMember(int attempt) {
     int index = attempt % quorum.current().members().size();
     QuorumMember member = quorum.current().members().get(index);
     return new NodeAddress(member.id(), member.peerAddress());
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -85,7 +85,7 @@
   public abstract void stop(Runnable whenDone);
 
   /** Empty if the node is ready to serve, else the reason why not. */
-  public abstract String notReadyBecause();
+  public abstract String notReadyReason();
 
   /** Whether a graceful shutdown has begun. */
   public boolean isStopping() {
--- a/core-logic/src/main/java/applespindle/corelogic/replication/AppendHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/AppendHandler.java
@@ -47,7 +47,7 @@
     }
     List<LogRecord> records = new ArrayList<>();
     ReplicaStore.raisePromisedEpoch(message.key(), replica, message.epoch(), records);
-    noteLeader(replica, message, fromAddress);
+    recordLeader(replica, message, fromAddress);
     if (!follows(replica, message)) {
       refuseMismatch(message, replica, records, fromId, fromAddress);
       return;
@@ -89,7 +89,7 @@
    * Records the leader and, if the leader has a quorum, the contact with it. Without one it counts
    * as in contact only while it waits for this replica's own disk.
    */
-  private void noteLeader(LogReplica replica, AppendRequest message, String fromAddress) {
+  private void recordLeader(LogReplica replica, AppendRequest message, String fromAddress) {
     replica.leaderId = message.epoch().node();
     replica.leaderAddress = fromAddress;
     if (message.inContactWithQuorum() || replica.unsyncedWrites > 0) {
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplica.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplica.java
@@ -91,7 +91,7 @@
   }
 
   /** Records contact with the candidate that this replica voted for. */
-  void noteCandidate(String id, String address, long nowMs) {
+  void recordCandidateContact(String id, String address, long nowMs) {
     candidateId = id;
     candidateAddress = address;
     candidateContactAtMs = nowMs;
--- a/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/LogReplicas.java
@@ -107,7 +107,7 @@
    * longer undecided.
    */
   public void committedElsewhere(String key, long sequence) {
-    uncommittedEntries.committedElsewhere(key, sequence);
+    uncommittedEntries.recordCommittedElsewhere(key, sequence);
   }
 
   /** Whether the key may hold a recovered event whose commit is not known; its leader decides. */
@@ -161,7 +161,7 @@
    * The leader's process said that it still leads the key; as good as a heartbeat, unless another
    * leader was in contact since. Ignored for a key that this node has no replica of.
    */
-  public void noteLeaderContact(String key, String leaderId, String leaderAddress) {
+  public void recordLeaderContact(String key, String leaderId, String leaderAddress) {
     LogReplica replica = store.find(key);
     if (replica != null && (replica.leaderId.isEmpty() || replica.leaderId.equals(leaderId))) {
       replica.leaderId = leaderId;
--- a/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/ReplicatedLogLeader.java
@@ -138,7 +138,7 @@
    * Notes that the replica's process showed, other than by an answer to an append, that it receives
    * this node's messages. A replica outside of the configuration is ignored.
    */
-  public void noteContact(String replicaId) {
+  public void recordContact(String replicaId) {
     FollowerProgress follower = replicator.follower(replicaId);
     if (follower != null) {
       follower.recordContact();
--- a/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/UncommittedEntries.java
@@ -28,7 +28,7 @@
   }
 
   /** Another replica knows a committed event at this sequence: entries up to it are decided. */
-  void committedElsewhere(String key, long sequence) {
+  void recordCommittedElsewhere(String key, long sequence) {
     LogEntry last = lastByKey.get(key);
     if (last != null && last.sequence() <= sequence) {
       lastByKey.remove(key);
--- a/core-logic/src/main/java/applespindle/corelogic/replication/VoteHandler.java
+++ b/core-logic/src/main/java/applespindle/corelogic/replication/VoteHandler.java
@@ -64,7 +64,7 @@
 
   private void vote(LogReplica replica, VoteRequest message, String fromId, String fromAddress) {
     replica.promisedEpoch = message.epoch();
-    replica.noteCandidate(message.epoch().node(), fromAddress, environment.nowMs());
+    replica.recordCandidateContact(message.epoch().node(), fromAddress, environment.nowMs());
     store.afterSync(
         replica,
         List.of(LogRecords.vote(message.key(), replica.promisedEpoch)),
@@ -124,7 +124,7 @@
     boolean sameLog = next != null && next.epoch().equals(message.nextEpoch());
     boolean refused = message.epoch().isBelow(replica.promisedEpoch) || !sameLog;
     if (!refused) {
-      replica.noteCandidate(message.epoch().node(), fromAddress, environment.nowMs());
+      replica.recordCandidateContact(message.epoch().node(), fromAddress, environment.nowMs());
     }
     sender.send(
         fromAddress,
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -268,7 +268,7 @@
   // ---- readiness, status and shutdown
 
   @Override
-  public String notReadyBecause() {
+  public String notReadyReason() {
     if (stopping) {
       return "stopping";
     }
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelReplica.java
@@ -101,7 +101,7 @@
   }
 
   @Override
-  public String notReadyBecause() {
+  public String notReadyReason() {
     return "";
   }
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogLeaderTest.java
@@ -194,8 +194,8 @@
         ms <= 2 * ReplicationConstants.LEADER_STEP_DOWN_MS;
         ms += ReplicationConstants.HEARTBEAT_INTERVAL_MS) {
       environment.run(ReplicationConstants.HEARTBEAT_INTERVAL_MS);
-      leader.noteContact("b");
-      leader.noteContact("c");
+      leader.recordContact("b");
+      leader.recordContact("c");
     }
     assertThat(leader.isInContactWithQuorum()).isTrue();
     assertThat(timesLost).isEqualTo(0);
--- a/data-plane/src/main/java/applespindle/dataplane/ChunkStream.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ChunkStream.java
@@ -12,7 +12,7 @@
  */
 final class ChunkStream extends AbstractChannelSupplier<ByteBuf> {
   private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
-  private final Runnable whenClientGone;
+  private final Runnable onClientDisconnected;
   private final int maxQueuedChunks;
   private final int maxQueuedBytes;
   private int queuedBytes;
@@ -22,7 +22,7 @@
 
   /** A client that does not read, with so many chunks or bytes queued for it, counts as gone. */
   ChunkStream(Runnable whenClientGone, int maxQueuedChunks, int maxQueuedBytes) {
-    this.whenClientGone = whenClientGone;
+    this.onClientDisconnected = whenClientGone;
     this.maxQueuedChunks = maxQueuedChunks;
     this.maxQueuedBytes = maxQueuedBytes;
   }
@@ -97,7 +97,7 @@
       pendingRead.trySetException(fault);
     }
     if (!ended && truncation == null) {
-      whenClientGone.run();
+      onClientDisconnected.run();
     }
   }
 
--- a/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ClientConnection.java
@@ -133,7 +133,7 @@
     phase = Phase.SERVED;
     this.whenClientGone = whenClientGone;
     if (inputEnded || failure != null) {
-      reportClientGone();
+      reportClientDisconnected();
     } else if (readAhead == null && !reading) {
       readInner();
     }
@@ -156,7 +156,7 @@
     }
   }
 
-  private void reportClientGone() {
+  private void reportClientDisconnected() {
     Runnable callback = whenClientGone;
     whenClientGone = null;
     if (callback != null) {
@@ -218,7 +218,7 @@
     } else if (pendingRead == null && bytes != null) {
       readAhead = bytes;
     } else if (pendingRead == null) {
-      reportClientGone();
+      reportClientDisconnected();
     } else if (fault != null) {
       failRead(fault);
     } else if (bytes == null) {
@@ -385,7 +385,7 @@
     } else if (pendingRead != null) {
       failRead(fault);
     } else {
-      reportClientGone();
+      reportClientDisconnected();
     }
   }
 
--- a/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
+++ b/data-plane/src/main/java/applespindle/dataplane/ProxyExchange.java
@@ -38,7 +38,7 @@
   /** On the logic thread only. */
   private RequestHandle handle;
 
-  private boolean clientGone;
+  private boolean clientDisconnected;
 
   /** What the logic has reported and the HTTP thread has not taken yet. */
   private static final class PendingUpdate {
@@ -63,7 +63,7 @@
 
   /** On the logic thread. */
   void begin(Function<ProxiedResponseListener, RequestHandle> pass) {
-    if (clientGone) {
+    if (clientDisconnected) {
       return;
     }
     handle = pass.apply(this);
@@ -75,7 +75,7 @@
       over = true;
       process.toLogic(
           () -> {
-            clientGone = true;
+            clientDisconnected = true;
             if (handle != null) {
               handle.cancel();
             }
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -115,7 +115,7 @@
           edge,
           SimulatedFleet.SENDER_PATIENCE_MS,
           (Consumer<JsonNode> then) -> {
-            boolean ready = edge.node().notReadyBecause().isEmpty();
+            boolean ready = edge.node().notReadyReason().isEmpty();
             then.accept(ready ? edge.node().status() : null);
           },
           status -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
@@ -158,7 +158,7 @@
     long newest = fleet.operators.newestAcknowledged();
     while (simulation.simulatedNowMs() - from < CATCH_UP_MOST_MS) {
       simulation.runUntil(simulation.simulatedNowMs() + STEP_MS);
-      if (number(away) == newest && away.node().notReadyBecause().isEmpty() && holdsNewest()) {
+      if (number(away) == newest && away.node().notReadyReason().isEmpty() && holdsNewest()) {
         return simulation.simulatedNowMs() - from;
       }
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -369,7 +369,7 @@
       waitFor(
           edge,
           READY_MS,
-          (Consumer<String> then) -> then.accept(edge.node().notReadyBecause()),
+          (Consumer<String> then) -> then.accept(edge.node().notReadyReason()),
           reason -> {
             if ("".equals(reason)) {
               ready.add(edge);
@@ -509,7 +509,7 @@
     return simulation.processes.values().stream()
         .filter(process -> process.role.equals("core") && process.alive())
         .map(process -> process.node())
-        .filter(node -> node.notReadyBecause().isEmpty())
+        .filter(node -> node.notReadyReason().isEmpty())
         .findFirst()
         .map(node -> (JsonNode) node.status())
         .orElse(JSON.nullNode());
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightEdgeHost.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightEdgeHost.java
@@ -260,7 +260,7 @@
           answer.put(
               "ready",
               hollows.stream()
-                  .filter(hollow -> hollow.up && hollow.node.notReadyBecause().isEmpty())
+                  .filter(hollow -> hollow.up && hollow.node.notReadyReason().isEmpty())
                   .count());
       case "known" -> {
         ArrayNode rows = answer.putArray("known");
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -421,7 +421,7 @@
                 machine ->
                     machine.role.equals("core")
                         && machine.up
-                        && machine.node.notReadyBecause().isEmpty())
+                        && machine.node.notReadyReason().isEmpty())
             .map(machine -> machine.node)
             .findFirst()
             .orElseThrow(() -> new IllegalStateException("no core node is ready"));
@@ -535,7 +535,7 @@
                         machine ->
                             machine.role.equals("core")
                                 && machine.up
-                                && machine.node.notReadyBecause().isEmpty()),
+                                && machine.node.notReadyReason().isEmpty()),
             60_000),
         "the core did not form");
     require(
@@ -543,17 +543,17 @@
             () ->
                 machines.values().stream()
                     .filter(machine -> machine.up && !machine.role.equals("core"))
-                    .allMatch(machine -> !machine.node.notReadyBecause().contains("grant")),
+                    .allMatch(machine -> !machine.node.notReadyReason().contains("grant")),
             120_000),
         "not every node was granted its place");
     sendBundle(1, firstBundle);
     require(
         runUntil(
-            () -> edges.stream().allMatch(machine -> machine.node.notReadyBecause().isEmpty()),
+            () -> edges.stream().allMatch(machine -> machine.node.notReadyReason().isEmpty()),
             120_000),
         "not every edge became ready: "
             + edges.stream()
-                .map(machine -> machine.node.notReadyBecause())
+                .map(machine -> machine.node.notReadyReason())
                 .filter(reason -> !reason.isEmpty())
                 .findFirst()
                 .orElse(""));
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
@@ -184,7 +184,7 @@
     long begunAt = fleet.nowMs();
     boolean back =
         fleet.runUntil(
-            () -> lost.stream().allMatch(machine -> machine.node.notReadyBecause().isEmpty()),
+            () -> lost.stream().allMatch(machine -> machine.node.notReadyReason().isEmpty()),
             RECOVERY_MS);
     add(
         experiment,
@@ -250,8 +250,7 @@
         fleet.runUntil(
             () ->
                 fleet.knownEverywhere(change)
-                    && inside.stream()
-                        .allMatch(machine -> machine.node.notReadyBecause().isEmpty()),
+                    && inside.stream().allMatch(machine -> machine.node.notReadyReason().isEmpty()),
             RECOVERY_MS);
     add(
         "region-cut",
--- a/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -239,8 +239,8 @@
 
   private long readyWithin(String process, long mostMs) {
     long from = simulation.simulatedNowMs();
-    while (!simulation.processes.get(process).node().notReadyBecause().isEmpty()) {
-      assertWithMessage(process + ": " + simulation.processes.get(process).node().notReadyBecause())
+    while (!simulation.processes.get(process).node().notReadyReason().isEmpty()) {
+      assertWithMessage(process + ": " + simulation.processes.get(process).node().notReadyReason())
           .that(simulation.simulatedNowMs() - from)
           .isAtMost(mostMs);
       simulation.runUntil(simulation.simulatedNowMs() + 1);
@@ -598,7 +598,7 @@
   private JsonNode core() {
     return simulation.processes.values().stream()
         .filter(process -> process.role.equals("core") && process.alive())
-        .filter(process -> process.node().notReadyBecause().isEmpty())
+        .filter(process -> process.node().notReadyReason().isEmpty())
         .findFirst()
         .get()
         .node()
