--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -25,6 +25,7 @@
 public final class BatchDispatcher {
   /** What the dispatcher needs of the edge it runs on. */
   public interface Context {
+    /** Sends a message; an empty id means whoever is at the address. */
     void send(String toAddress, String toId, Message message);
 
     /** Whether this edge is the one that dispatches batch items to the worker. */
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchEvent.java
@@ -122,6 +122,7 @@
     return new BatchEvent(ASSIGNED, ageMs, null, null, null, assigned, null, null);
   }
 
+  /** Results and failed attempts that were recorded; {@code ageMs} is the batch's age. */
   public static BatchEvent recorded(long ageMs, Recorded recorded) {
     return new BatchEvent(RECORDED, ageMs, null, null, null, null, recorded, null);
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchLeader.java
@@ -28,6 +28,7 @@
 public final class BatchLeader {
   /** What the leader needs of the edge it runs on. */
   public interface Context {
+    /** Sends a message; an empty id means whoever is at the address. */
     void send(String toAddress, String toId, Message message);
 
     /** Sends to every live edge, this one included. */
@@ -50,6 +51,7 @@
     /** Whether that configuration is known to be the newest, or nearly. */
     boolean isMetadataFresh();
 
+    /** Logs a sentence about a batch. */
     void log(String sentence);
 
     /**
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionReader.java
@@ -35,6 +35,7 @@
 
   private final BatchFormat format;
 
+  /** Reads the bodies of proxied batches in the given format. */
   public SubmissionReader(BatchFormat format) {
     this.format = format;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/SubmissionWarmUp.java
@@ -39,6 +39,7 @@
   private final SubmissionReader submissionReader;
   private int rounds;
 
+  /** Warms up with samples of the format; nothing runs before {@link #runRound}. */
   public SubmissionWarmUp(
       Environment environment,
       NodeIdentity identity,
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -132,6 +132,7 @@
    * @param maxCachedTokens a worker's memory for prompts, in tokens
    */
   public record Pool(
+      /** A pool whose workers' slots, connections and memory are not known. */
       @Min(16) @Max(100_000) int prefixBlockChars,
       @Min(1) @Max(64) int prefixBlocks,
       @DecimalMin("1.0") @DecimalMax("10.0") double loadFactor,
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -451,6 +451,7 @@
     return metadata.workers();
   }
 
+  /** The live edges, in the order of their ids. */
   public List<NodeRegistration> liveEdges() {
     return metadata.liveEdges();
   }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/EdgeNode.java
@@ -89,14 +89,17 @@
 
   private Consumer<RoutingConfiguration> configurationListener = configuration -> {};
 
+  /** An edge with the default settings and the own format of batches. */
   public EdgeNode(Environment environment, NodeIdentity identity) {
     this(environment, identity, NodeSettings.DEFAULT);
   }
 
+  /** An edge with the own format of batches. */
   public EdgeNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
     this(environment, identity, settings, BatchFormat.OWN);
   }
 
+  /** An edge that is not started yet; {@code format} is that of proxied batches. */
   public EdgeNode(
       Environment environment, NodeIdentity identity, NodeSettings settings, BatchFormat format) {
     super(environment, identity, settings);
--- a/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/Environment.java
@@ -95,6 +95,7 @@
 
   /** A timer that was set. */
   interface ScheduledTask {
+    /** Cancels the task; no effect once it has run. */
     void cancel();
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/NodeSettings.java
@@ -73,6 +73,9 @@
           true,
           0);
 
+  /**
+   * Settings of a node whose edges need not acknowledge and whose processor's share is not known.
+   */
   public NodeSettings(
       int faultTolerance,
       boolean bootstrap,
--- a/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
+++ b/core-logic/src/main/java/applespindle/corelogic/environment/StageTimer.java
@@ -12,6 +12,7 @@
   private long lastAt;
   private long lastProcessorMicros;
 
+  /** Starts with the first stage. */
   public StageTimer(Environment environment) {
     this.environment = environment;
     beganAt = environment.nowMs();
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/BatchCapacityChange.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/BatchCapacityChange.java
@@ -12,6 +12,7 @@
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record BatchCapacityChange(String batch, long items, String group) {
+  /** Earlier versions wrote no group: null stands for the group of all batches of prompts. */
   public BatchCapacityChange {
     group = group == null ? "" : group;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/metadata/BatchCapacityUsage.java
+++ b/core-logic/src/main/java/applespindle/corelogic/metadata/BatchCapacityUsage.java
@@ -12,6 +12,7 @@
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record BatchCapacityUsage(Map<String, Long> items, Map<String, String> groups) {
+  /** Earlier versions wrote no groups: null stands for none. */
   public BatchCapacityUsage {
     groups = groups == null ? Map.of() : groups;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/node/Node.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/Node.java
@@ -118,14 +118,17 @@
   /** The node's state for operators. */
   public abstract ObjectNode status();
 
+  /** Who and where this process is. */
   public NodeIdentity identity() {
     return identity;
   }
 
+  /** What happened in this process of late. */
   public TraceLog traceLog() {
     return traceLog;
   }
 
+  /** The counters by name, as metrics show them. */
   public Map<String, Long> counters() {
     return counters;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
+++ b/core-logic/src/main/java/applespindle/corelogic/node/TraceLog.java
@@ -23,6 +23,7 @@
     this.environment = environment;
   }
 
+  /** Adds an event at the present time; the oldest one is dropped when the trace is full. */
   public void add(String kind, String key, String detail) {
     if (events.size() == LifecycleConstants.MAX_TRACE_EVENTS) {
       events.removeFirst();
@@ -30,6 +31,10 @@
     events.add(new Event(++lastNumber, environment.nowMs(), kind, key, detail));
   }
 
+  /**
+   * The oldest kept events of a key and of the keys under it, at most so many; of all keys if it is
+   * empty.
+   */
   public List<Event> eventsFor(String key, int most) {
     return events.stream()
         .filter(
--- a/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
+++ b/core-logic/src/main/java/applespindle/corelogic/protocol/Message.java
@@ -53,6 +53,7 @@
       int hops,
       byte[] body)
       implements Message {
+    /** A request for an operation that this version knows. */
     public PeerRequest(
         long correlation,
         Operation operation,
--- a/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/storage/StorageNode.java
@@ -46,10 +46,12 @@
   private final StoredBatches batches = new StoredBatches();
   private final OnceClaimStore onceClaims = new OnceClaimStore();
 
+  /** A storage node with the default settings. */
   public StorageNode(Environment environment, NodeIdentity identity) {
     this(environment, identity, NodeSettings.DEFAULT);
   }
 
+  /** A storage node that is not started yet; its log is recovered first. */
   public StorageNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
     super(environment, identity, settings);
     replicas = new LogReplicas(environment, this::send, this::committed, MetadataKeys::shardOf);
@@ -67,6 +69,7 @@
             this::reportCaughtUp);
   }
 
+  /** The replicas on this node. */
   public LogReplicas replicas() {
     return replicas;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/EdgeContext.java
@@ -33,5 +33,6 @@
   /** Gives up a claim of a request that has certainly not run. */
   void releaseIdempotencyId(String id, String token);
 
+  /** Adds one to a counter that metrics show. */
   void incrementCounter(String counter);
 }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/WorkerState.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/WorkerState.java
@@ -359,6 +359,7 @@
     unresponsive = true;
   }
 
+  /** Whether a call there timed out and nothing has come from the worker since. */
   public boolean isUnresponsive() {
     return unresponsive;
   }
