--- a/operator-tool/src/main/java/applespindle/operatortool/ConfigurationPatching.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/ConfigurationPatching.java
@@ -59,9 +59,9 @@
     ObjectNode written = ConfigurationFormat.OWN.sourceOf(bytes);
     ConfigurationPatch.PatchResult applied = read.patch().applyTo(written);
     refuse(applied.errors());
-    ConfigurationFormat.ParsedConfiguration whole =
+    ConfigurationFormat.ParsedConfiguration parsed =
         ConfigurationFormat.OWN.parse(applied.configuration());
-    refuse(whole.errors());
+    refuse(parsed.errors());
     return new Change(
         patch,
         Map.of(
@@ -70,7 +70,7 @@
             "Applespindle-Key-Id",
             keyId,
             "Applespindle-Signature",
-            Signing.sign(whole.configuration(), privateKey)));
+            Signing.sign(parsed.configuration(), privateKey)));
   }
 
   private static void refuse(List<ApiError.Field> faults) {
--- a/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/OperatorTool.java
@@ -24,14 +24,14 @@
  */
 public final class OperatorTool {
   private static final Duration TIMEOUT = Duration.ofSeconds(15);
-  private static final int TRIES_MOST = 4;
+  private static final int MAX_ATTEMPTS = 4;
   private final HttpCaller caller = new HttpCaller(TIMEOUT);
 
   /** Commands are safe to send again: each has a number, a key, or a state that it sets. */
   private final RetryPolicy<HttpCaller.Result> again =
       RetryPolicy.<HttpCaller.Result>builder()
           .handleResultIf(HttpCaller.Result::worthAnotherTry)
-          .withMaxAttempts(TRIES_MOST)
+          .withMaxAttempts(MAX_ATTEMPTS)
           .withDelayFn(
               tried -> Duration.ofSeconds(Math.max(1, tried.getLastResult().comeBackSeconds())))
           .onRetry(
