--- a/operator-tool/src/main/java/applespindle/operatortool/ConfigurationPatching.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/ConfigurationPatching.java
@@ -11,11 +11,11 @@
 import java.util.stream.Collectors;
 
 /**
- * Changes the bundle in force by a patch. The result is made here as the core makes it, and signed:
- * so what is in force is exactly what its operator signed.
+ * Changes the configuration in force by a patch. The result is computed here in the same way as by
+ * the control plane, and signed: so what comes into force is exactly what its operator signed.
  */
 final class ConfigurationPatching {
-  /** A patch that builds on one version; sent again it stays the same change. */
+  /** A patch on top of one version of the configuration; sending it again is safe. */
   final class Change {
     private final byte[] patch;
     private final Map<String, String> headers;
@@ -43,9 +43,11 @@
   }
 
   /**
-   * The patch on top of what is in force now.
+   * Signs the result of a patch to the configuration that is in force now.
    *
-   * @throws IllegalArgumentException if it does not fit, with every fault by JSON path
+   * @param patch JSON with the fields number, upsert and remove
+   * @throws IllegalArgumentException if the configuration can not be read or the patch does not
+   *     fit; the message then names every fault by its JSON path
    */
   Change of(byte[] patch) {
     HttpCaller.Result inForce = caller.get(core, "/v1/bundles/current");
@@ -54,14 +56,14 @@
           "can not read the bundle in force: status " + inForce.status() + " " + inForce.text());
     }
     ConfigurationPatch.ParsedPatch read = ConfigurationPatch.parse(ConfigurationFormat.OWN, patch);
-    refuse(read.errors());
+    throwIfAny(read.errors());
     byte[] bytes = Base64.getDecoder().decode(inForce.body().path("bytes").asText());
     ObjectNode written = ConfigurationFormat.OWN.sourceOf(bytes);
     ConfigurationPatch.PatchResult applied = read.patch().applyTo(written);
-    refuse(applied.errors());
+    throwIfAny(applied.errors());
     ConfigurationFormat.ParsedConfiguration parsed =
         ConfigurationFormat.OWN.parse(applied.configuration());
-    refuse(parsed.errors());
+    throwIfAny(parsed.errors());
     return new Change(
         patch,
         Map.of(
@@ -73,7 +75,7 @@
             Signing.sign(parsed.configuration(), privateKey)));
   }
 
-  private static void refuse(List<ApiError.Field> faults) {
+  private static void throwIfAny(List<ApiError.Field> faults) {
     if (!faults.isEmpty()) {
       throw new IllegalArgumentException(
           faults.stream()
--- a/operator-tool/src/main/java/applespindle/operatortool/Tracer.java
+++ b/operator-tool/src/main/java/applespindle/operatortool/Tracer.java
@@ -7,12 +7,21 @@
 import java.util.List;
 
 /**
- * Follows one key through the journals of all named nodes. Nodes that do not answer are listed as
- * such.
+ * Follows one key through the event journals of all named nodes. Nodes that do not answer are
+ * listed as such.
  */
 final class Tracer {
+  private Tracer() {}
+
+  /**
+   * Prints the events about a key, node by node.
+   *
+   * @param nodes HTTP addresses
+   * @param key such as {@code worker/w1}
+   * @return the exit status, see {@link ExitStatus}
+   */
   static int trace(HttpCaller caller, List<String> nodes, String key) {
-    int known = 0;
+    int eventCount = 0;
     int reached = 0;
     for (String node : nodes) {
       HttpCaller.Result result =
@@ -22,29 +31,29 @@
         continue;
       }
       reached++;
-      JsonNode events = result.body().path("events");
-      System.out.println(
-          node
-              + "  "
-              + result.body().path("node").asText()
-              + (events.isEmpty() ? "  nothing" : ""));
-      for (JsonNode event : events) {
-        known++;
-        System.out.printf(
-            "    %12d ms  %-12s %s  %s%n",
-            event.path("atMs").asLong(),
-            event.path("kind").asText(),
-            event.path("key").asText(),
-            event.path("detail").asText());
-      }
+      eventCount += print(node, result.body());
     }
-    if (known == 0) {
+    if (eventCount == 0) {
       System.err.println(
           "unknown: " + key + " is in no journal of the " + reached + " nodes reached");
-      return 1;
+      return ExitStatus.REFUSED;
     }
-    return 0;
+    return ExitStatus.DONE;
   }
 
-  private Tracer() {}
+  /** Prints one node's events; returns their number. */
+  private static int print(String address, JsonNode journal) {
+    JsonNode events = journal.path("events");
+    String suffix = events.isEmpty() ? "  nothing" : "";
+    System.out.println(address + "  " + journal.path("node").asText() + suffix);
+    for (JsonNode event : events) {
+      System.out.printf(
+          "    %12d ms  %-12s %s  %s%n",
+          event.path("atMs").asLong(),
+          event.path("kind").asText(),
+          event.path("key").asText(),
+          event.path("detail").asText());
+    }
+    return events.size();
+  }
 }
