--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
@@ -34,8 +34,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One node that is told things and whose own words go nowhere: for what it holds and what taking it
- * in costs.
+ * One node without peers: messages are delivered to it, and those it sends are counted and dropped.
+ * Measures what the node holds and what processing of a message costs.
  */
 final class IsolatedNode implements Environment {
   private static final int FRAME_HEAD_BYTES = 4;
@@ -49,19 +49,19 @@
   }
 
   static IsolatedNode edge() {
-    return new IsolatedNode(surroundings -> new EdgeNode(surroundings, place("edge")));
+    return new IsolatedNode(surroundings -> new EdgeNode(surroundings, identity("edge")));
   }
 
   static IsolatedNode storage() {
-    return new IsolatedNode(surroundings -> new StorageNode(surroundings, place("storage")));
+    return new IsolatedNode(surroundings -> new StorageNode(surroundings, identity("storage")));
   }
 
-  static IsolatedNode core() {
+  static IsolatedNode controlPlane() {
     return new IsolatedNode(
-        surroundings -> new ControlPlaneNode(surroundings, place("core"), Map.of(), List.of()));
+        surroundings -> new ControlPlaneNode(surroundings, identity("core"), Map.of(), List.of()));
   }
 
-  private static NodeIdentity place(String role) {
+  private static NodeIdentity identity(String role) {
     return new NodeIdentity(
         "0123456789ab",
         1,
@@ -74,10 +74,10 @@
   }
 
   /**
-   * What the node gets has been through the codec, so that it shares nothing with what the teller
-   * holds.
+   * Delivers a message to the node. It goes through the codec, so that the node shares no object
+   * with the caller.
    */
-  void tell(Message message) {
+  void deliver(Message message) {
     try {
       byte[] frame = codec.encode(new Envelope("core00000001", "10.0.1.1:7000", "", message));
       node.receive(codec.decode(frame));
@@ -91,7 +91,7 @@
         + FRAME_HEAD_BYTES;
   }
 
-  static Message roster() {
+  static Message quorumDiscovery() {
     List<QuorumMember> members = new ArrayList<>();
     for (int index = 1; index <= 3; index++) {
       members.add(
@@ -106,12 +106,12 @@
         1, Json.bytes(new QuorumMembership(1, members, List.of())));
   }
 
-  static Message checkpoint(List<MetadataRecord> items) {
+  static Message snapshot(List<MetadataRecord> items) {
     return new ChangeFeedUpdate(
         "core00000001", 1, 0, items.size(), true, false, 0, 1_000_000, items);
   }
 
-  static List<MetadataRecord> members(int count) {
+  static List<MetadataRecord> nodeRegistrations(int count) {
     List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       var member =
@@ -129,7 +129,7 @@
     return items;
   }
 
-  static List<MetadataRecord> workers(int count) {
+  static List<MetadataRecord> workerRegistrations(int count) {
     List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       var worker =
@@ -145,14 +145,14 @@
     return items;
   }
 
-  static MetadataRecord bundle(long number, byte[] bytes) {
+  static MetadataRecord configuration(long number, byte[] bytes) {
     return new MetadataRecord(
         "bundle",
         number,
         Json.bytes(new SignedConfiguration(number, bytes, "operator", new byte[64])));
   }
 
-  // ---- ports: nothing comes back
+  // ---- environment: no call has an effect
 
   @Override
   public long nowMs() {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -1,13 +1,12 @@
 package applespindle.testfleet.capacity;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.LogRecordCodec;
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
+import applespindle.corelogic.common.Json;
 import applespindle.corelogic.constants.PeerConnectionConstants;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.edge.EdgeNode;
@@ -33,6 +32,8 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Base64;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -40,8 +41,10 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import java.util.function.ToDoubleFunction;
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 
@@ -193,7 +196,7 @@
                     target.meter.receivedBytes += frame.length + FRAME_HEAD_BYTES;
                     decode(frame);
                     target.node.receive(envelope);
-                    noteBundle(target, envelope.message());
+                    noteConfiguration(target, envelope.message());
                   }));
     }
 
@@ -286,8 +289,8 @@
   private final FrameDeflation deflation = new FrameDeflation();
   private final SplittableRandom random;
 
-  /** By bundle number and machine, when news of it was first folded there. */
-  private final Map<Long, Map<Machine, Long>> bundleKnownAtUs = new HashMap<>();
+  /** By number of the configuration and machine, when it was first applied there. */
+  private final Map<Long, Map<Machine, Long>> configurationKnownAtUs = new HashMap<>();
 
   private long nowUs;
   private long order;
@@ -355,12 +358,12 @@
     }
   }
 
-  private void noteBundle(Machine machine, Message message) {
+  private void noteConfiguration(Machine machine, Message message) {
     if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate update) {
       for (MetadataRecord metadataRecord : update.records()) {
         if (metadataRecord.key().equals("bundle")) {
           long number = numberOf(metadataRecord.value());
-          bundleKnownAtUs
+          configurationKnownAtUs
               .computeIfAbsent(number, unseen -> new HashMap<>())
               .putIfAbsent(machine, nowUs);
         }
@@ -372,9 +375,7 @@
 
   private long numberOf(byte[] value) {
     return numbersByHash.computeIfAbsent(
-        java.util.Arrays.hashCode(value),
-        unseen ->
-            applespindle.corelogic.common.Json.read(value, SignedConfiguration.class).number());
+        Arrays.hashCode(value), unseen -> Json.read(value, SignedConfiguration.class).number());
   }
 
   // ---- time
@@ -401,7 +402,7 @@
    * Runs until the condition holds, looked at every 100 simulated ms; false if it does not within
    * the limit.
    */
-  boolean runUntil(java.util.function.BooleanSupplier condition, long mostMs) {
+  boolean runUntil(BooleanSupplier condition, long mostMs) {
     long endsAt = nowMs() + mostMs;
     while (!condition.getAsBoolean()) {
       if (nowMs() >= endsAt) {
@@ -456,13 +457,18 @@
     long number;
     long sentAtMs;
     long acknowledgedAtMs = -1;
+
+    /** From sending to the acknowledgement, which must have come. */
+    long acknowledgementDelayMs() {
+      return acknowledgedAtMs - sentAtMs;
+    }
   }
 
-  Change sendBundle(long number, byte[] bytes) {
+  Change sendConfiguration(long number, byte[] bytes) {
     var change = new Change();
     change.number = number;
     change.sentAtMs = nowMs();
-    byte[] signature = java.util.Base64.getDecoder().decode(Signing.sign(bytes, KEYS.privateKey()));
+    byte[] signature = Base64.getDecoder().decode(Signing.sign(bytes, KEYS.privateKey()));
     command(
         Operation.SET_CONFIGURATION,
         "bundle",
@@ -478,11 +484,11 @@
   }
 
   /**
-   * Delays from sending to being folded, one for each edge that is up; an edge that does not know
+   * Delays from sending to being applied, one for each edge that is up; an edge that does not know
    * it yet counts as -1.
    */
   List<Long> delaysOf(Change change) {
-    Map<Machine, Long> known = bundleKnownAtUs.getOrDefault(change.number, Map.of());
+    Map<Machine, Long> known = configurationKnownAtUs.getOrDefault(change.number, Map.of());
     return edges.stream()
         .filter(machine -> machine.up)
         .map(
@@ -525,8 +531,15 @@
         "not every worker was listed in " + mostMs + " ms");
   }
 
-  /** Brings the fleet up: roster, members, workers, first bundle, every edge ready. */
-  void open(int workers, byte[] firstBundle) {
+  /** Makes a fleet and brings it up, as {@link #open} does. */
+  static MeasuredFleet opened(Shape shape, long seed, int workers, byte[] configuration) {
+    MeasuredFleet fleet = new MeasuredFleet(shape, seed);
+    fleet.open(workers, configuration);
+    return fleet;
+  }
+
+  /** Brings the fleet up: quorum, nodes, first configuration, every edge ready, then workers. */
+  void open(int workers, byte[] firstConfiguration) {
     require(
         runUntil(
             () ->
@@ -546,7 +559,7 @@
                     .allMatch(machine -> !machine.node.notReadyBecause().contains("grant")),
             120_000),
         "not every node was granted its place");
-    sendBundle(1, firstBundle);
+    sendConfiguration(1, firstConfiguration);
     require(
         runUntil(
             () -> edges.stream().allMatch(machine -> machine.node.notReadyBecause().isEmpty()),
@@ -561,7 +574,7 @@
     runFor(3_000);
   }
 
-  private static void require(boolean condition, String otherwise) {
+  static void require(boolean condition, String otherwise) {
     if (!condition) {
       throw new IllegalStateException(otherwise);
     }
@@ -575,35 +588,11 @@
     return machines.values().stream().filter(machine -> machine.role.equals(role)).toList();
   }
 
-  /** A bundle with one rule for each tenant and the given number of rules beside. */
-  static byte[] bundle(long number, int rules, int tenants) {
-    StringBuilder text =
-        new StringBuilder(
-            "{\"number\":"
-                + number
-                + ",\"pools\":{\"main\":{\"prefixBlockChars\":64,\"prefixBlocks\":4,\"loadFactor\":1.5}},\"rules\":[");
-    for (int index = 0; index < rules; index++) {
-      text.append("{\"name\":\"rule-")
-          .append(index)
-          .append("\",\"match\":{\"headers\":{\"Host\":\"host-")
-          .append(index)
-          .append(
-              ".example\"}},\"way\":{\"pool\":\"main\",\"trafficClass\":\"note\",\"expiryMs\":10000,\"retries\":2}},");
-    }
-    for (int index = 0; index < tenants; index++) {
-      text.append("{\"name\":\"tenant-")
-          .append(index)
-          .append("\",\"match\":{\"sender\":\"tenant-")
-          .append(index)
-          .append(
-              "\"},\"way\":{\"pool\":\"main\",\"trafficClass\":\"note\",\"expiryMs\":10000,\"retries\":2}},");
-    }
-    return text.append(
-            "{\"name\":\"rest\",\"way\":{\"pool\":\"main\",\"trafficClass\":\"note\",\"expiryMs\":10000,\"retries\":2}}],"
-                + "\"limits\":{\"classes\":{\"note\":{\"rank\":1,\"queueMost\":1000}},\"batch\":{\"pool\":\"main\","
-                + "\"waitingItemsMost\":100000000,\"perWorkerMost\":8,\"liveReserve\":0,\"cancelForLive\":false,"
-                + "\"itemExpiryMs\":30000,\"retentionMs\":86400000}}}")
-        .toString()
-        .getBytes(UTF_8);
+  /** The mean of one figure over the machines; 0 if there are none. */
+  static double mean(List<Machine> machines, ToDoubleFunction<Meter> figure) {
+    return machines.stream()
+        .mapToDouble(machine -> figure.applyAsDouble(machine.meter))
+        .average()
+        .orElse(0);
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
@@ -313,7 +313,7 @@
   /** Sends one change as an operator does, again until it is acknowledged or given up. */
   private Sent send() {
     bundleNumber++;
-    String bundle = new String(MeasuredFleet.bundle(bundleNumber, 10, 0), UTF_8);
+    String bundle = new String(SyntheticConfiguration.of(bundleNumber, 10, 0), UTF_8);
     long begunAt = System.nanoTime();
     List<Member> cores = fleet.ofRole("core");
     for (int attempt = 0; (System.nanoTime() - begunAt) / 1_000_000 < GIVEN_UP_MS; attempt++) {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
@@ -52,7 +52,7 @@
   }
 
   void run() {
-    fleet.open(0, MeasuredFleet.bundle(1, 10, 0));
+    fleet.open(0, SyntheticConfiguration.of(1, 10, 0));
     add("join", "edge", "all ready after", "ms", fleet.nowMs());
     fleet.resetMeters();
     fleet.listWorkers(workers, 3_600_000);
@@ -128,7 +128,7 @@
 
   private Change send() {
     bundleNumber++;
-    return fleet.sendBundle(bundleNumber, MeasuredFleet.bundle(bundleNumber, 10, 0));
+    return fleet.sendConfiguration(bundleNumber, SyntheticConfiguration.of(bundleNumber, 10, 0));
   }
 
   /** Changes at the target's pace for one phase; the delay of each at each edge that is up. */
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetExtrapolation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetExtrapolation.java
@@ -241,7 +241,7 @@
   private double forOneBatch(String metric) throws Unusable {
     List<Row> found = series("batch-edges", "edge", metric);
     return (found.get(found.size() - 1).median() - at("nodes", "edge", metric, NODES))
-        / ScalingMeasurements.OPEN_BATCHES;
+        / BatchExperiments.OPEN_BATCHES;
   }
 
   private void core() throws Unusable {
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
@@ -31,7 +31,7 @@
   @BeforeEach
   void open() {
     fleet = new MeasuredFleet(Shape.of(EDGES), 1);
-    fleet.open(0, MeasuredFleet.bundle(1, ROUTES, 0));
+    fleet.open(0, SyntheticConfiguration.of(1, ROUTES, 0));
   }
 
   private long betweenZones() {
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/SimulatedScaleTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/SimulatedScaleTest.java
@@ -79,7 +79,7 @@
 
   private static List<Long> bytesOf(long seed) {
     MeasuredFleet fleet = new MeasuredFleet(Shape.of(6), seed);
-    fleet.open(3, MeasuredFleet.bundle(1, 1, 0));
+    fleet.open(3, SyntheticConfiguration.of(1, 1, 0));
     return fleet.machines.values().stream().map(machine -> machine.meter.sentBytes()).toList();
   }
 }
