--- a/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
@@ -16,13 +16,13 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * Starts a fleet on this machine; keeps it until stopped, or runs the brief's traffic and judges
- * what was seen.
+ * Starts a fleet on this machine. It keeps the fleet until stopped, or runs traffic, with faults on
+ * request, and checks the recorded history.
  */
 public final class FleetProgram {
   private static final long OPEN_MS = 60_000;
 
-  /** The brief: traffic starts fifteen seconds after the machines. */
+  /** Traffic starts this long after the processes. */
   private static final long TRAFFIC_FROM_MS = 15_000;
 
   private static final long TRAFFIC_SEED = 20261202;
@@ -31,6 +31,33 @@
   private static final long SETTLE_MS = 60_000;
 
   public static void main(String[] arguments) throws IOException, InterruptedException {
+    ArgumentParser parser = parser();
+    Namespace flags;
+    try {
+      flags = parser.parseArgs(arguments);
+    } catch (ArgumentParserException fault) {
+      parser.handleError(fault);
+      System.exit(2);
+      return;
+    }
+    Path folder = Path.of(flags.getString("folder"));
+    empty(folder);
+    Fleet fleet = fleet(flags, folder);
+    long startedAt = EmulatedWorkers.nowMs();
+    fleet.start();
+    fleet.open(OPEN_MS);
+    System.out.println("ready after " + (EmulatedWorkers.nowMs() - startedAt) + " ms");
+    if (flags.getInt("traffic") == null) {
+      printMembers(fleet, folder);
+      Thread.currentThread().join();
+    }
+    TimeUnit.MILLISECONDS.sleep(
+        Math.max(0, TRAFFIC_FROM_MS - (EmulatedWorkers.nowMs() - startedAt)));
+    runTraffic(fleet, flags);
+    System.exit(judge(fleet.history, folder) ? 0 : 1);
+  }
+
+  private static ArgumentParser parser() {
     ArgumentParser parser =
         ArgumentParsers.newFor("test-fleet").build().description("A whole fleet on this machine.");
     parser
@@ -62,42 +89,32 @@
         .metavar("WORKER")
         .setDefault(List.of())
         .help("workers listed in a second pool, for bundles that route there");
-    Namespace flags;
-    try {
-      flags = parser.parseArgs(arguments);
-    } catch (ArgumentParserException fault) {
-      parser.handleError(fault);
-      System.exit(2);
-      return;
-    }
+    return parser;
+  }
+
+  /** A fleet that is not started yet; it ends with this process. */
+  private static Fleet fleet(Namespace flags, Path folder) throws IOException {
     Deployment deployment = Deployment.valueOf(flags.getString("deployment").toUpperCase());
-    Path folder = Path.of(flags.getString("folder"));
-    empty(folder);
     Fleet fleet =
         new Fleet(
             deployment, folder, System.getProperty("java.class.path"), flags.getInt("first_port"));
     fleet.spares = Set.copyOf(flags.<String>getList("spare"));
     Runtime.getRuntime().addShutdownHook(new Thread(fleet::close));
-    long startedAt = EmulatedWorkers.nowMs();
-    fleet.start();
-    fleet.open(OPEN_MS);
-    System.out.println("ready after " + (EmulatedWorkers.nowMs() - startedAt) + " ms");
-    if (flags.getInt("traffic") == null) {
-      fleet
-          .members
-          .values()
-          .forEach(
-              member ->
-                  System.out.println(
-                      member.name + "  http " + member.http + "  pid " + member.pid()));
-      System.out.println(
-          "The operators' key is " + folder.resolve("operator.key") + ", its id is operator.");
-      System.out.println("The fleet serves. Stop it with Ctrl-C.");
-      Thread.currentThread().join();
+    return fleet;
+  }
+
+  private static void printMembers(Fleet fleet, Path folder) {
+    for (Member member : fleet.members.values()) {
+      System.out.println(member.name + "  http " + member.http + "  pid " + member.pid());
     }
-    TimeUnit.MILLISECONDS.sleep(
-        Math.max(0, TRAFFIC_FROM_MS - (EmulatedWorkers.nowMs() - startedAt)));
-    long everyMs = deployment == Deployment.COOPERATIVE ? 2_000 : 4_000;
+    System.out.println(
+        "The operators' key is " + folder.resolve("operator.key") + ", its id is operator.");
+    System.out.println("The fleet serves. Stop it with Ctrl-C.");
+  }
+
+  /** Runs the traffic to its end, with the faults beside it. */
+  private static void runTraffic(Fleet fleet, Namespace flags) throws InterruptedException {
+    long everyMs = fleet.deployment == Deployment.COOPERATIVE ? 2_000 : 4_000;
     var plan =
         new RealTraffic.Plan(
             TRAFFIC_SEED,
@@ -116,12 +133,16 @@
     faults.start();
     traffic.run();
     System.out.println(traffic.summary());
-    Files.writeString(folder.resolve("history.jsonl"), fleet.history.toLines());
-    List<Checker.Violation> violations = Checker.check(fleet.history);
+  }
+
+  /** Keeps the history and checks it; false if an invariant was violated. */
+  private static boolean judge(History history, Path folder) throws IOException {
+    Files.writeString(folder.resolve("history.jsonl"), history.toLines());
+    List<Checker.Violation> violations = Checker.check(history);
     violations.forEach(violation -> System.out.println("BROKEN " + violation));
     System.out.println(
         violations.isEmpty() ? "No never-rule was broken." : violations.size() + " rules broken.");
-    System.exit(violations.isEmpty() ? 0 : 1);
+    return violations.isEmpty();
   }
 
   private static void empty(Path folder) throws IOException {
@@ -144,47 +165,55 @@
     }
   }
 
+  /** Injects the faults, each at its second; blocks until the last one is injected. */
   private static void runFaults(Fleet fleet, List<String> faults) {
     long begunAt = EmulatedWorkers.nowMs();
     Member last = null;
     for (String fault : faults) {
       String[] words = fault.split(":");
       try {
-        TimeUnit.MILLISECONDS.sleep(
-            Math.max(
-                0,
-                begunAt + (long) (Double.parseDouble(words[0]) * 1_000) - EmulatedWorkers.nowMs()));
-        if (ofOutside(fleet, words)) {
+        long dueAt = begunAt + (long) (Double.parseDouble(words[0]) * 1_000);
+        TimeUnit.MILLISECONDS.sleep(Math.max(0, dueAt - EmulatedWorkers.nowMs()));
+        if (injectOutside(fleet, words)) {
           continue;
         }
         Member target = words[2].equals("last") ? last : target(fleet, words[2]);
         last = target;
         System.out.println(words[0] + " s: " + words[1] + " " + target.name);
-        fleet.history.add(
-            EmulatedWorkers.nowMs(), History.Kind.FAULT, words[1] + " " + target.name, "", "", 0);
-        switch (words[1]) {
-          case "kill" -> target.kill();
-          case "start" -> target.start();
-          case "freeze" -> target.freeze();
-          case "wake" -> target.wake();
-          case "stop" -> System.out.println("    exit status " + target.stopPolitely());
-          case "lose-disk" -> {
-            target.kill();
-            delete(target.data);
-          }
-          default -> throw new IllegalArgumentException(fault);
-        }
+        recordFault(fleet, words[1] + " " + target.name);
+        inject(fault, words[1], target);
       } catch (IOException | InterruptedException failed) {
         throw new IllegalStateException(failed);
       }
     }
   }
 
+  private static void recordFault(Fleet fleet, String fault) {
+    fleet.history.add(EmulatedWorkers.nowMs(), History.Kind.FAULT, fault, "", "", 0);
+  }
+
+  /** Injects a fault of a process of the fleet. */
+  private static void inject(String fault, String verb, Member target)
+      throws IOException, InterruptedException {
+    switch (verb) {
+      case "kill" -> target.kill();
+      case "start" -> target.start();
+      case "freeze" -> target.freeze();
+      case "wake" -> target.wake();
+      case "stop" -> System.out.println("    exit status " + target.stopPolitely());
+      case "lose-disk" -> {
+        target.kill();
+        delete(target.data);
+      }
+      default -> throw new IllegalArgumentException(fault);
+    }
+  }
+
   /**
-   * What operators, the platform and workers do: bundle:N:CLASS:POOL, leaving:WORKER, or a worker's
-   * fault.
+   * Does what operators, the platform and workers do: bundle:N:CLASS:POOL, leaving:WORKER or a
+   * fault of a worker. False if the verb is none of these.
    */
-  private static boolean ofOutside(Fleet fleet, String[] words) {
+  private static boolean injectOutside(Fleet fleet, String[] words) {
     switch (words[1]) {
       case "bundle" ->
           fleet.rollOut(
@@ -192,22 +221,8 @@
               fleet.deployment.bundle(Long.parseLong(words[2]), words[3], words[4]));
       case "leaving" -> fleet.markLeaving(words[2]);
       case "dark", "cuts", "garbage", "refuses", "well" -> {
-        fleet.history.add(
-            EmulatedWorkers.nowMs(),
-            History.Kind.FAULT,
-            "worker " + words[2] + " " + words[1],
-            "",
-            "",
-            0);
-        fleet.workers.all().stream()
-            .filter(worker -> worker.id.equals(words[2]))
-            .forEach(
-                worker -> {
-                  worker.dark = words[1].equals("dark");
-                  worker.cutAfterTokens = words[1].equals("cuts") ? 1 : -1;
-                  worker.garbage = words[1].equals("garbage");
-                  worker.refuses = words[1].equals("refuses");
-                });
+        recordFault(fleet, "worker " + words[2] + " " + words[1]);
+        injectWorkerFault(fleet, words[2], words[1]);
       }
       default -> {
         return false;
@@ -217,6 +232,18 @@
     return true;
   }
 
+  private static void injectWorkerFault(Fleet fleet, String workerId, String verb) {
+    fleet.workers.all().stream()
+        .filter(worker -> worker.id.equals(workerId))
+        .forEach(
+            worker -> {
+              worker.dark = verb.equals("dark");
+              worker.cutAfterTokens = verb.equals("cuts") ? 1 : -1;
+              worker.garbage = verb.equals("garbage");
+              worker.refuses = verb.equals("refuses");
+            });
+  }
+
   private static Member target(Fleet fleet, String who) {
     if (!who.equals("leader")) {
       return fleet.member(who);
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/Measurements.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/Measurements.java
@@ -9,6 +9,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.time.Instant;
+import java.time.temporal.ChronoUnit;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -158,6 +160,20 @@
     return String.format(Locale.ROOT, Math.abs(value) < 1 ? "%.5f" : "%.2f", value);
   }
 
+  /** Writes the figures of a run as JSON and as a table. */
+  static void write(Path folder, String name, String commit, String command, List<Row> rows)
+      throws IOException {
+    var made =
+        new Made(
+            commit,
+            Instant.now().truncatedTo(ChronoUnit.SECONDS).toString(),
+            System.getProperty("java.version"),
+            Runtime.getRuntime().availableProcessors(),
+            command);
+    write(folder.resolve(name + ".json"), new File(made, rows));
+    writeWhole(folder.resolve(name + ".csv"), csv(rows));
+  }
+
   static void write(Path file, File measured) throws IOException {
     try {
       writeWhole(file, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(measured));
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ScaleCommand.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ScaleCommand.java
@@ -1,6 +1,6 @@
 package applespindle.testfleet.capacity;
 
-import applespindle.testfleet.capacity.CapacityProgram.Refused;
+import applespindle.testfleet.capacity.Measurements.Row;
 import com.sun.management.OperatingSystemMXBean;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -8,14 +8,16 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import net.sourceforge.argparse4j.impl.Arguments;
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
 /**
- * The scale run: a fleet of hollow nodes that joins, changes, loses machines, a rack, a zone and
- * the way between regions.
+ * The command for scale runs: a fleet that joins, changes its configuration, loses machines, a rack
+ * and a zone, and is cut off from one region. It is simulated, or consists of real processes beside
+ * {@link LightweightEdgeHost lightweight edges}.
  */
 final class ScaleCommand {
   /** The other phases differ little from these in a picture; their figures are in the table. */
@@ -25,10 +27,17 @@
   private static final int NODES_MOST = 2_000;
   private static final int WORKERS_MOST = 20_000;
   private static final int SECONDS_MOST = 3_600;
+  private static final int RUNS_MOST = 50;
+  private static final int CHANGES_A_MINUTE_MOST = 600;
+  private static final int HOSTS_MOST = 50;
+  private static final int HEAP_MEGABYTES_LEAST = 64;
+  private static final int HEAP_MEGABYTES_MOST = 4_096;
 
   static void addTo(Subparsers commands) {
     Subparser scale =
-        commands.addParser("scale").help("a fleet of hollow nodes with joins, changes and losses");
+        commands
+            .addParser("scale")
+            .help("a fleet of lightweight nodes with joins, changes and losses");
     scale
         .addArgument("--nodes")
         .nargs("+")
@@ -50,12 +59,12 @@
     scale
         .addArgument("--processes")
         .action(Arguments.storeTrue())
-        .help("on real time: real processes beside hollow ones");
+        .help("on real time: real processes beside lightweight nodes");
     scale
         .addArgument("--hosts")
         .type(Integer.class)
         .setDefault(2)
-        .help("processes that share the hollow nodes");
+        .help("processes that share the lightweight nodes");
     scale
         .addArgument("--heap")
         .type(Integer.class)
@@ -77,110 +86,145 @@
         .help("where scale.json, .csv and pictures go; nothing is kept without it");
   }
 
-  static void run(Namespace flags, String command) throws Refused, IOException {
-    List<Integer> nodes = flags.getList("nodes");
-    int workers = flags.getInt("workers");
-    List<String> reasons = new ArrayList<>();
-    nodes.forEach(
-        each -> CapacityProgram.demand(reasons, "--nodes", each, NODES_LEAST, NODES_MOST));
-    CapacityProgram.demand(reasons, "--workers", workers, 0, WORKERS_MOST);
-    CapacityProgram.demand(reasons, "--seconds", flags.getInt("seconds"), 5, SECONDS_MOST);
-    CapacityProgram.demand(reasons, "--runs", flags.getInt("runs"), 1, 50);
-    CapacityProgram.demand(reasons, "--changes-a-minute", flags.getInt("changes_a_minute"), 1, 600);
-    boolean processes = Boolean.TRUE.equals(flags.getBoolean("processes"));
-    int hosts = flags.getInt("hosts");
-    CapacityProgram.demand(reasons, "--hosts", hosts, 1, 50);
-    CapacityProgram.demand(reasons, "--heap", flags.getInt("heap"), 64, 4_096);
-    if (processes && workers > 0) {
-      reasons.add(
-          "--workers: a run on processes lists the stand-in workers of its small fleet only");
-    }
-    if (processes && Files.exists(Path.of(flags.getString("folder")))) {
-      reasons.add("--folder: " + flags.getString("folder") + " exists already");
-    }
-    int largest = nodes.stream().mapToInt(Integer::intValue).max().orElse(0);
-    long wanted = SimulatedScale.heapBytes(largest, workers);
-    if (processes && reasons.isEmpty()) {
-      long allowed = machineMegabytes() / 2;
-      int needed = ProcessScale.totalMegabytes(largest, hosts, flags.getInt("heap"));
-      if (needed > allowed) {
-        reasons.add(
-            "too little memory: "
-                + largest
-                + " nodes want "
-                + needed
-                + " MB, half of this machine's is "
-                + allowed
-                + " MB");
-      }
-    } else if (reasons.isEmpty() && wanted > Runtime.getRuntime().maxMemory()) {
-      reasons.add(
-          "too little memory: "
-              + largest
-              + " nodes and "
-              + workers
-              + " workers want a heap of "
-              + (wanted >> 20)
-              + " MB, there are "
-              + (Runtime.getRuntime().maxMemory() >> 20)
-              + " MB");
-    }
-    CapacityProgram.refuseIf(reasons);
+  static void run(Namespace flags, String command) throws RefusedException, IOException {
+    check(flags);
+    boolean processes = flags.getBoolean("processes");
+    List<Integer> sizes = flags.getList("nodes");
     Measurements measured = new Measurements();
-    String commit = CapacityProgram.commit();
-    int number = 0;
-    for (int each : nodes) {
+    String commit = SourceRevision.commit();
+    int processRuns = 0;
+    for (int nodes : sizes) {
       for (int run = 1; run <= flags.getInt("runs"); run++) {
         if (processes) {
-          Path folder = Path.of(flags.getString("folder")).resolve(each + "-" + run);
-          try (ProcessScale scale =
-              new ProcessScale(
-                  measured,
-                  each,
-                  flags.getInt("seconds") * 1000L,
-                  flags.getInt("changes_a_minute"),
-                  hosts,
-                  flags.getInt("heap"),
-                  flags.getInt("cut_most"),
-                  folder,
-                  System.getProperty("java.class.path"),
-                  number++)) {
-            scale.run();
-          }
+          runProcesses(flags, measured, nodes, run, processRuns++);
         } else {
-          new SimulatedScale(
-                  measured,
-                  each,
-                  workers,
-                  flags.getInt("seconds") * 1000L,
-                  flags.getInt("changes_a_minute"),
-                  run)
-              .run();
+          runSimulated(flags, measured, nodes, run);
         }
         if (flags.getString("out") != null) {
-          Path folder = Path.of(flags.getString("out"));
-          String name = processes ? "scale" : "scale-simulated";
-          CapacityProgram.write(folder, name, commit, command, measured.rows());
-          Plots.write(
-              folder,
-              name + "-",
-              measured.rows().stream().filter(row -> DRAWN.contains(row.experiment())).toList());
+          write(flags, commit, command, measured.rows());
         }
       }
     }
     if (!processes) {
-      measured
-          .rows()
-          .forEach(
-              row ->
-                  System.out.printf(
-                      "%-16s %-5s %-46s %5s %10s %-6s%n",
-                      row.experiment(),
-                      row.role(),
-                      row.metric(),
-                      Measurements.number(row.size()),
-                      Measurements.number(row.median()),
-                      row.unit()));
+      print(measured.rows());
+    }
+  }
+
+  private static void check(Namespace flags) throws RefusedException {
+    List<Integer> sizes = flags.getList("nodes");
+    List<String> reasons = new ArrayList<>();
+    sizes.forEach(
+        nodes -> ArgumentChecks.requireRange(reasons, "--nodes", nodes, NODES_LEAST, NODES_MOST));
+    requireRange(reasons, flags, "workers", 0, WORKERS_MOST);
+    requireRange(reasons, flags, "seconds", 5, SECONDS_MOST);
+    requireRange(reasons, flags, "runs", 1, RUNS_MOST);
+    requireRange(reasons, flags, "changes_a_minute", 1, CHANGES_A_MINUTE_MOST);
+    requireRange(reasons, flags, "hosts", 1, HOSTS_MOST);
+    requireRange(reasons, flags, "heap", HEAP_MEGABYTES_LEAST, HEAP_MEGABYTES_MOST);
+    int largest = sizes.stream().mapToInt(Integer::intValue).max().orElse(0);
+    if (flags.getBoolean("processes")) {
+      checkProcesses(flags, largest, reasons);
+    } else if (reasons.isEmpty()) {
+      checkHeap(largest, flags.getInt("workers"), reasons);
+    }
+    ArgumentChecks.refuseIf(reasons);
+  }
+
+  private static void requireRange(
+      List<String> reasons, Namespace flags, String name, long least, long most) {
+    String flag = "--" + name.replace('_', '-');
+    ArgumentChecks.requireRange(reasons, flag, flags.getInt(name), least, most);
+  }
+
+  private static void checkProcesses(Namespace flags, int largest, List<String> reasons) {
+    if (flags.getInt("workers") > 0) {
+      reasons.add(
+          "--workers: a run on processes lists the stand-in workers of its small fleet only");
+    }
+    if (Files.exists(Path.of(flags.getString("folder")))) {
+      reasons.add("--folder: " + flags.getString("folder") + " exists already");
+    }
+    if (!reasons.isEmpty()) {
+      return;
+    }
+    long allowed = machineMegabytes() / 2;
+    int needed = ProcessScale.totalMegabytes(largest, flags.getInt("hosts"), flags.getInt("heap"));
+    if (needed > allowed) {
+      reasons.add(
+          String.format(
+              Locale.ROOT,
+              "too little memory: %d nodes want %d MB, half of this machine's is %d MB",
+              largest,
+              needed,
+              allowed));
+    }
+  }
+
+  private static void checkHeap(int largest, int workers, List<String> reasons) {
+    long wanted = SimulatedScale.heapBytes(largest, workers);
+    long present = Runtime.getRuntime().maxMemory();
+    if (wanted > present) {
+      reasons.add(
+          String.format(
+              Locale.ROOT,
+              "too little memory: %d nodes and %d workers want a heap of %d MB, there are %d MB",
+              largest,
+              workers,
+              wanted >> 20,
+              present >> 20));
+    }
+  }
+
+  private static void runProcesses(
+      Namespace flags, Measurements measured, int nodes, int run, int number) throws IOException {
+    Path folder = Path.of(flags.getString("folder")).resolve(nodes + "-" + run);
+    try (ProcessScale scale =
+        new ProcessScale(
+            measured,
+            nodes,
+            flags.getInt("seconds") * 1000L,
+            flags.getInt("changes_a_minute"),
+            flags.getInt("hosts"),
+            flags.getInt("heap"),
+            flags.getInt("cut_most"),
+            folder,
+            System.getProperty("java.class.path"),
+            number)) {
+      scale.run();
+    }
+  }
+
+  private static void runSimulated(Namespace flags, Measurements measured, int nodes, int seed) {
+    SimulatedScale scale =
+        new SimulatedScale(
+            measured,
+            nodes,
+            flags.getInt("workers"),
+            flags.getInt("seconds") * 1000L,
+            flags.getInt("changes_a_minute"),
+            seed);
+    scale.run();
+  }
+
+  private static void write(Namespace flags, String commit, String command, List<Row> rows)
+      throws IOException {
+    Path folder = Path.of(flags.getString("out"));
+    String name = flags.getBoolean("processes") ? "scale" : "scale-simulated";
+    Measurements.write(folder, name, commit, command, rows);
+    List<Row> drawn = rows.stream().filter(row -> DRAWN.contains(row.experiment())).toList();
+    Plots.write(folder, name + "-", drawn);
+  }
+
+  private static void print(List<Row> rows) {
+    for (Row row : rows) {
+      System.out.printf(
+          "%-16s %-5s %-46s %5s %10s %-6s%n",
+          row.experiment(),
+          row.role(),
+          row.metric(),
+          Measurements.number(row.size()),
+          Measurements.number(row.median()),
+          row.unit());
     }
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
@@ -5,15 +5,17 @@
 import applespindle.testfleet.capacity.MeasuredFleet.Shape;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.ToDoubleFunction;
 
-/** One scale run on simulated time: six regions of two zones, the core in three of the regions. */
+/**
+ * One scale run on simulated time: six regions of two zones each, the control plane in three of the
+ * regions.
+ */
 final class SimulatedScale {
   private static final int REGIONS = 6;
   private static final int ZONES_EACH = 2;
   private static final int RACK_NODES = 20;
 
-  /** A region without a core node: the core's three stand in the zones 0, 4 and 8. */
+  /** A region without a control plane node: the three of them are in the zones 0, 4 and 8. */
   private static final String CUT_REGION = "region-1";
 
   private static final long RECOVERY_MS = 120_000;
@@ -30,7 +32,7 @@
   private final int workers;
   private final long phaseMs;
   private final int changesAMinute;
-  private long bundleNumber = 1;
+  private long configurationNumber = 1;
 
   SimulatedScale(
       Measurements measured, int nodes, int workers, long phaseMs, int changesAMinute, long seed) {
@@ -43,7 +45,8 @@
   }
 
   /**
-   * What a run needs: a table in every node, and in each core node what every node says it knows.
+   * Heap of a run: a table in every node, and in each control plane node the positions of all
+   * nodes.
    */
   static long heapBytes(int nodes, int workers) {
     return HEAP_BASE_BYTES
@@ -82,40 +85,22 @@
 
   private void rates(String experiment, long millis, List<Machine> edges) {
     double seconds = millis / 1000.0;
-    add(
-        experiment,
-        "edge",
-        "processor",
-        "ms/s",
-        mean(edges, meter -> meter.processorNanos / 1e6) / seconds);
-    add(
-        experiment,
-        "edge",
-        "sent and received",
-        "B/s",
-        mean(edges, meter -> meter.sentBytes() + meter.receivedBytes) / seconds);
-    List<Machine> core = fleet.ofRole("core");
-    add(
-        experiment,
-        "core",
-        "processor",
-        "ms/s",
-        mean(core, meter -> meter.processorNanos / 1e6) / seconds);
-    add(
-        experiment,
-        "core",
-        "sent and received",
-        "B/s",
-        mean(core, meter -> meter.sentBytes() + meter.receivedBytes) / seconds);
-    add(experiment, "core", "messages sent", "1/s", mean(core, Meter::sentMessages) / seconds);
-    add(experiment, "core", "disk", "B/s", mean(core, meter -> meter.diskBytes) / seconds);
+    carriedAndProcessor(experiment, "edge", edges, seconds);
+    List<Machine> controlPlane = fleet.ofRole("core");
+    carriedAndProcessor(experiment, "core", controlPlane, seconds);
+    double messages = MeasuredFleet.mean(controlPlane, Meter::sentMessages);
+    add(experiment, "core", "messages sent", "1/s", messages / seconds);
+    double diskBytes = MeasuredFleet.mean(controlPlane, meter -> meter.diskBytes);
+    add(experiment, "core", "disk", "B/s", diskBytes / seconds);
   }
 
-  private static double mean(List<Machine> machines, ToDoubleFunction<Meter> figure) {
-    return machines.stream()
-        .mapToDouble(machine -> figure.applyAsDouble(machine.meter))
-        .average()
-        .orElse(0);
+  private void carriedAndProcessor(
+      String experiment, String role, List<Machine> machines, double seconds) {
+    double processorMs = MeasuredFleet.mean(machines, meter -> meter.processorNanos / 1e6);
+    add(experiment, role, "processor", "ms/s", processorMs / seconds);
+    double carriedBytes =
+        MeasuredFleet.mean(machines, meter -> meter.sentBytes() + meter.receivedBytes);
+    add(experiment, role, "sent and received", "B/s", carriedBytes / seconds);
   }
 
   private static List<Machine> everyNth(List<Machine> machines, int step) {
@@ -127,11 +112,12 @@
   }
 
   private Change send() {
-    bundleNumber++;
-    return fleet.sendConfiguration(bundleNumber, SyntheticConfiguration.of(bundleNumber, 10, 0));
+    configurationNumber++;
+    return fleet.sendConfiguration(
+        configurationNumber, SyntheticConfiguration.of(configurationNumber, 10, 0));
   }
 
-  /** Changes at the target's pace for one phase; the delay of each at each edge that is up. */
+  /** Sends changes at the rate of the target for one phase; adds their delays at the edges. */
   private void changes(String experiment) {
     fleet.resetMeters();
     int count = (int) Math.max(1, changesAMinute * phaseMs / 60_000);
@@ -158,8 +144,7 @@
           delays.add(delay);
         }
       }
-      acknowledged.add(
-          change.acknowledgedAtMs < 0 ? RECOVERY_MS : change.acknowledgedAtMs - change.sentAtMs);
+      acknowledged.add(acknowledgementDelayMs(change));
     }
     add(experiment, "edge", "known after, median", "ms", percentile(delays, 50));
     add(experiment, "edge", "known after, 99th", "ms", percentile(delays, 99));
@@ -176,16 +161,13 @@
         : sorted.get(Math.min(sorted.size() - 1, sorted.size() * percent / 100));
   }
 
-  /** Machines lose power at once; a change is sent beside it; they come back after a phase. */
+  /** Kills machines together, sends changes for a phase and starts the machines again. */
   private void lose(String experiment, List<Machine> lost) {
     lost.forEach(Machine::kill);
     changes(experiment);
     lost.forEach(Machine::start);
     long begunAt = fleet.nowMs();
-    boolean back =
-        fleet.runUntil(
-            () -> lost.stream().allMatch(machine -> machine.node.notReadyBecause().isEmpty()),
-            RECOVERY_MS);
+    boolean back = fleet.runUntil(() -> allReady(lost), RECOVERY_MS);
     add(
         experiment,
         "edge",
@@ -196,7 +178,8 @@
   }
 
   /**
-   * One region of nodes without a core node loses the others; changes go on; then the way is back.
+   * Cuts one region, which has no control plane node, off from the others while a change is sent;
+   * then the network heals.
    */
   private void cutRegion() {
     List<Machine> inside =
@@ -207,52 +190,11 @@
     fleet.resetMeters();
     Change change = send();
     fleet.runFor(phaseMs);
-    double seconds = phaseMs / 1000.0;
-    add(
-        "region-cut",
-        "edge",
-        "sent and received, inside",
-        "B/s",
-        mean(inside, meter -> meter.sentBytes() + meter.receivedBytes) / seconds);
-    add(
-        "region-cut",
-        "edge",
-        "processor, inside",
-        "ms/s",
-        mean(inside, meter -> meter.processorNanos / 1e6) / seconds);
-    add(
-        "region-cut",
-        "core",
-        "acknowledged after",
-        "ms",
-        change.acknowledgedAtMs < 0 ? RECOVERY_MS : change.acknowledgedAtMs - change.sentAtMs);
-    add(
-        "region-cut",
-        "edge",
-        "isolated inside: nothing new is begun",
-        "nodes",
-        inside.stream()
-            .filter(machine -> machine.node.status().path("isolated").asBoolean())
-            .count());
-    add(
-        "region-cut",
-        "edge",
-        "isolated outside",
-        "nodes",
-        fleet.edges.stream()
-            .filter(
-                machine ->
-                    !inside.contains(machine) && machine.node.status().path("isolated").asBoolean())
-            .count());
+    addCostOfCut(inside, change);
     fleet.cut = link -> false;
     long healedAt = fleet.nowMs();
     boolean known =
-        fleet.runUntil(
-            () ->
-                fleet.knownEverywhere(change)
-                    && inside.stream()
-                        .allMatch(machine -> machine.node.notReadyBecause().isEmpty()),
-            RECOVERY_MS);
+        fleet.runUntil(() -> fleet.knownEverywhere(change) && allReady(inside), RECOVERY_MS);
     add(
         "region-cut",
         "edge",
@@ -260,4 +202,38 @@
         "ms",
         known ? fleet.nowMs() - healedAt : RECOVERY_MS);
   }
+
+  private void addCostOfCut(List<Machine> inside, Change change) {
+    double seconds = phaseMs / 1000.0;
+    double carriedBytes =
+        MeasuredFleet.mean(inside, meter -> meter.sentBytes() + meter.receivedBytes);
+    double processorMs = MeasuredFleet.mean(inside, meter -> meter.processorNanos / 1e6);
+    List<Machine> outside =
+        fleet.edges.stream().filter(machine -> !inside.contains(machine)).toList();
+    add("region-cut", "edge", "sent and received, inside", "B/s", carriedBytes / seconds);
+    add("region-cut", "edge", "processor, inside", "ms/s", processorMs / seconds);
+    add("region-cut", "core", "acknowledged after", "ms", acknowledgementDelayMs(change));
+    add(
+        "region-cut",
+        "edge",
+        "isolated inside: nothing new is begun",
+        "nodes",
+        countIsolated(inside));
+    add("region-cut", "edge", "isolated outside", "nodes", countIsolated(outside));
+  }
+
+  /** A change that is not acknowledged counts as one that took the time for recovery. */
+  private static long acknowledgementDelayMs(Change change) {
+    return change.acknowledgedAtMs < 0 ? RECOVERY_MS : change.acknowledgementDelayMs();
+  }
+
+  private static long countIsolated(List<Machine> machines) {
+    return machines.stream()
+        .filter(machine -> machine.node.status().path("isolated").asBoolean())
+        .count();
+  }
+
+  private static boolean allReady(List<Machine> machines) {
+    return machines.stream().allMatch(machine -> machine.node.notReadyBecause().isEmpty());
+  }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetExtrapolation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/TargetExtrapolation.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Today's design at the target's size, worked out from measured slopes; nothing here is measured at
- * that size.
+ * The costs of today's design at the size of the target, extrapolated from measured slopes; nothing
+ * here is measured at that size.
  */
 final class TargetExtrapolation {
   static final int NODES = 1_700;
@@ -23,20 +23,24 @@
   static final double BATCHES_A_DAY = 9_700;
   static final int BATCH_ITEMS_MOST = 470_000;
 
-  /** What control may cost a node. */
+  /** What leases, the change feed and other control traffic may cost a node. */
   static final double CONTROL_BYTES = 6_000;
 
   static final double CONTROL_PROCESSOR_MS = 13;
   static final double CONTROL_MEMORY = 128e6;
 
-  /** Ours: how long a batch stays open on the average, as the target doesn't say it. */
+  /** An assumption: how long a batch stays open on the average, as the target doesn't say it. */
   static final double BATCH_OPEN_S = 3_600;
 
-  /** Ours: nodes that keep batches, of the 1,700. */
+  /** An assumption: nodes that keep batches, of the 1,700. */
   static final int STORAGE_NODES = 100;
 
   private static final int REPLICAS = 3;
-  private static final int CORE_NODES = 3;
+
+  /** Workers listed in the experiment on places. */
+  private static final int WORKERS_OF_PLACES = 200;
+
+  private static final int CONTROL_PLANE_NODES = 3;
 
   /** Above this a power law is taken through the sizes measured, below it a line. */
   private static final double SUPERLINEAR = 1.3;
@@ -65,7 +69,7 @@
   static List<Term> terms(List<Row> rows) throws Unusable {
     TargetExtrapolation target = new TargetExtrapolation(rows);
     target.edge();
-    target.core();
+    target.controlPlane();
     target.losses();
     target.storage();
     return target.terms;
@@ -105,6 +109,18 @@
   }
 
   private void edge() throws Unusable {
+    edgeAtRest();
+    edgeChanges();
+    edgeLoadReads();
+    edgeStart();
+    edgeNodeLoss();
+    edgeOpenBatches();
+    edgeRequests();
+    edgeWithoutControlPlane();
+  }
+
+  /** Leases and the change feed while nothing changes. */
+  private void edgeAtRest() throws Unusable {
     add(
         "edge",
         "leases and feed at rest, both ways",
@@ -121,22 +137,23 @@
         "ms/s",
         CONTROL_PROCESSOR_MS,
         "nodes");
-    double place =
-        series("places", "edge", "sent to one core node for a change").get(0).median() / 200;
+  }
+
+  /** What an edge takes and sends for each change of the configuration. */
+  private void edgeChanges() throws Unusable {
     add(
         "edge",
         "places told for each change",
         "changes x workers",
-        CORE_NODES * place * WORKERS * CHANGES_A_SECOND,
+        CONTROL_PLANE_NODES * positionBytes() * WORKERS * CHANGES_A_SECOND,
         "B/s",
         CONTROL_BYTES,
         "places");
-    double bundle = at("routes", "edge", "received for a change", TENANTS);
     add(
         "edge",
         "whole bundle for each change, a rule for each tenant",
         "changes x rules",
-        bundle * CHANGES_A_SECOND,
+        at("routes", "edge", "received for a change", TENANTS) * CHANGES_A_SECOND,
         "B/s",
         CONTROL_BYTES,
         "routes");
@@ -148,6 +165,10 @@
         "ms/s",
         CONTROL_PROCESSOR_MS,
         "routes");
+  }
+
+  /** Reads of the load of every worker. */
+  private void edgeLoadReads() throws Unusable {
     add(
         "edge",
         "reads of workers' load",
@@ -164,6 +185,10 @@
         "ms/s",
         CONTROL_PROCESSOR_MS,
         "load-reads");
+  }
+
+  /** What an edge that starts takes in, and what it holds then. */
+  private void edgeStart() throws Unusable {
     double heap =
         at("join-members", "edge", "heap", NODES)
             + at("join-workers", "edge", "heap", WORKERS)
@@ -194,6 +219,10 @@
         "ms",
         Double.NaN,
         "join-workers");
+  }
+
+  /** What the start or the loss of another node costs. */
+  private void edgeNodeLoss() throws Unusable {
     add(
         "edge",
         "choosing every worker's feeder anew, at each coming or going of a node",
@@ -202,6 +231,10 @@
         "ms",
         Double.NaN,
         "feeders");
+  }
+
+  /** Offers of the batches that are open. */
+  private void edgeOpenBatches() throws Unusable {
     double open = BATCHES_A_DAY * BATCH_OPEN_S / 86_400;
     add(
         "edge",
@@ -219,6 +252,10 @@
         "B/s",
         CONTROL_BYTES,
         "batch-edges");
+  }
+
+  /** Live requests. */
+  private void edgeRequests() throws Unusable {
     add(
         "edge",
         "rules tried for a request, a rule for each tenant",
@@ -227,6 +264,10 @@
         "ms/s",
         Double.NaN,
         "tenants");
+  }
+
+  /** Edges that ask each other because no control plane node can be reached. */
+  private void edgeWithoutControlPlane() throws Unusable {
     add(
         "edge",
         "asking each other while the core is silent",
@@ -237,14 +278,27 @@
         "core-silent");
   }
 
-  /** At the largest fleet measured, where the leaders' own beats are the smaller part. */
+  /** Bytes that one edge sends to one control plane node for the position of one worker. */
+  private double positionBytes() throws Unusable {
+    return series("places", "edge", "sent to one core node for a change").get(0).median()
+        / WORKERS_OF_PLACES;
+  }
+
+  /** At the largest fleet measured, where the leaders' own heartbeats are the smaller part. */
   private double forOneBatch(String metric) throws Unusable {
     List<Row> found = series("batch-edges", "edge", metric);
     return (found.get(found.size() - 1).median() - at("nodes", "edge", metric, NODES))
         / BatchExperiments.OPEN_BATCHES;
   }
 
-  private void core() throws Unusable {
+  private void controlPlane() throws Unusable {
+    controlPlaneAtRest();
+    controlPlanePositions();
+    controlPlaneChanges();
+  }
+
+  /** Heartbeats of keys and the change feed while nothing changes. */
+  private void controlPlaneAtRest() throws Unusable {
     add(
         "core",
         "beats of owned keys and feed, messages sent",
@@ -278,13 +332,15 @@
         "ms/s",
         Double.NaN,
         "workers");
-    double place =
-        series("places", "edge", "sent to one core node for a change").get(0).median() / 200;
+  }
+
+  /** The positions that every edge reports. */
+  private void controlPlanePositions() throws Unusable {
     add(
         "core",
         "places taken for each change",
         "changes x nodes x workers",
-        place * NODES * WORKERS * CHANGES_A_SECOND,
+        positionBytes() * NODES * WORKERS * CHANGES_A_SECOND,
         "B/s",
         Double.NaN,
         "places");
@@ -296,6 +352,10 @@
         "B",
         Double.NaN,
         "places");
+  }
+
+  /** Changes of the configuration. */
+  private void controlPlaneChanges() throws Unusable {
     add(
         "core",
         "work for one change with two workers a node",
@@ -311,7 +371,7 @@
         at("routes", "edge", "received for a change", TENANTS)
             * CHANGES_A_SECOND
             * NODES
-            / CORE_NODES,
+            / CONTROL_PLANE_NODES,
         "B/s",
         Double.NaN,
         "routes");
