--- a/adapters/src/main/java/applespindle/adapters/FrameReader.java
+++ b/adapters/src/main/java/applespindle/adapters/FrameReader.java
@@ -9,11 +9,11 @@
  * Splits the bytes of one connection from a peer into frames. Invariant: between calls the buffer
  * holds the beginning of one frame that is not complete yet. On the peer thread.
  */
-final class FrameReader {
+public final class FrameReader {
   private static final int INITIAL_CAPACITY_BYTES = 4 << 10;
 
   /** Takes what is read, in order. */
-  interface Listener {
+  public interface Listener {
     /** A frame of no bytes, which asks for the same. */
     void keepalive();
 
@@ -26,13 +26,13 @@
   private byte[] buffer = new byte[INITIAL_CAPACITY_BYTES];
   private int length;
 
-  FrameReader(FrameDeflation deflation, Listener listener) {
+  public FrameReader(FrameDeflation deflation, Listener listener) {
     this.deflation = deflation;
     this.listener = listener;
   }
 
   /** Adds the next bytes of the connection; the array stays the caller's. */
-  void add(byte[] bytes, int offset, int size) {
+  public void add(byte[] bytes, int offset, int size) {
     if (length + size > buffer.length) {
       buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + size));
     }
@@ -46,7 +46,7 @@
    * @throws UnreadableFrameException if a frame is too long or broken; the connection is of no more
    *     use then
    */
-  void readFrames() throws UnreadableFrameException {
+  public void readFrames() throws UnreadableFrameException {
     int offset = 0;
     while (length - offset >= PeerFrame.HEADER_BYTES) {
       int header = ByteBuffer.wrap(buffer, offset, PeerFrame.HEADER_BYTES).getInt();
--- a/adapters/src/main/java/applespindle/adapters/PeerFrame.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerFrame.java
@@ -5,8 +5,8 @@
  * and whether that is deflated, then the bytes. A frame of no bytes is a keepalive: the other side
  * answers it by the same.
  */
-record PeerFrame(int header, byte[] bytes) {
-  static final int HEADER_BYTES = 4;
+public record PeerFrame(int header, byte[] bytes) {
+  public static final int HEADER_BYTES = 4;
   static final PeerFrame KEEPALIVE = new PeerFrame(0, new byte[0]);
 
   /** A frame of bytes that are written as they are. */
@@ -30,7 +30,7 @@
   }
 
   /** Bytes on the wire, header included. */
-  int size() {
+  public int size() {
     return HEADER_BYTES + bytes.length;
   }
 }
--- a/adapters/src/main/java/applespindle/adapters/PeerTransport.java
+++ b/adapters/src/main/java/applespindle/adapters/PeerTransport.java
@@ -103,6 +103,7 @@
   private final Consumer<String> log;
   private final PeerCodec codec = new PeerCodec();
   private final FrameDeflation deflation = new FrameDeflation();
+  private final PeerFrameEncoder encoder = new PeerFrameEncoder(codec, deflation);
 
   /** By kind of message, the bytes of its frames as they were written, headers included. */
   private final Map<String, LongAdder> bytesOfKind = new ConcurrentHashMap<>();
@@ -179,25 +180,13 @@
   }
 
   private void sendNow(String toAddress, Envelope envelope) {
-    PeerFrame frame = frame(envelope);
+    PeerFrame frame = encoder.encode(envelope);
     bytesOfKind
         .computeIfAbsent(MessageNames.of(envelope.message()), kind -> new LongAdder())
         .add(frame.size());
     peers.computeIfAbsent(toAddress, address -> new PeerChannels(eventloop, address)).add(frame);
   }
 
-  private PeerFrame frame(Envelope envelope) {
-    byte[] plain = codec.encode(envelope);
-    if (plain.length >= PeerConnectionConstants.MIN_DEFLATE_BYTES
-        && envelope.message().shouldDeflate()) {
-      byte[] deflated = deflation.deflate(plain);
-      if (deflated.length < plain.length) {
-        return PeerFrame.deflated(deflated);
-      }
-    }
-    return PeerFrame.plain(plain);
-  }
-
   /** By kind of message, the bytes written so far; from any thread. */
   Map<String, Long> bytesOfKind() {
     Map<String, Long> sums = new TreeMap<>();
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
@@ -2,16 +2,13 @@
 
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrameException;
-import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.edge.EdgeNode;
-import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
 import applespindle.corelogic.environment.Environment.WorkerCall;
 import applespindle.corelogic.environment.Environment.WorkerCallHandle;
 import applespindle.corelogic.environment.Environment.WorkerCallListener;
-import applespindle.corelogic.environment.Environment.WorkerLoad;
 import applespindle.corelogic.log.LogRecord;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.metadata.QuorumMember;
@@ -29,22 +26,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.Function;
-import java.util.random.RandomGenerator;
 
 /**
  * One node without peers: messages are delivered to it, and those it sends are counted and dropped.
  * Measures what the node holds and what processing of a message costs.
  */
-final class IsolatedNode implements Environment {
+final class IsolatedNode extends StubEnvironment {
   private static final int FRAME_HEAD_BYTES = 4;
   private final PeerCodec codec = new PeerCodec();
-  private final RandomGenerator random = new SplittableRandom(1);
   final Node node;
   long sentBytes;
 
   IsolatedNode(Function<IsolatedNode, Node> maker) {
+    super(new SplittableRandom(1));
     this.node = maker.apply(this);
   }
 
@@ -183,16 +178,4 @@
   public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     return () -> {};
   }
-
-  @Override
-  public void readLoad(
-      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
-
-  @Override
-  public RandomGenerator random() {
-    return random;
-  }
-
-  @Override
-  public void log(String part, String sentence) {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightPeerTransport.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightPeerTransport.java
@@ -1,7 +1,11 @@
 package applespindle.testfleet.capacity;
 
 import applespindle.adapters.FrameDeflation;
+import applespindle.adapters.FrameReader;
+import applespindle.adapters.HttpInterface;
 import applespindle.adapters.PeerCodec;
+import applespindle.adapters.PeerFrame;
+import applespindle.adapters.PeerFrameEncoder;
 import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.constants.PeerConnectionConstants;
 import applespindle.corelogic.protocol.Envelope;
@@ -11,30 +15,25 @@
 import io.activej.net.socket.tcp.ITcpSocket;
 import io.activej.net.socket.tcp.TcpSocket;
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
 
 /**
- * The peer frames of one hollow node over TCP, on a loop that many such nodes share. Counts what
- * goes by.
+ * The peer connections of one {@link LightweightEdge}, on an event loop that many such nodes share.
+ * Counts the bytes sent and received. Frames are those of the real transport; its limits on
+ * connections, its keepalives and its second connection for large frames are left out.
  */
 final class LightweightPeerTransport {
-  private static final int HEAD_BYTES = 4;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-  private static final int BUFFER_BYTES = 4096;
-
-  /** As it is written: the head, which is its length and whether it is deflated, then the bytes. */
-  private record Frame(int head, byte[] bytes) {}
 
+  /** The connection to one peer; it connects once there is something to send. */
   private final class Outbound {
     final String address;
-    final ArrayDeque<Frame> waiting = new ArrayDeque<>();
+    final ArrayDeque<PeerFrame> waiting = new ArrayDeque<>();
     int waitingBytes;
     ITcpSocket socket;
     boolean connecting;
@@ -44,19 +43,19 @@
       this.address = address;
     }
 
-    /** Dropped, as the real transport does, when the other side takes too little. */
-    void add(Frame frame) {
+    /** Adds a frame, or drops it, as the real transport does, when too many bytes wait. */
+    void add(PeerFrame frame) {
       if (!waiting.isEmpty()
-          && waitingBytes + frame.bytes.length > PeerConnectionConstants.MAX_QUEUED_BYTES) {
+          && waitingBytes + frame.bytes().length > PeerConnectionConstants.MAX_QUEUED_BYTES) {
         return;
       }
       waiting.add(frame);
-      waitingBytes += frame.bytes.length;
+      waitingBytes += frame.bytes().length;
       if (socket != null) {
         write();
       } else if (!connecting) {
         connecting = true;
-        TcpSocket.connect(loop, socketAddress(address), CONNECT_TIMEOUT, null)
+        TcpSocket.connect(loop, HttpInterface.socketAddress(address), CONNECT_TIMEOUT, null)
             .whenComplete(
                 (connected, fault) -> {
                   connecting = false;
@@ -64,15 +63,15 @@
                     dropWaiting();
                   } else {
                     socket = connected;
-                    watch(connected);
+                    readNext(connected);
                     write();
                   }
                 });
       }
     }
 
-    /** At most signs of life come back. */
-    private void watch(ITcpSocket connected) {
+    /** Reads on, so that a closed connection is noticed; peers send only keepalives here. */
+    private void readNext(ITcpSocket connected) {
       connected
           .read()
           .whenComplete(
@@ -82,7 +81,7 @@
                 } else {
                   received += bytes.readRemaining();
                   bytes.recycle();
-                  watch(connected);
+                  readNext(connected);
                 }
               });
     }
@@ -91,9 +90,9 @@
       if (writing || waiting.isEmpty()) {
         return;
       }
-      int size = waiting.stream().mapToInt(frame -> HEAD_BYTES + frame.bytes.length).sum();
+      int size = waiting.stream().mapToInt(PeerFrame::size).sum();
       ByteBuffer all = ByteBuffer.allocate(size);
-      waiting.forEach(frame -> all.putInt(frame.head).put(frame.bytes));
+      waiting.forEach(frame -> all.putInt(frame.header()).put(frame.bytes()));
       dropWaiting();
       writing = true;
       ITcpSocket present = socket;
@@ -126,17 +125,17 @@
     }
   }
 
-  private final class Inbound {
+  /** One connection from a peer. */
+  private final class Inbound implements FrameReader.Listener {
     private final ITcpSocket socket;
-    private byte[] bytes = new byte[BUFFER_BYTES];
-    private int length;
+    private final FrameReader reader = new FrameReader(deflation, this);
 
     Inbound(ITcpSocket socket) {
       this.socket = socket;
-      readOn();
+      readNext();
     }
 
-    private void readOn() {
+    private void readNext() {
       socket
           .read()
           .whenComplete(
@@ -145,45 +144,31 @@
                   socket.close();
                   return;
                 }
-                int size = chunk.readRemaining();
-                received += size;
-                if (length + size > bytes.length) {
-                  bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, length + size));
-                }
-                System.arraycopy(chunk.array(), chunk.head(), bytes, length, size);
+                received += chunk.readRemaining();
+                reader.add(chunk.array(), chunk.head(), chunk.readRemaining());
                 chunk.recycle();
-                length += size;
-                takeFrames();
-                readOn();
+                readFrames();
+                readNext();
               });
     }
 
-    private void takeFrames() {
-      int at = 0;
-      while (length - at >= HEAD_BYTES) {
-        int head = ByteBuffer.wrap(bytes, at, HEAD_BYTES).getInt();
-        int size = head & ~FrameDeflation.DEFLATED;
-        if (length - at - HEAD_BYTES < size) {
-          break;
-        }
-        at += HEAD_BYTES + size;
-        if (size == 0) {
-          socket.write(ByteBuf.wrapForReading(new byte[HEAD_BYTES]));
-          sent += HEAD_BYTES;
-          continue;
-        }
-        try {
-          receiver.accept(
-              codec.decode(
-                  head == size
-                      ? Arrays.copyOfRange(bytes, at - size, at)
-                      : deflation.inflate(bytes, at - size, size)));
-        } catch (UnreadableFrameException broken) {
-          throw new IllegalStateException(broken);
-        }
+    private void readFrames() {
+      try {
+        reader.readFrames();
+      } catch (UnreadableFrameException unreadable) {
+        throw new IllegalStateException(unreadable);
       }
-      System.arraycopy(bytes, at, bytes, 0, length - at);
-      length -= at;
+    }
+
+    @Override
+    public void keepalive() {
+      socket.write(ByteBuf.wrapForReading(new byte[PeerFrame.HEADER_BYTES]));
+      sent += PeerFrame.HEADER_BYTES;
+    }
+
+    @Override
+    public void frame(byte[] frame) throws UnreadableFrameException {
+      receiver.accept(codec.decode(frame));
     }
   }
 
@@ -191,6 +176,7 @@
   private final PeerCodec codec;
   private final Consumer<Envelope> receiver;
   private final FrameDeflation deflation = new FrameDeflation();
+  private final PeerFrameEncoder encoder;
   private final Map<String, Outbound> outbound = new HashMap<>();
   long sent;
   long received;
@@ -200,28 +186,15 @@
       throws IOException {
     this.loop = loop;
     this.codec = codec;
+    this.encoder = new PeerFrameEncoder(codec, deflation);
     this.receiver = receiver;
     SimpleServer.builder(loop, Inbound::new)
-        .withListenAddress(socketAddress(address))
+        .withListenAddress(HttpInterface.socketAddress(address))
         .build()
         .listen();
   }
 
-  private static InetSocketAddress socketAddress(String address) {
-    int colon = address.lastIndexOf(':');
-    return new InetSocketAddress(
-        address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-  }
-
   void send(String address, Envelope envelope) {
-    byte[] frame = codec.encode(envelope);
-    byte[] deflated =
-        frame.length < PeerConnectionConstants.MIN_DEFLATE_BYTES ? frame : deflation.deflate(frame);
-    outbound
-        .computeIfAbsent(address, Outbound::new)
-        .add(
-            deflated.length < frame.length
-                ? new Frame(deflated.length | FrameDeflation.DEFLATED, deflated)
-                : new Frame(frame.length, frame));
+    outbound.computeIfAbsent(address, Outbound::new).add(encoder.encode(envelope));
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -6,7 +6,6 @@
 import applespindle.adapters.UnreadableFrameException;
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.api.Response;
-import applespindle.corelogic.common.Json;
 import applespindle.corelogic.constants.PeerConnectionConstants;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.edge.EdgeNode;
@@ -24,7 +23,6 @@
 import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
-import applespindle.corelogic.protocol.Message.MetadataRecord;
 import applespindle.corelogic.protocol.MessageNames;
 import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.storage.StorageNode;
@@ -32,7 +30,6 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Base64;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -196,7 +193,7 @@
                     target.meter.receivedBytes += frame.length + FRAME_HEAD_BYTES;
                     decode(frame);
                     target.node.receive(envelope);
-                    noteConfiguration(target, envelope.message());
+                    recordArrival(target, envelope.message());
                   }));
     }
 
@@ -289,8 +286,8 @@
   private final FrameDeflation deflation = new FrameDeflation();
   private final SplittableRandom random;
 
-  /** By number of the configuration and machine, when it was first applied there. */
-  private final Map<Long, Map<Machine, Long>> configurationKnownAtUs = new HashMap<>();
+  /** In simulated microseconds. */
+  private final ConfigurationArrivals<Machine> arrivals = new ConfigurationArrivals<>();
 
   private long nowUs;
   private long order;
@@ -358,26 +355,12 @@
     }
   }
 
-  private void noteConfiguration(Machine machine, Message message) {
+  private void recordArrival(Machine machine, Message message) {
     if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate update) {
-      for (MetadataRecord metadataRecord : update.records()) {
-        if (metadataRecord.key().equals("bundle")) {
-          long number = numberOf(metadataRecord.value());
-          configurationKnownAtUs
-              .computeIfAbsent(number, unseen -> new HashMap<>())
-              .putIfAbsent(machine, nowUs);
-        }
-      }
+      arrivals.record(machine, update, nowUs);
     }
   }
 
-  private final Map<Integer, Long> numbersByHash = new HashMap<>();
-
-  private long numberOf(byte[] value) {
-    return numbersByHash.computeIfAbsent(
-        Arrays.hashCode(value), unseen -> Json.read(value, SignedConfiguration.class).number());
-  }
-
   // ---- time
 
   long nowMs() {
@@ -488,7 +471,7 @@
    * it yet counts as -1.
    */
   List<Long> delaysOf(Change change) {
-    Map<Machine, Long> known = configurationKnownAtUs.getOrDefault(change.number, Map.of());
+    Map<Machine, Long> known = arrivals.of(change.number);
     return edges.stream()
         .filter(machine -> machine.up)
         .map(
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
@@ -25,8 +25,8 @@
 import java.util.stream.IntStream;
 
 /**
- * One scale run on real time: a small fleet of real processes, and hollow edges by the hundred in a
- * few processes beside it.
+ * One scale run on real time: a small fleet of real processes, and hundreds of lightweight edges in
+ * a few processes beside it, each a {@link LightweightEdgeHost}.
  */
 final class ProcessScale implements AutoCloseable {
   /** A change that is not in force everywhere by then counts as this long. */
@@ -48,29 +48,29 @@
   private static final int RUNS_OF_PORTS = 10;
   private static final int PORTS_OF_FLEET = 100;
 
-  /** A process of hollow nodes, spoken to by lines. */
-  private static final class Host {
+  /** A process of lightweight edges; a command and its response are one line each. */
+  private static final class HostProcess {
     final Process process;
     final OutputStream in;
     final BufferedReader out;
 
-    Host(Process process) {
+    HostProcess(Process process) {
       this.process = process;
       this.in = process.getOutputStream();
       this.out = new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8));
     }
 
-    JsonNode tell(String command) {
+    JsonNode execute(String command) {
       try {
         in.write((command + "\n").getBytes(UTF_8));
         in.flush();
         String line = out.readLine();
         if (line == null) {
-          throw new IllegalStateException("a process of hollow nodes ended");
+          throw new IllegalStateException("a process of lightweight edges ended");
         }
         return JSON.readTree(line);
       } catch (IOException fault) {
-        throw new IllegalStateException("a process of hollow nodes ended", fault);
+        throw new IllegalStateException("a process of lightweight edges ended", fault);
       }
     }
   }
@@ -83,9 +83,9 @@
   private final int changesAMinute;
   private final int cutMost;
   private final Fleet fleet;
-  private final List<Host> hosts = new ArrayList<>();
-  private final LightweightEdgeHost.Layout layout;
-  private long bundleNumber = 1;
+  private final List<HostProcess> hosts = new ArrayList<>();
+  private final FleetLayout layout;
+  private long configurationNumber = 1;
 
   ProcessScale(
       Measurements measured,
@@ -110,8 +110,7 @@
     Runtime.getRuntime().addShutdownHook(new Thread(this::close));
     fleet.start();
     fleet.open(JOIN_MS);
-    layout =
-        new LightweightEdgeHost.Layout(nodes, firstPort + PORTS_OF_FLEET, ZONES, fleet.corePeers());
+    layout = new FleetLayout(nodes, firstPort + PORTS_OF_FLEET, ZONES, fleet.corePeers());
     int each = (nodes + hostCount - 1) / hostCount;
     for (int first = 0; first < nodes; first += each) {
       int count = Math.min(each, nodes - first);
@@ -133,7 +132,7 @@
                   Integer.toString(count)));
       command.addAll(layout.seeds());
       hosts.add(
-          new Host(
+          new HostProcess(
               new ProcessBuilder(command)
                   .redirectError(
                       ProcessBuilder.Redirect.appendTo(
@@ -143,8 +142,8 @@
   }
 
   /** A table of all members in each node; measured by the slope of join-members and rounded up. */
-  static int hostHeapMegabytes(int nodes, int hollows) {
-    return (int) (128 + hollows * (60_000L + nodes * 2_400L) / (1 << 20));
+  static int hostHeapMegabytes(int nodes, int edges) {
+    return (int) (128 + edges * (60_000L + nodes * 2_400L) / (1 << 20));
   }
 
   static int totalMegabytes(int nodes, int hostCount, int coreHeapMegabytes) {
@@ -154,7 +153,7 @@
 
   void run() {
     long begunAt = System.nanoTime();
-    tell("start");
+    execute("start");
     long joined = waitReady(nodes, JOIN_MS);
     add(
         "join",
@@ -172,7 +171,7 @@
         "edge",
         "heap",
         "B",
-        tell("heap").stream().mapToLong(answer -> answer.path("heap").asLong()).sum()
+        execute("heap").stream().mapToLong(answer -> answer.path("heap").asLong()).sum()
             / (double) nodes);
     add(
         "rest",
@@ -208,12 +207,12 @@
         experiment, nodes, role, metric, Measurements.number(value), unit);
   }
 
-  private List<JsonNode> tell(String command) {
-    return hosts.stream().map(host -> host.tell(command)).toList();
+  private List<JsonNode> execute(String command) {
+    return hosts.stream().map(host -> host.execute(command)).toList();
   }
 
   private long ready() {
-    return tell("ready").stream().mapToLong(answer -> answer.path("ready").asLong()).sum();
+    return execute("ready").stream().mapToLong(answer -> answer.path("ready").asLong()).sum();
   }
 
   private long waitReady(long wanted, long mostMs) {
@@ -260,7 +259,7 @@
    */
   private Map<String, double[]> meters() {
     Map<String, double[]> figures = new LinkedHashMap<>();
-    List<JsonNode> answers = tell("meter");
+    List<JsonNode> answers = execute("meter");
     figures.put(
         "edge",
         new double[] {
@@ -312,18 +311,18 @@
 
   /** Sends one change as an operator does, again until it is acknowledged or given up. */
   private Sent send() {
-    bundleNumber++;
-    String bundle = new String(SyntheticConfiguration.of(bundleNumber, 10, 0), UTF_8);
+    configurationNumber++;
+    String configuration = new String(SyntheticConfiguration.of(configurationNumber, 10, 0), UTF_8);
     long begunAt = System.nanoTime();
     List<Member> cores = fleet.ofRole("core");
     for (int attempt = 0; (System.nanoTime() - begunAt) / 1_000_000 < GIVEN_UP_MS; attempt++) {
-      Result result = fleet.sendBundle(cores.get(attempt % cores.size()).http, bundle);
+      Result result = fleet.sendBundle(cores.get(attempt % cores.size()).http, configuration);
       if (result.good()) {
-        return new Sent(bundleNumber, begunAt, (System.nanoTime() - begunAt) / 1_000_000);
+        return new Sent(configurationNumber, begunAt, (System.nanoTime() - begunAt) / 1_000_000);
       }
       pause(100);
     }
-    return new Sent(bundleNumber, begunAt, GIVEN_UP_MS);
+    return new Sent(configurationNumber, begunAt, GIVEN_UP_MS);
   }
 
   /**
@@ -344,7 +343,7 @@
     List<Long> delays = new ArrayList<>();
     long unknown = 0;
     for (Sent change : sent) {
-      for (JsonNode answer : tell("known " + change.number())) {
+      for (JsonNode answer : execute("known " + change.number())) {
         for (JsonNode at : answer.path("known")) {
           if (at.asLong() < 0) {
             unknown++;
@@ -379,9 +378,9 @@
             .filter(lost)
             .mapToObj(Integer::toString)
             .collect(Collectors.joining(" "));
-    tell("kill " + names);
+    execute("kill " + names);
     changes(experiment);
-    tell("start " + names);
+    execute("start " + names);
     long begunAt = System.nanoTime();
     long ready = waitReady(nodes, GIVEN_UP_MS);
     add(
@@ -394,10 +393,10 @@
   }
 
   private void cutRegion() {
-    tell("cut " + CUT_REGION);
+    execute("cut " + CUT_REGION);
     pause(1_500);
     changes("region-cut");
-    tell("cut -1");
+    execute("cut -1");
     long begunAt = System.nanoTime();
     long ready = waitReady(nodes, GIVEN_UP_MS);
     add(
