--- a/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
@@ -1,10 +1,14 @@
 package applespindle.testfleet;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import applespindle.testfleet.EmulatedWorkers.Pace;
+import java.util.Map;
+import java.util.TreeMap;
 
 /**
- * The two deployments of today, a small one for trying out, and one of many edges. Paces are ours;
- * the brief names none.
+ * The two deployments of today, a small one for trials, and one of many edges. The paces of their
+ * workers are assumptions.
  */
 public enum Deployment {
   AUTHORITY(9, 10, 80, 160, 10_000, new Pace(16, 60, 15, 120)),
@@ -16,7 +20,7 @@
   public final int workers;
   public final int batchItems;
 
-  /** Length of one letter or notice. */
+  /** Tokens of the output of one batch item. */
   public final int batchTokens;
 
   public final long dueMs;
@@ -31,13 +35,16 @@
     this.pace = pace;
   }
 
-  /** Short checks before notes, one pool, and batch work in what live traffic leaves. */
+  /**
+   * A configuration with one pool, where checks rank before notes and live requests before batches.
+   */
   public String bundle(long number) {
     return bundle(number, "", "");
   }
 
   /**
-   * The same with one class routed to another pool, so that a bundle's effect shows at the workers.
+   * The same with one class routed to another pool, so that the workers show which configuration is
+   * in force.
    */
   public String bundle(long number, String trafficClass, String pool) {
     return """
@@ -67,10 +74,10 @@
             trafficClass.equals("check") ? pool : "main");
   }
 
-  /** By traffic class, the pool a bundle of this form routes it to. */
-  static java.util.Map<String, String> pools(String bundle) {
-    java.util.Map<String, String> pools = new java.util.TreeMap<>();
-    Simulation.tree(bundle.getBytes(java.nio.charset.StandardCharsets.UTF_8))
+  /** By traffic class, the pool to which a configuration of this form routes it. */
+  static Map<String, String> pools(String bundle) {
+    Map<String, String> pools = new TreeMap<>();
+    Simulation.tree(bundle.getBytes(UTF_8))
         .path("rules")
         .forEach(
             rule ->
--- a/test-fleet/src/main/java/applespindle/testfleet/EmulatedOutput.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/EmulatedOutput.java
@@ -5,11 +5,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a stand-in worker writes for a prompt: the same for the same prompt, so that a checker can
- * tell a whole output.
+ * The output of an emulated worker for a prompt: always the same, so that a checker can recognize a
+ * complete one.
  */
 public final class EmulatedOutput {
-  public static final int TOKENS_UNLESS_TOLD = 8;
+  public static final int DEFAULT_TOKENS = 8;
 
   public static String token(String prompt, int position) {
     return "t" + Long.toString(sum(prompt), 36) + "." + position + " ";
--- a/test-fleet/src/main/java/applespindle/testfleet/EmulatedWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/EmulatedWorkers.java
@@ -25,10 +25,11 @@
 import java.util.Map;
 
 /**
- * Language workers that are none: they stream a made-up output at a set pace and report their load.
+ * Emulated workers without a model: they stream a synthetic output at a set pace and report their
+ * load.
  */
 public final class EmulatedWorkers {
-  /** Prefixes a worker's cache holds; beyond that the one used longest ago goes. */
+  /** Prefixes that the cache of a worker holds; the least recently used one is evicted. */
   private static final int CACHE_PREFIXES = 64;
 
   private static final int CACHE_PREFIX_CHARS = 256;
@@ -92,7 +93,7 @@
       boolean warm = cache.put(prefix, true) != null;
       cacheLooks++;
       cacheHits += warm ? 1 : 0;
-      int tokens = body.path("max_tokens").asInt(EmulatedOutput.TOKENS_UNLESS_TOLD);
+      int tokens = body.path("max_tokens").asInt(EmulatedOutput.DEFAULT_TOKENS);
       return HttpResponse.ok200()
           .withHeader(HttpHeaders.CONTENT_TYPE, "text/event-stream")
           .withBodyStream(new Output(prompt, item, tokens, warm ? 0 : pace.coldPrefixMs()))
--- a/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
@@ -32,15 +32,15 @@
 import java.util.stream.IntStream;
 
 /**
- * A whole fleet of real processes on loopback: three control planes, edges, three storage nodes,
- * stand-in workers.
+ * A fleet of real processes on loopback: three control planes, edges, storage nodes and emulated
+ * workers.
  */
 public final class Fleet implements AutoCloseable {
   private static final String HOST = "127.0.0.1";
 
   /**
-   * Below the range that outgoing connections take their ports from, so that none of these takes
-   * one meanwhile.
+   * Below the range of ephemeral ports, so that no outgoing connection takes a port before its
+   * process listens on it.
    */
   private static final int FREE_PORTS_FROM = 20_000;
 
@@ -49,12 +49,12 @@
   private static final List<String> JVM =
       List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto");
 
-  /** What stands between the processes and those who call them. */
+  /** Relays between the processes and their callers, if any. */
   public interface Wiring {
-    /** The address that other processes are told for one that listens at an address. */
+    /** The address that other processes get for one that listens at an address. */
     String peerAddress(String process, String listensAt) throws IOException;
 
-    /** The address that clients are told for a process that serves them at an address. */
+    /** The address that clients get for a process that serves them at an address. */
     String clientAddress(String process, String servesAt) throws IOException;
   }
 
@@ -71,14 +71,14 @@
         }
       };
 
-  private record PeerAddress(String told, String listensAt) {}
+  private record PeerAddress(String advertised, String listensAt) {}
 
   /** One process of the fleet and how it is started again. */
   public static final class Member {
     public final String name;
     public final String http;
 
-    /** Where clients reach it: its http address, unless something stands in between. */
+    /** The address for clients: its http address, or that of a relay before it. */
     public final String clients;
 
     public final Path data;
@@ -108,7 +108,7 @@
       waitFor();
     }
 
-    /** SIGTERM, as the platform does it; returns its exit status. */
+    /** Sends SIGTERM, as the platform does, and returns the exit status. */
     public int stopPolitely() {
       process.destroy();
       return waitFor();
@@ -122,7 +122,7 @@
       signal("-CONT");
     }
 
-    /** A process that has ended gets none: its id may be another's by now. */
+    /** Sends nothing to a process that has ended, whose id may belong to another now. */
     private void signal(String signal) throws IOException {
       if (!alive()) {
         return;
@@ -155,7 +155,7 @@
   private static final int COMMAND_TRIES = 20;
   public final Deployment deployment;
 
-  /** Workers listed in the pool "spare", so that a bundle's effect shows at the workers. */
+  /** Workers in the pool "spare"; show which configuration is in force. */
   Set<String> spares = Set.of();
 
   public final History history = new History();
@@ -169,19 +169,23 @@
   /** Heap of each process that is started from now on. */
   public int heapMegabytes = 192;
 
-  /** Size of the fleet that is started next. */
+  /** How many edges the fleet has when it starts. */
   public int edges;
 
   public int storages = ZONES;
 
-  /** What the fleet that is started next has between its processes. */
+  /** The wiring of the fleet when it starts. */
   public Wiring wiring = DIRECT;
 
-  private final List<String> corePeers = new ArrayList<>();
+  private final List<String> controlPlanePeers = new ArrayList<>();
   private final Set<Integer> taken = new HashSet<>();
   private int nextPort;
 
-  /** firstPort 0 takes whatever ports are free. */
+  /**
+   * Prepares a fleet; {@link #start} starts it.
+   *
+   * @param firstPort the first of consecutive ports; 0 for any free ports
+   */
   public Fleet(Deployment deployment, Path folder, String classPath, int firstPort)
       throws IOException {
     this.deployment = deployment;
@@ -218,7 +222,7 @@
     for (int index = 0; index < ZONES; index++) {
       PeerAddress core = peerAddress("core-" + (index + 1));
       cores.add(core);
-      corePeers.add(core.told());
+      controlPlanePeers.add(core.advertised());
     }
     ObjectNode startup = JSON.createObjectNode();
     startup.putObject("operatorKeys").put("operator", keys.publicKey());
@@ -276,7 +280,7 @@
             "--http",
             http,
             "--peer",
-            peer.told(),
+            peer.advertised(),
             "--listen",
             peer.listensAt()));
     command.addAll(List.of(more));
@@ -285,7 +289,7 @@
       command.addAll(List.of("--data", data.toString()));
     }
     command.add("--seeds");
-    command.addAll(corePeers);
+    command.addAll(controlPlanePeers);
     File log = folder.resolve(name + ".log").toFile();
     String clients = wiring.clientAddress(name, http);
     members.put(name, new Member(name, http, clients, data, command, log));
@@ -295,9 +299,9 @@
     return members.values().stream().filter(member -> member.name.startsWith(role + "-")).toList();
   }
 
-  /** Peer addresses of the control planes, for others that join this fleet. */
-  public List<String> corePeers() {
-    return List.copyOf(corePeers);
+  /** Peer addresses of the control planes, for other processes that join this fleet. */
+  public List<String> controlPlanePeers() {
+    return List.copyOf(controlPlanePeers);
   }
 
   public Member member(String name) {
@@ -305,15 +309,15 @@
   }
 
   /**
-   * Lists the workers and sends the first bundle as soon as the core takes them, then waits until
-   * all are ready.
+   * Lists the workers and sends the first configuration as soon as the control plane accepts them,
+   * then waits until all processes are ready.
    */
   public void open(long mostMs) {
     String core = ofRole("core").get(0).http;
     awaitTrue("the core", mostMs, () -> allAlive() && caller.get(core, "/ready").good());
     awaitTrue(
         "the worker list", mostMs, () -> caller.put(core, "/v1/workers", workerList()).good());
-    awaitTrue("the bundle", mostMs, () -> sendBundle(core, deployment.bundle(1)).good());
+    awaitTrue("the bundle", mostMs, () -> sendConfiguration(core, deployment.bundle(1)).good());
     awaitTrue(
         "all nodes",
         mostMs,
@@ -351,7 +355,8 @@
   }
 
   /**
-   * Sends a bundle as its operator does: again with the same bytes until something certain is said.
+   * Sends a configuration as an operator does: repeats the same bytes until the response is
+   * definite.
    */
   void rollOut(long number, String bundle) {
     history.add(
@@ -367,7 +372,9 @@
                     pool,
                     number));
     untilCertain(
-        History.Kind.BUNDLE_ANSWERED, Long.toString(number), core -> sendBundle(core, bundle));
+        History.Kind.BUNDLE_ANSWERED,
+        Long.toString(number),
+        core -> sendConfiguration(core, bundle));
   }
 
   void markLeaving(String worker) {
@@ -394,7 +401,7 @@
     }
   }
 
-  public Result sendBundle(String core, String bundle) {
+  public Result sendConfiguration(String core, String bundle) {
     byte[] bytes = bundle.getBytes(UTF_8);
     return caller.post(
         core,
@@ -407,7 +414,7 @@
             Signing.sign(bytes, keys.privateKey())));
   }
 
-  /** A batch of letters that share a long prefix, as the brief's do. */
+  /** A batch of letters that share a long prefix. */
   public static byte[] letters(String name, int items, int tokens, long dueMs) {
     ObjectNode batch = JSON.createObjectNode().put("due_in_ms", dueMs);
     ArrayNode rows = batch.putArray("items");
--- a/test-fleet/src/main/java/applespindle/testfleet/KnownRed.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/KnownRed.java
@@ -19,7 +19,10 @@
   }
 
   /**
-   * reasons: why the run does not pass, empty if it does; known: the lines that were let through.
+   * Whether the run passes.
+   *
+   * @param reasons why it does not pass; empty if it does
+   * @param known the lines of the list whose tests failed as listed
    */
   record Verdict(List<String> reasons, List<String> known) {
     boolean passes() {
@@ -28,8 +31,11 @@
   }
 
   /**
-   * results: by full name of the test; unreported: test classes of the sources that no report
-   * speaks of.
+   * Compares a run with the list.
+   *
+   * @param results outcomes by the full name of the test
+   * @param unreported test classes of the sources without a report
+   * @param lines the list of known failures
    */
   static Verdict judge(Map<String, Outcome> results, List<String> unreported, List<String> lines) {
     List<String> reasons = new ArrayList<>();
--- a/test-fleet/src/main/java/applespindle/testfleet/KnownRedProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/KnownRedProgram.java
@@ -18,8 +18,8 @@
 import org.xml.sax.SAXException;
 
 /**
- * Reads the reports of a whole run of the tests under a folder and KNOWN-RED.txt there, and says
- * whether it passes.
+ * Reads the reports of a run of all tests under a folder and KNOWN-RED.txt there, and prints
+ * whether the run passes.
  */
 public final class KnownRedProgram {
   public static void main(String[] arguments) throws IOException, ParserConfigurationException {
--- a/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
@@ -11,6 +11,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.activej.bytebuf.ByteBuf;
+import io.activej.csp.supplier.ChannelSupplier;
 import io.activej.eventloop.Eventloop;
 import io.activej.http.HttpClient;
 import io.activej.http.HttpHeaders;
@@ -28,8 +30,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The brief's traffic against real processes, bounded in time, with all that its senders see put
- * into a history.
+ * Live requests and batches against real processes for a limited time. Records in a history what
+ * the senders see.
  */
 public final class RealTraffic {
   private static final long POLL_MS = 300;
@@ -38,9 +40,9 @@
       "In the usual form of the office, with greeting, place and hour of the event. ".repeat(4);
 
   /**
-   * What is sent and for how long.
+   * Rates and duration of the traffic.
    *
-   * @param patienceMs how long a call waits for an answer or for more of it
+   * @param patienceMs how long a call waits for a response or for more of it
    * @param submitTries how often a batch is sent until it is accepted
    * @param givenUpEvery each so-many-th batch is given up when it is refused for certain; 0 for
    *     none
@@ -59,9 +61,9 @@
       long settleMs) {}
 
   /**
-   * One batch as its sender knows it; times are -1 for what did not come.
+   * One batch as its sender knows it; the time of an event that did not happen is -1.
    *
-   * @param status the last answer to its submission, 0 for none
+   * @param status the status of the last response to its submission, 0 for none
    */
   public record Batch(
       String key,
@@ -75,7 +77,7 @@
       return acceptedAt >= 0;
     }
 
-    /** Its last answer says for certain that nothing of this try runs. */
+    /** Whether the last response rules out that an item of this submission runs. */
     public boolean refused() {
       return !accepted() && definiteRefusal(status);
     }
@@ -204,7 +206,7 @@
             .build();
   }
 
-  /** Runs the whole plan and waits until every accepted batch is over, or long enough. */
+  /** Runs the plan and waits until every accepted batch is finished, or for the settle time. */
   public void run() throws InterruptedException {
     eventloop.keepAlive(true);
     Thread thread = new Thread(eventloop, "traffic");
@@ -242,7 +244,7 @@
     }
   }
 
-  /** All batches; once the traffic is over. */
+  /** All batches; to be called after {@link #run}. */
   public List<Batch> batchesSeen() {
     return senders.stream().map(Sender::seen).toList();
   }
@@ -257,7 +259,7 @@
     return SimulatedFleet.percentile(times, percent);
   }
 
-  /** Notes a page of results, or the answer given in its place. */
+  /** Records a page of results, or the error response in its place. */
   public static void seeResults(History history, String key, int status, JsonNode page) {
     String state = page.path(status == 200 ? "state" : "type").asText("");
     long nowMs = EmulatedWorkers.nowMs();
@@ -318,7 +320,7 @@
     return choice.get(random.nextInt(choice.size()));
   }
 
-  /** Status 0: no answer, or one that was cut. */
+  /** Passes on the response; status 0 for none, the negative status for a truncated one. */
   private void call(
       HttpMethod method,
       Member to,
@@ -347,9 +349,7 @@
         .whenException(fault -> then.accept(0, ""));
   }
 
-  private static Promise<Boolean> read(
-      io.activej.csp.supplier.ChannelSupplier<io.activej.bytebuf.ByteBuf> stream,
-      StringBuilder text) {
+  private static Promise<Boolean> read(ChannelSupplier<ByteBuf> stream, StringBuilder text) {
     return stream
         .get()
         .then(
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
@@ -93,7 +93,7 @@
       this.callerDead = callerDead;
       this.prompt = body.path("prompt").asText();
       this.item = body.path("applespindle_item").asText("");
-      this.tokens = body.path("max_tokens").asInt(EmulatedOutput.TOKENS_UNLESS_TOLD);
+      this.tokens = body.path("max_tokens").asInt(EmulatedOutput.DEFAULT_TOKENS);
       this.heardAtMs = simulation.simulatedNowMs();
       this.expiresAtMs = simulation.simulatedNowMs() + call.expiryMs();
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -9,7 +9,6 @@
 import applespindle.corelogic.constants.PeerConnectionConstants;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.edge.EdgeNode;
-import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
 import applespindle.corelogic.environment.Environment.WorkerCall;
 import applespindle.corelogic.environment.Environment.WorkerCallHandle;
@@ -42,7 +41,6 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
 
 /**
@@ -59,7 +57,7 @@
   private static final long SYNC_US = 3_000;
   private static final long LOAD_READ_MS = 1;
 
-  /** Machines come up over this long, so that their beats do not fall on one instant. */
+  /** Machines come up over this long, so that their heartbeats do not fall together. */
   private static final long START_SPREAD_MS = 500;
 
   private static final int LISTED_AT_ONCE = 10;
@@ -85,7 +83,7 @@
   }
 
   /** One node and the machine under it. */
-  final class Machine implements Environment {
+  final class Machine extends StubEnvironment {
     final String name;
     final String zone;
     final String region;
@@ -94,15 +92,13 @@
     Node node;
     boolean up;
     private int life;
-    private final SplittableRandom random;
-    private final Map<String, Integer> runningAt = new HashMap<>();
 
     Machine(String name, String region, String zone, String role, SplittableRandom random) {
+      super(random);
       this.name = name;
       this.region = region;
       this.zone = zone;
       this.role = role;
-      this.random = random;
     }
 
     void start() {
@@ -110,18 +106,19 @@
       life++;
       var identity =
           new NodeIdentity(
-              name + "-" + life + "-" + Integer.toHexString(random.nextInt(1 << 20)),
+              name + "-" + life + "-" + Integer.toHexString(random().nextInt(1 << 20)),
               life,
               name,
               zone,
               role,
               name,
               name + "/http",
-              CORE);
+              CONTROL_PLANE);
       node =
           switch (role) {
             case "core" ->
-                new ControlPlaneNode(this, identity, Map.of("operator", KEYS.publicKey()), CORE);
+                new ControlPlaneNode(
+                    this, identity, Map.of("operator", KEYS.publicKey()), CONTROL_PLANE);
             case "storage" -> new StorageNode(this, identity);
             default -> new EdgeNode(this, identity);
           };
@@ -254,29 +251,22 @@
                                 false))));
       }
     }
-
-    @Override
-    public RandomGenerator random() {
-      return random;
-    }
-
-    @Override
-    public void log(String part, String sentence) {}
   }
 
+  /** The way from one machine to another. */
   record Link(Machine from, Machine to) {}
 
-  static final List<String> CORE = List.of("core-1", "core-2", "core-3");
+  static final List<String> CONTROL_PLANE = List.of("core-1", "core-2", "core-3");
   final Map<String, Machine> machines = new LinkedHashMap<>();
   final List<Machine> edges = new ArrayList<>();
   final Shape shape;
 
-  /** Which links carry nothing now. */
+  /** The links that are cut now. */
   Predicate<Link> cut = link -> false;
 
   BiConsumer<Machine, Envelope> sentFrames = (from, envelope) -> {};
 
-  /** What a worker puts out for each run, in pieces. */
+  /** Output of a worker for each request, in pieces. */
   List<String> workerOutput = List.of("word ".repeat(40));
 
   private final Map<String, Integer> running = new HashMap<>();
@@ -296,8 +286,8 @@
     this.shape = shape;
     this.random = new SplittableRandom(seed);
     int zones = shape.regions * shape.zonesEach;
-    for (int index = 0; index < CORE.size(); index++) {
-      add(CORE.get(index), index * zones / CORE.size(), "core");
+    for (int index = 0; index < CONTROL_PLANE.size(); index++) {
+      add(CONTROL_PLANE.get(index), index * zones / CONTROL_PLANE.size(), "core");
     }
     for (int index = 0; index < 3; index++) {
       add("storage-" + (index + 1), index * zones / 3, "storage");
@@ -382,8 +372,8 @@
   }
 
   /**
-   * Runs until the condition holds, looked at every 100 simulated ms; false if it does not within
-   * the limit.
+   * Runs until the condition holds, checked every 100 simulated ms; false if it does not within the
+   * limit.
    */
   boolean runUntil(BooleanSupplier condition, long mostMs) {
     long endsAt = nowMs() + mostMs;
@@ -398,7 +388,7 @@
 
   // ---- what operators do
 
-  private ControlPlaneNode core() {
+  private ControlPlaneNode controlPlane() {
     return (ControlPlaneNode)
         machines.values().stream()
             .filter(
@@ -411,13 +401,13 @@
             .orElseThrow(() -> new IllegalStateException("no core node is ready"));
   }
 
-  /** Sends again, as an operator does, until something certain is said. */
+  /** Sends a command as an operator does: repeats it until the response is definite. */
   private void command(Operation operation, String key, Object body, Consumer<Response> then) {
-    ControlPlaneNode core = core();
-    Machine machine = machines.get(core.identity().name());
+    ControlPlaneNode node = controlPlane();
+    Machine machine = machines.get(node.identity().name());
     machine.enter(
         () ->
-            core.command(
+            node.command(
                 operation,
                 key,
                 body,
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
@@ -110,7 +110,7 @@
     Runtime.getRuntime().addShutdownHook(new Thread(this::close));
     fleet.start();
     fleet.open(JOIN_MS);
-    layout = new FleetLayout(nodes, firstPort + PORTS_OF_FLEET, ZONES, fleet.corePeers());
+    layout = new FleetLayout(nodes, firstPort + PORTS_OF_FLEET, ZONES, fleet.controlPlanePeers());
     int each = (nodes + hostCount - 1) / hostCount;
     for (int first = 0; first < nodes; first += each) {
       int count = Math.min(each, nodes - first);
@@ -316,7 +316,8 @@
     long begunAt = System.nanoTime();
     List<Member> cores = fleet.ofRole("core");
     for (int attempt = 0; (System.nanoTime() - begunAt) / 1_000_000 < GIVEN_UP_MS; attempt++) {
-      Result result = fleet.sendBundle(cores.get(attempt % cores.size()).http, configuration);
+      Result result =
+          fleet.sendConfiguration(cores.get(attempt % cores.size()).http, configuration);
       if (result.good()) {
         return new Sent(configurationNumber, begunAt, (System.nanoTime() - begunAt) / 1_000_000);
       }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/InvariantCounters.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/InvariantCounters.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * The counters by which the processes themselves tell of invariants that do not hold. They begin at
- * 0 in each life of a process, so each life is counted by its last reading.
+ * The counters in which the processes themselves report violated invariants. They begin at 0 when a
+ * process starts, so the last reading before each end counts.
  */
 final class InvariantCounters {
   private static final String PREFIX = "invariant_";
@@ -26,7 +26,8 @@
   private final Map<Life, Map<String, Double>> read = new LinkedHashMap<>();
 
   /**
-   * Reads a process's counters; false if it did not answer, and then what was read before stays.
+   * Reads the counters of a process; if it did not answer, returns false and keeps the last
+   * reading.
    */
   boolean read(Member member) {
     return read(new Life(member.name, member.pid()), member.http);
@@ -43,7 +44,7 @@
     return true;
   }
 
-  /** How many different ones were seen at all. */
+  /** How many different counters were seen. */
   synchronized long seen() {
     return read.values().stream()
         .flatMap(counters -> counters.keySet().stream())
@@ -51,7 +52,7 @@
         .count();
   }
 
-  /** Those above 0, with the process. */
+  /** The counters above 0, with the process. */
   synchronized List<String> broken() {
     List<String> broken = new ArrayList<>();
     read.forEach(
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/NetworkFaults.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/NetworkFaults.java
@@ -8,19 +8,19 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What becomes of the bytes between processes, and between clients and edges, at this moment. */
+/** The network faults that are open now, between processes and between clients and edges. */
 final class NetworkFaults {
-  /** In place of a process's name: those who call the edges. */
+  /** Stands for the clients of the edges. */
   static final String CLIENTS = "clients";
 
-  /** What becomes of bytes, worst last. */
+  /** The effect on bytes, worst last. */
   enum Traffic {
     FLOWS,
-    /** They wait and arrive later. */
+    /** Bytes are delayed until the fault ends. */
     HELD,
-    /** The request came through, the answer is thrown away, and the connection ends with it. */
+    /** The request passes, the response is dropped and the connection closed. */
     ANSWER_LOST,
-    /** They are thrown away; the connection is of no use any more and is reset once all is well. */
+    /** Bytes are dropped; the connection is broken by that and reset once the fault ends. */
     DROPPED,
     /** The connection is reset, and so is each new one. */
     RESET
@@ -38,10 +38,10 @@
 
   private final List<Cut> cuts = new CopyOnWriteArrayList<>();
 
-  /** How many pieces of connections met each kind of traffic. */
+  /** How many pieces of connections had each effect. */
   private final Map<Traffic, LongAdder> met = new ConcurrentHashMap<>();
 
-  /** Cuts of overlapping troubles add up; the worst counts. */
+  /** The effect on bytes from one to another; of overlapping faults the worst counts. */
   Traffic between(String sender, String receiver) {
     Traffic worst = Traffic.FLOWS;
     for (Cut cut : cuts) {
@@ -52,31 +52,31 @@
     return worst;
   }
 
-  /** Counts a piece of a connection, or its end, that met trouble. */
+  /** Counts a piece of a connection, or its end, by the effect on it. */
   void note(Traffic traffic) {
     met.computeIfAbsent(traffic, unseen -> new LongAdder()).increment();
   }
 
-  /** What connections met so far, to see that cuts were cuts. */
+  /** Counts so far by effect; shows that the faults had one. */
   Map<Traffic, Long> met() {
     Map<Traffic, Long> counts = new EnumMap<>(Traffic.class);
     met.forEach((traffic, count) -> counts.put(traffic, count.sum()));
     return counts;
   }
 
-  void begin(SoakFault trouble) {
-    cuts.addAll(cutsOf(trouble));
+  void begin(SoakFault fault) {
+    cuts.addAll(cutsOf(fault));
   }
 
-  void end(SoakFault trouble) {
-    cutsOf(trouble).forEach(cuts::remove);
+  void end(SoakFault fault) {
+    cutsOf(fault).forEach(cuts::remove);
   }
 
-  private static List<Cut> cutsOf(SoakFault trouble) {
-    String target = trouble.target();
-    String other = trouble.other();
+  private static List<Cut> cutsOf(SoakFault fault) {
+    String target = fault.target();
+    String other = fault.other();
     List<Cut> made = new ArrayList<>();
-    switch (trouble.kind()) {
+    switch (fault.kind()) {
       case DROP_FROM -> made.add(new Cut(target, other, Traffic.DROPPED));
       case DROP_TO -> made.add(new Cut(other, target, Traffic.DROPPED));
       case DROP_BOTH -> addBoth(made, target, other, Traffic.DROPPED);
@@ -85,7 +85,7 @@
       case HOLD_BOTH -> addBoth(made, target, other, Traffic.HELD);
       case RESET -> addBoth(made, target, other, Traffic.RESET);
       case LOSE_ANSWERS -> made.add(new Cut(target, CLIENTS, Traffic.ANSWER_LOST));
-      default -> throw new IllegalArgumentException(trouble + " cuts nothing");
+      default -> throw new IllegalArgumentException(fault + " cuts nothing");
     }
     return made;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/RelayedConnection.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/RelayedConnection.java
@@ -17,13 +17,13 @@
  * passed on behind one that was dropped.
  */
 final class RelayedConnection {
-  /** Tells who opened a connection. */
+  /** Identifies the process that opened a connection. */
   interface Sender {
-    /** Its name, or null while the bytes that came so far do not tell it. */
+    /** Its name, or null while too few bytes arrived. */
     String name(byte[] begun);
   }
 
-  /** Whoever calls the http port is a client. */
+  /** Connections to the HTTP port are those of clients. */
   static final Sender CLIENT = begun -> NetworkFaults.CLIENTS;
 
   private static final long LOOK_MS = 10;
@@ -146,7 +146,7 @@
     this.sender = sender;
   }
 
-  /** Reads until it is known who sends, and goes on to where the process listens. */
+  /** Reads until the sender is known, then connects to the process. */
   void open(String listensAt) {
     String known = sender.name(begun.toByteArray());
     if (known != null) {
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/Relays.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/Relays.java
@@ -21,7 +21,7 @@
   private final Thread thread = new Thread(eventloop, "relays");
   private final NetworkFaults links;
 
-  /** By the peer address that it tells. */
+  /** Processes by the peer address that they advertise. */
   private final Map<String, String> processes = new ConcurrentHashMap<>();
 
   private final PeerSender peers = new PeerSender(processes);
@@ -39,13 +39,13 @@
 
   @Override
   public String peerAddress(String process, String listensAt) throws IOException {
-    String told =
+    String advertised =
         listen(
             socket -> {
               new RelayedConnection(eventloop, links, socket, process, peers).open(listensAt);
             });
-    processes.put(told, process);
-    return told;
+    processes.put(advertised, process);
+    return advertised;
   }
 
   @Override
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakFault.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakFault.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 
 /**
- * One thing that goes wrong for a while; times count from the beginning of the soak.
+ * One fault of limited duration; times count from the beginning of the soak.
  *
  * @param other the one other process that a cut concerns, or {@link #ALL}
  */
 record SoakFault(Kind kind, String target, String other, long fromMs, long untilMs) {
-  /** In place of another process's name: all others. */
+  /** Stands for all other processes. */
   static final String ALL = "all";
 
-  /** What goes wrong; cuts are named by what becomes of the bytes and by their direction. */
+  /** Kind of fault; network faults are named after their effect on bytes and the direction. */
   enum Kind {
     KILL,
     PAUSE,
@@ -30,7 +30,7 @@
     private static final Set<Kind> OF_PROCESS = EnumSet.of(KILL, PAUSE, STARVE);
     private static final Set<Kind> OF_EDGES = EnumSet.of(STARVE, LOSE_ANSWERS);
 
-    /** Whether it is done to the process itself and not to its connections. */
+    /** Whether it is a fault of the process itself and not of its connections. */
     boolean ofProcess() {
       return OF_PROCESS.contains(this);
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakFaultInjector.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakFaultInjector.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Does to a fleet what a plan says, and heals it again. */
+/** Injects the faults of a plan into a fleet and heals them again. */
 final class SoakFaultInjector {
-  private record Step(long atMs, SoakFault trouble, boolean begins) {}
+  private record Step(long atMs, SoakFault fault, boolean begins) {}
 
   private final Fleet fleet;
   private final NetworkFaults links;
@@ -27,18 +27,18 @@
     this.invariants = invariants;
   }
 
-  /** Returns once the last trouble is healed; killed processes are then started, not yet ready. */
+  /** Returns once the last fault is healed; processes that were killed may not be ready yet. */
   void run(SoakPlan plan) throws IOException, InterruptedException {
     long begunAt = EmulatedWorkers.nowMs();
-    // More is broken at a time than the brief asks to survive in time; nothing else is excused.
+    // More faults overlap than the requirements on latency cover; only those are not checked.
     note("beyond-begins");
     for (Step step : steps(plan)) {
       TimeUnit.MILLISECONDS.sleep(Math.max(0, begunAt + step.atMs() - EmulatedWorkers.nowMs()));
-      note((step.begins() ? "begin " : "end ") + step.trouble());
+      note((step.begins() ? "begin " : "end ") + step.fault());
       if (step.begins()) {
-        begin(step.trouble());
+        begin(step.fault());
       } else {
-        end(step.trouble());
+        end(step.fault());
       }
     }
     note("beyond-ends");
@@ -46,9 +46,9 @@
 
   private static List<Step> steps(SoakPlan plan) {
     List<Step> steps = new ArrayList<>();
-    for (SoakFault trouble : plan.troubles()) {
-      steps.add(new Step(trouble.fromMs(), trouble, true));
-      steps.add(new Step(trouble.untilMs(), trouble, false));
+    for (SoakFault fault : plan.faults()) {
+      steps.add(new Step(fault.fromMs(), fault, true));
+      steps.add(new Step(fault.untilMs(), fault, false));
     }
     steps.sort(Comparator.comparingLong(Step::atMs).thenComparing(Step::begins));
     return steps;
@@ -58,26 +58,26 @@
     fleet.history.add(EmulatedWorkers.nowMs(), History.Kind.FAULT, what, "", "", 0);
   }
 
-  private void begin(SoakFault trouble) throws IOException {
-    Member target = fleet.member(trouble.target());
-    switch (trouble.kind()) {
+  private void begin(SoakFault fault) throws IOException {
+    Member target = fleet.member(fault.target());
+    switch (fault.kind()) {
       case KILL -> {
         invariants.read(target);
         target.kill();
       }
       case PAUSE -> target.freeze();
       case STARVE -> dutyCycles.put(target.name, new DutyCycle(target));
-      default -> links.begin(trouble);
+      default -> links.begin(fault);
     }
   }
 
-  private void end(SoakFault trouble) throws IOException {
-    Member target = fleet.member(trouble.target());
-    switch (trouble.kind()) {
+  private void end(SoakFault fault) throws IOException {
+    Member target = fleet.member(fault.target());
+    switch (fault.kind()) {
       case KILL -> target.start();
       case PAUSE -> target.wake();
       case STARVE -> dutyCycles.remove(target.name).close();
-      default -> links.end(trouble);
+      default -> links.end(fault);
     }
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakPlan.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakPlan.java
@@ -8,12 +8,12 @@
 import java.util.stream.Collectors;
 
 /**
- * What one seed does to which fleet.
+ * The size of the fleet and the faults of one seed.
  *
- * @param troubles in order of their beginning; all are over at endsMs
+ * @param faults in order of their beginning; all are over at endsMs
  */
 record SoakPlan(
-    long seed, int cores, int storages, int edges, List<SoakFault> troubles, long endsMs) {
+    long seed, int controlPlanes, int storages, int edges, List<SoakFault> faults, long endsMs) {
   private static final int CORES = 3;
   private static final int STORAGES_LEAST = 3;
   private static final int EDGES_LEAST = 4;
@@ -21,7 +21,7 @@
   /** Each adds 0 to 2 processes of its role. */
   private static final int MORE_PROCESSES = 3;
 
-  /** Rows of troubles, one after another in each, so that this many are open at a time. */
+  /** Sequences of faults that run in parallel, so that this many are open at a time. */
   private static final int ROWS_LEAST = 2;
 
   private static final int MORE_ROWS = 2;
@@ -40,17 +40,17 @@
     addNames(names, "core", CORES);
     addNames(names, "storage", storages);
     addNames(names, "edge", edges);
-    List<SoakFault> troubles = new ArrayList<>();
+    List<SoakFault> faults = new ArrayList<>();
     int starved = random.nextInt(STARVED_EDGES_MOST + 1);
     for (int edge = 1; edge <= starved; edge++) {
-      troubles.add(new SoakFault(Kind.STARVE, "edge-" + edge, SoakFault.ALL, FIRST_MS, lengthMs));
+      faults.add(new SoakFault(Kind.STARVE, "edge-" + edge, SoakFault.ALL, FIRST_MS, lengthMs));
     }
     int rows = ROWS_LEAST + random.nextInt(MORE_ROWS);
     for (int row = 0; row < rows; row++) {
-      addRow(troubles, names, lengthMs, random);
+      addRow(faults, names, lengthMs, random);
     }
-    troubles.sort(Comparator.comparingLong(SoakFault::fromMs));
-    return new SoakPlan(seed, CORES, storages, edges, List.copyOf(troubles), lengthMs);
+    faults.sort(Comparator.comparingLong(SoakFault::fromMs));
+    return new SoakPlan(seed, CORES, storages, edges, List.copyOf(faults), lengthMs);
   }
 
   private static void addNames(List<String> names, String role, int count) {
@@ -60,14 +60,14 @@
   }
 
   private static void addRow(
-      List<SoakFault> troubles, List<String> names, long lengthMs, Random random) {
+      List<SoakFault> faults, List<String> names, long lengthMs, Random random) {
     long fromMs = FIRST_MS + random.nextLong(GAP_MS);
     while (fromMs + SHORTEST_MS <= lengthMs) {
       long untilMs =
           Math.min(lengthMs, fromMs + SHORTEST_MS + random.nextLong(LONGEST_MS - SHORTEST_MS));
       SoakFault drawn = draw(names, fromMs, untilMs, random);
-      if (troubles.stream().noneMatch(other -> excludes(other, drawn))) {
-        troubles.add(drawn);
+      if (faults.stream().noneMatch(other -> excludes(other, drawn))) {
+        faults.add(drawn);
         fromMs = untilMs + random.nextLong(GAP_MS);
       }
     }
@@ -105,7 +105,7 @@
     };
   }
 
-  /** A process is killed, paused or starved by one trouble at a time. */
+  /** A process is killed, paused or starved by one fault at a time. */
   private static boolean excludes(SoakFault one, SoakFault another) {
     return one.overlaps(another)
         && one.target().equals(another.target())
@@ -115,12 +115,12 @@
 
   @Override
   public String toString() {
-    return cores
+    return controlPlanes
         + " cores, "
         + storages
         + " storages, "
         + edges
         + " edges: "
-        + troubles.stream().map(SoakFault::toString).collect(Collectors.joining(" "));
+        + faults.stream().map(SoakFault::toString).collect(Collectors.joining(" "));
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakProgram.java
@@ -75,7 +75,7 @@
     return allSound;
   }
 
-  /** A fleet that does not start, or that can not be troubled as planned, is not sound either. */
+  /** A fleet that does not start, or that can not get its planned faults, is not sound either. */
   private static boolean soak(Deployment deployment, Path folder, SoakPlan plan)
       throws IOException, InterruptedException {
     try {
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakRun.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakRun.java
@@ -12,30 +12,30 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One fleet under the troubles of one seed, from its start to its judgement. */
+/** Runs one fleet under the faults of one seed, from its start to the check of its history. */
 final class SoakRun {
   private static final long OPEN_MS = 120_000;
 
-  /** From the end of the traffic until every batch must be over. */
+  /** From the end of the traffic until every batch must be finished. */
   private static final long SETTLE_MS = 90_000;
 
-  /** Traffic goes on for so long once all is healed, so that what comes then is judged too. */
+  /** Traffic goes on for this long after the last fault, so that recovery is checked too. */
   private static final long TRAFFIC_AFTER_MS = 4_000;
 
-  /** Shorter than most pauses: a batch is at another edge when the one that was paused goes on. */
+  /** Shorter than most pauses, so that a batch is at another edge when a paused edge resumes. */
   private static final long PATIENCE_MS = 2_500;
 
   private static final double CHECKS_PER_SECOND = 10;
   private static final double NOTES_PER_SECOND = 1;
   private static final double ONCE_PER_SECOND = 3;
 
-  /** So that there are refused batches, of which nothing may run. */
+  /** Every so-many-th batch is given up once refused; no item of such a batch may run. */
   private static final int GIVEN_UP_EVERY = 2;
 
   private static final long BATCH_EVERY_MS = 500;
   private static final int HEAP_MEGABYTES = 96;
 
-  /** What came of a seed. */
+  /** The result of one seed. */
   record Outcome(
       SoakPlan plan,
       List<Batch> batches,
@@ -89,7 +89,7 @@
     this.classPath = classPath;
   }
 
-  /** Keeps the history in the folder; the logs are there already. */
+  /** Runs a plan; writes the history to the folder, where the logs of the processes are too. */
   Outcome run(SoakPlan plan) throws IOException, InterruptedException {
     NetworkFaults links = new NetworkFaults();
     InvariantCounters invariants = new InvariantCounters();
@@ -105,7 +105,7 @@
       fleet.open(OPEN_MS);
       RealTraffic traffic = new RealTraffic(fleet, traffic(plan));
       soak(fleet, links, invariants, plan, traffic);
-      List<String> violations = new SoakVerifier(fleet, invariants).judge(traffic.batchesSeen());
+      List<String> violations = new SoakVerifier(fleet, invariants).verify(traffic.batchesSeen());
       Files.writeString(folder.resolve("history.jsonl"), fleet.history.toLines());
       Runtime.getRuntime().removeShutdownHook(closing);
       return new Outcome(
@@ -140,22 +140,22 @@
       SoakPlan plan,
       RealTraffic traffic)
       throws InterruptedException {
-    AtomicReference<Exception> fault = new AtomicReference<>();
-    Thread troubles =
+    AtomicReference<Exception> failure = new AtomicReference<>();
+    Thread injection =
         new Thread(
             () -> {
               try {
                 new SoakFaultInjector(fleet, links, invariants).run(plan);
               } catch (IOException | InterruptedException | RuntimeException failed) {
-                fault.set(failed);
+                failure.set(failed);
               }
             },
             "troubles");
-    troubles.start();
+    injection.start();
     traffic.run();
-    troubles.join();
-    if (fault.get() != null) {
-      throw new IllegalStateException("the troubles were not made as planned", fault.get());
+    injection.join();
+    if (failure.get() != null) {
+      throw new IllegalStateException("the troubles were not made as planned", failure.get());
     }
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakVerifier.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakVerifier.java
@@ -14,13 +14,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Judges a healed fleet by what clients see of it, by its own counters and by its logs. */
+/** Checks a healed fleet: the history of its clients, its own counters and its logs. */
 final class SoakVerifier {
   private static final long READABLE_MS = 30_000;
   private static final long AGAIN_MS = 300;
   private static final int PAGE_MOST = 1_000;
 
-  /** What no process writes unless one of its own steps failed in an unforeseen way. */
+  /** A process logs at this level only if one of its own steps failed unexpectedly. */
   private static final String LOGGED_FAULT = " ERROR ";
 
   private final Fleet fleet;
@@ -32,24 +32,24 @@
     this.invariants = invariants;
   }
 
-  List<String> judge(List<Batch> batches) throws IOException, InterruptedException {
+  List<String> verify(List<Batch> batches) throws IOException, InterruptedException {
     for (Batch batch : batches) {
-      ended(batch);
+      checkFinished(batch);
     }
     readEverywhere(batches.stream().filter(Batch::finished).toList());
     for (Checker.Violation violation : Checker.check(fleet.history)) {
       violations.add(violation.toString());
     }
     for (Member member : fleet.members.values()) {
-      ownCounters(member);
-      log(member);
+      checkCounters(member);
+      checkLog(member);
     }
     invariants.broken().forEach(broken -> violations.add("INVARIANT " + broken));
     return violations;
   }
 
-  /** Its sender waited for long after all was healed. */
-  private void ended(Batch batch) {
+  /** Checks that a batch has ended; its sender waited long after the last fault. */
+  private void checkFinished(Batch batch) {
     if (batch.accepted() && !batch.finished()) {
       violations.add("NOT_FINISHED " + batch.key() + " " + batch.id());
     } else if (!batch.accepted() && !batch.refused()) {
@@ -57,12 +57,12 @@
     }
   }
 
-  /** What is read goes into the history, whose checker compares it with all that was read. */
+  /** Reads every finished batch at every edge into the history, where all reads are compared. */
   private void readEverywhere(List<Batch> finished) throws InterruptedException {
     for (Member edge : fleet.ofRole("edge")) {
       long latest = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READABLE_MS);
       for (Batch batch : finished) {
-        while (!readWhole(edge, batch)) {
+        while (!readAllResults(edge, batch)) {
           if (System.nanoTime() > latest) {
             violations.add("NOT_READABLE " + batch.key() + " at " + edge.name);
             break;
@@ -73,7 +73,7 @@
     }
   }
 
-  private boolean readWhole(Member edge, Batch batch) {
+  private boolean readAllResults(Member edge, Batch batch) {
     long after = 0;
     while (true) {
       String path = "/v1/batches/" + batch.id() + "/results?after=" + after + "&limit=" + PAGE_MOST;
@@ -90,7 +90,7 @@
     }
   }
 
-  private void ownCounters(Member member) {
+  private void checkCounters(Member member) {
     if (!member.alive()) {
       violations.add("ENDED_BY_ITSELF " + member.name);
     } else if (!invariants.read(member)) {
@@ -98,7 +98,7 @@
     }
   }
 
-  private void log(Member member) throws IOException {
+  private void checkLog(Member member) throws IOException {
     List<String> lines = Files.readAllLines(member.log.toPath(), StandardCharsets.UTF_8);
     lines.stream()
         .filter(line -> line.contains(LOGGED_FAULT))
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/package-info.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A soak: a fleet of real processes behind relays, under random kills, pauses, cuts, lost answers
- * and scarce processor time that overlap, judged from outside once all is healed.
+ * Soak tests: a fleet of real processes behind relays, under overlapping kills, pauses, network
+ * faults, lost responses and scarce processor time, checked from outside once all is healed.
  */
 package applespindle.testfleet.soak;
--- a/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
@@ -154,16 +154,17 @@
         403,
         "SignatureRefused");
     refuses(
-        fleet.sendBundle(core, "{\"number\": 2, \"pools\": {}, \"rules\": []}"),
+        fleet.sendConfiguration(core, "{\"number\": 2, \"pools\": {}, \"rules\": []}"),
         422,
         "InvalidBundle",
         "$.limits",
         "$.pools",
         "$.rules");
-    Result conflict = fleet.sendBundle(core, fleet.deployment.bundle(1).replace("100", "101"));
+    Result conflict =
+        fleet.sendConfiguration(core, fleet.deployment.bundle(1).replace("100", "101"));
     refuses(conflict, 409, "BundleConflict");
     assertThat(conflict.body().at("/detail/numberInForce").asLong()).isEqualTo(1);
-    assertThat(fleet.sendBundle(core, fleet.deployment.bundle(1)).status()).isEqualTo(200);
+    assertThat(fleet.sendConfiguration(core, fleet.deployment.bundle(1)).status()).isEqualTo(200);
   }
 
   @Test
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
@@ -55,7 +55,7 @@
     return new String(at.getInputStream().readNBytes(length), UTF_8);
   }
 
-  private static SoakFault trouble(Kind kind, String target, String other) {
+  private static SoakFault fault(Kind kind, String target, String other) {
     return new SoakFault(kind, target, other, 0, 1);
   }
 
@@ -72,7 +72,7 @@
 
   @Test
   void losesAnAnswerOnceItIsGiven() throws IOException {
-    SoakFault lost = trouble(Kind.LOSE_ANSWERS, "edge-1", SoakFault.ALL);
+    SoakFault lost = fault(Kind.LOSE_ANSWERS, "edge-1", SoakFault.ALL);
     links.begin(lost);
     send(client, "ask");
     assertThat(read(served, 3)).isEqualTo("ask");
@@ -86,7 +86,7 @@
 
   @Test
   void heldBytesArriveLaterAndTheOtherDirectionFlows() throws IOException {
-    SoakFault held = trouble(Kind.HOLD_TO, "edge-1", NetworkFaults.CLIENTS);
+    SoakFault held = fault(Kind.HOLD_TO, "edge-1", NetworkFaults.CLIENTS);
     links.begin(held);
     send(client, "ask");
     served.setSoTimeout(NOTHING_MS);
@@ -100,7 +100,7 @@
 
   @Test
   void nothingIsPassedOnBehindDroppedBytes() throws IOException {
-    SoakFault dropped = trouble(Kind.DROP_TO, "edge-1", NetworkFaults.CLIENTS);
+    SoakFault dropped = fault(Kind.DROP_TO, "edge-1", NetworkFaults.CLIENTS);
     links.begin(dropped);
     send(client, "lost");
     served.setSoTimeout(NOTHING_MS);
@@ -113,14 +113,14 @@
 
   @Test
   void aResetEndsConnectionsOnWhichNothingIsSent() throws IOException {
-    links.begin(trouble(Kind.RESET, "edge-1", NetworkFaults.CLIENTS));
+    links.begin(fault(Kind.RESET, "edge-1", NetworkFaults.CLIENTS));
     assertThrows(SocketException.class, () -> read(client, 1));
     assertThrows(SocketException.class, () -> read(served, 1));
   }
 
   @Test
   void cutsOfAllOthersLeaveClientsAlone() throws IOException {
-    links.begin(trouble(Kind.DROP_BOTH, "edge-1", SoakFault.ALL));
+    links.begin(fault(Kind.DROP_BOTH, "edge-1", SoakFault.ALL));
     send(client, "ask");
     assertThat(read(served, 3)).isEqualTo("ask");
   }
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/SoakPlanTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/SoakPlanTest.java
@@ -28,21 +28,21 @@
   void everyKindOfTroubleIsDrawnAndAllIsHealedInTheEnd() {
     Set<Kind> drawn = EnumSet.noneOf(Kind.class);
     for (SoakPlan plan : plans()) {
-      for (SoakFault trouble : plan.troubles()) {
-        drawn.add(trouble.kind());
-        assertThat(trouble.fromMs()).isLessThan(trouble.untilMs());
-        assertThat(trouble.untilMs()).isAtMost(plan.endsMs());
+      for (SoakFault fault : plan.faults()) {
+        drawn.add(fault.kind());
+        assertThat(fault.fromMs()).isLessThan(fault.untilMs());
+        assertThat(fault.untilMs()).isAtMost(plan.endsMs());
       }
     }
     assertThat(drawn).isEqualTo(EnumSet.allOf(Kind.class));
   }
 
   @Test
-  void troublesOverlapAndTwoNeverHoldOneProcess() {
+  void faultsOverlapAndTwoNeverHoldOneProcess() {
     for (SoakPlan plan : plans()) {
       int overlaps = 0;
-      for (SoakFault one : plan.troubles()) {
-        for (SoakFault another : plan.troubles()) {
+      for (SoakFault one : plan.faults()) {
+        for (SoakFault another : plan.faults()) {
           if (one == another || !one.overlaps(another)) {
             continue;
           }
