--- a/test-fleet/src/main/java/applespindle/testfleet/KnownRed.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/KnownRed.java
@@ -39,39 +39,20 @@
    */
   static Verdict judge(Map<String, Outcome> results, List<String> unreported, List<String> lines) {
     List<String> reasons = new ArrayList<>();
-    List<String> known = new ArrayList<>();
-    Map<String, String> listed = new LinkedHashMap<>();
-    for (String line : lines) {
-      if (line.isBlank()) {
-        continue;
-      }
-      String test =
-          results.keySet().stream()
-              .filter(name -> line.strip().startsWith(name + ", "))
-              .max(Comparator.comparingInt(String::length))
-              .orElse(null);
-      if (test == null) {
-        reasons.add("listed, and there is no such test: " + line.strip());
-      } else if (!line.strip().substring(test.length() + 2).matches("\\S.*, .*\\S")) {
-        reasons.add("a line of the list is not of the form test, cause, issue: " + line.strip());
-      } else if (listed.put(test, line.strip()) != null) {
-        reasons.add("listed twice: " + test);
-      }
-    }
+    Map<String, String> listed = listed(results, lines, reasons);
     if (results.isEmpty()) {
       reasons.add("no test was reported");
     }
     unreported.forEach(missing -> reasons.add("no report of " + missing));
+    List<String> known = new ArrayList<>();
     listed.forEach(
         (test, line) -> {
           Outcome outcome = results.get(test);
           if (outcome == Outcome.FAILED) {
             known.add(line);
           } else {
-            reasons.add(
-                "listed, and it "
-                    + (outcome == Outcome.PASSED ? "passes: " : "is skipped: ")
-                    + test);
+            String actual = outcome == Outcome.PASSED ? "passes: " : "is skipped: ";
+            reasons.add("listed, and it " + actual + test);
           }
         });
     results.forEach(
@@ -83,5 +64,34 @@
     return new Verdict(reasons, known);
   }
 
+  /** The lines of the list by their test; adds a reason for each line that can't be used. */
+  private static Map<String, String> listed(
+      Map<String, Outcome> results, List<String> lines, List<String> reasons) {
+    Map<String, String> listed = new LinkedHashMap<>();
+    for (String line : lines) {
+      String entry = line.strip();
+      if (entry.isEmpty()) {
+        continue;
+      }
+      String test = testOf(entry, results);
+      if (test == null) {
+        reasons.add("listed, and there is no such test: " + entry);
+      } else if (!entry.substring(test.length() + 2).matches("\\S.*, .*\\S")) {
+        reasons.add("a line of the list is not of the form test, cause, issue: " + entry);
+      } else if (listed.put(test, entry) != null) {
+        reasons.add("listed twice: " + test);
+      }
+    }
+    return listed;
+  }
+
+  /** The reported test that a line begins with, the longest if there are several; null if none. */
+  private static String testOf(String entry, Map<String, Outcome> results) {
+    return results.keySet().stream()
+        .filter(name -> entry.startsWith(name + ", "))
+        .max(Comparator.comparingInt(String::length))
+        .orElse(null);
+  }
+
   private KnownRed() {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ManyChangesProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ManyChangesProgram.java
@@ -66,11 +66,11 @@
     for (String line : Files.readAllLines(rows)) {
       String[] cells = line.split(",");
       if (!line.equals(HEAD)) {
-        String trouble =
+        String conditions =
             (cells[3].equals("0") ? "" : ", slow link")
                 + (cells[4].equals("0") ? "" : ", disk stalls 3 s")
                 + (cells[5].equals("0") ? "" : ", disk refuses 3 s");
-        String series = cells[1] + " " + cells[2].toLowerCase(java.util.Locale.ROOT) + trouble;
+        String series = cells[1] + " " + cells[2].toLowerCase(java.util.Locale.ROOT) + conditions;
         double changes = Double.parseDouble(cells[0]);
         double caughtUp = Double.parseDouble(cells[CAUGHT_UP_COLUMN]);
         double bytes = Double.parseDouble(cells[RETURN_BYTES_COLUMN]);
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ProcessScale.java
@@ -1,6 +1,5 @@
 package applespindle.testfleet.capacity;
 
-import static applespindle.corelogic.common.Json.JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.operatortool.HttpCaller.Result;
@@ -8,10 +7,7 @@
 import applespindle.testfleet.Fleet;
 import applespindle.testfleet.Fleet.Member;
 import com.fasterxml.jackson.databind.JsonNode;
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
-import java.io.OutputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -29,7 +25,7 @@
  * a few processes beside it, each a {@link LightweightEdgeHost}.
  */
 final class ProcessScale implements AutoCloseable {
-  /** A change that is not in force everywhere by then counts as this long. */
+  /** A change that is not in force everywhere by then counts as one that took this long. */
   private static final long GIVEN_UP_MS = 60_000;
 
   private static final long JOIN_MS = 180_000;
@@ -48,33 +44,7 @@
   private static final int RUNS_OF_PORTS = 10;
   private static final int PORTS_OF_FLEET = 100;
 
-  /** A process of lightweight edges; a command and its response are one line each. */
-  private static final class HostProcess {
-    final Process process;
-    final OutputStream in;
-    final BufferedReader out;
-
-    HostProcess(Process process) {
-      this.process = process;
-      this.in = process.getOutputStream();
-      this.out = new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8));
-    }
-
-    JsonNode execute(String command) {
-      try {
-        in.write((command + "\n").getBytes(UTF_8));
-        in.flush();
-        String line = out.readLine();
-        if (line == null) {
-          throw new IllegalStateException("a process of lightweight edges ended");
-        }
-        return JSON.readTree(line);
-      } catch (IOException fault) {
-        throw new IllegalStateException("a process of lightweight edges ended", fault);
-      }
-    }
-  }
-
+  /** One change; the delay of its acknowledgement is at most {@link #GIVEN_UP_MS}. */
   private record Sent(long number, long sentAtNanos, long acknowledgedMs) {}
 
   private final Measurements measured;
@@ -83,7 +53,7 @@
   private final int changesAMinute;
   private final int cutMost;
   private final Fleet fleet;
-  private final List<HostProcess> hosts = new ArrayList<>();
+  private final List<LightweightEdgeProcess> hosts = new ArrayList<>();
   private final FleetLayout layout;
   private long configurationNumber = 1;
 
@@ -93,7 +63,7 @@
       long phaseMs,
       int changesAMinute,
       int hostCount,
-      int coreHeapMegabytes,
+      int processHeapMegabytes,
       int cutMost,
       Path folder,
       String classPath,
@@ -106,7 +76,7 @@
     this.cutMost = cutMost;
     int firstPort = PORTS_FROM + run % RUNS_OF_PORTS * PORTS_OF_A_RUN;
     fleet = new Fleet(Deployment.SMALL, folder, classPath, firstPort);
-    fleet.heapMegabytes = coreHeapMegabytes;
+    fleet.heapMegabytes = processHeapMegabytes;
     Runtime.getRuntime().addShutdownHook(new Thread(this::close));
     fleet.start();
     fleet.open(JOIN_MS);
@@ -114,77 +84,21 @@
     int each = (nodes + hostCount - 1) / hostCount;
     for (int first = 0; first < nodes; first += each) {
       int count = Math.min(each, nodes - first);
-      List<String> command =
-          new ArrayList<>(
-              List.of(
-                  ProcessHandle.current().info().command().orElse("java"),
-                  "-Xmx" + hostHeapMegabytes(nodes, count) + "m",
-                  "-XX:+UseSerialGC",
-                  "-XX:TieredStopAtLevel=1",
-                  "-XX:+ExitOnOutOfMemoryError",
-                  "-cp",
-                  classPath,
-                  LightweightEdgeHost.class.getName(),
-                  Integer.toString(nodes),
-                  Integer.toString(layout.firstPort()),
-                  Integer.toString(ZONES),
-                  Integer.toString(first),
-                  Integer.toString(count)));
-      command.addAll(layout.seeds());
-      hosts.add(
-          new HostProcess(
-              new ProcessBuilder(command)
-                  .redirectError(
-                      ProcessBuilder.Redirect.appendTo(
-                          folder.resolve("hollow-" + first + ".log").toFile()))
-                  .start()));
+      hosts.add(LightweightEdgeProcess.start(layout, first, count, classPath, folder));
     }
   }
 
-  /** A table of all members in each node; measured by the slope of join-members and rounded up. */
-  static int hostHeapMegabytes(int nodes, int edges) {
-    return (int) (128 + edges * (60_000L + nodes * 2_400L) / (1 << 20));
-  }
-
-  static int totalMegabytes(int nodes, int hostCount, int coreHeapMegabytes) {
+  /** Memory of a run: the processes of lightweight edges and the nine real ones. */
+  static int totalMegabytes(int nodes, int hostCount, int processHeapMegabytes) {
     int each = (nodes + hostCount - 1) / hostCount;
-    return hostCount * (hostHeapMegabytes(nodes, each) + 60) + 9 * (coreHeapMegabytes + 60);
+    return hostCount * (LightweightEdgeProcess.heapMegabytes(nodes, each) + 60)
+        + 9 * (processHeapMegabytes + 60);
   }
 
   void run() {
-    long begunAt = System.nanoTime();
-    execute("start");
-    long joined = waitReady(nodes, JOIN_MS);
-    add(
-        "join",
-        "edge",
-        "all ready after",
-        "ms",
-        joined < nodes ? JOIN_MS : (System.nanoTime() - begunAt) / 1e6);
-    add("join", "edge", "not ready by then", "nodes", nodes - joined);
+    join();
     pause(5_000);
-    Map<String, double[]> before = meters();
-    pause(phaseMs);
-    rates("rest", before);
-    add(
-        "rest",
-        "edge",
-        "heap",
-        "B",
-        execute("heap").stream().mapToLong(answer -> answer.path("heap").asLong()).sum()
-            / (double) nodes);
-    add(
-        "rest",
-        "core",
-        "memory",
-        "MB",
-        fleet.ofRole("core").stream().mapToLong(ProcessScale::residentMegabytes).max().orElse(0));
-    add(
-        "rest",
-        "real edge",
-        "memory",
-        "MB",
-        fleet.ofRole("edge").stream().mapToLong(ProcessScale::residentMegabytes).max().orElse(0));
+    rest();
     changes("changes");
     lose("machines", node -> node % 100 == 0);
     List<Integer> rack =
@@ -200,6 +114,30 @@
     }
   }
 
+  private void join() {
+    long begunAt = System.nanoTime();
+    execute("start");
+    long joined = waitReady(nodes, JOIN_MS);
+    double joinedMs = joined < nodes ? JOIN_MS : (System.nanoTime() - begunAt) / 1e6;
+    add("join", "edge", "all ready after", "ms", joinedMs);
+    add("join", "edge", "not ready by then", "nodes", nodes - joined);
+  }
+
+  private void rest() {
+    Map<String, double[]> before = meters();
+    pause(phaseMs);
+    rates("rest", before);
+    long heapBytes =
+        execute("heap").stream().mapToLong(answer -> answer.path("heap").asLong()).sum();
+    add("rest", "edge", "heap", "B", heapBytes / (double) nodes);
+    add("rest", "core", "memory", "MB", largestResidentMegabytes("core"));
+    add("rest", "real edge", "memory", "MB", largestResidentMegabytes("edge"));
+  }
+
+  private long largestResidentMegabytes(String role) {
+    return fleet.ofRole(role).stream().mapToLong(ProcessScale::residentMegabytes).max().orElse(0);
+  }
+
   private void add(String experiment, String role, String metric, String unit, double value) {
     measured.add(experiment, role, metric, unit, "nodes", nodes, value);
     System.out.printf(
@@ -307,17 +245,18 @@
         });
   }
 
-  // ---- what is done to the fleet
+  // ---- changes and faults
 
   /** Sends one change as an operator does, again until it is acknowledged or given up. */
   private Sent send() {
     configurationNumber++;
     String configuration = new String(SyntheticConfiguration.of(configurationNumber, 10, 0), UTF_8);
     long begunAt = System.nanoTime();
-    List<Member> cores = fleet.ofRole("core");
+    List<Member> controlPlanes = fleet.ofRole("core");
     for (int attempt = 0; (System.nanoTime() - begunAt) / 1_000_000 < GIVEN_UP_MS; attempt++) {
       Result result =
-          fleet.sendConfiguration(cores.get(attempt % cores.size()).http, configuration);
+          fleet.sendConfiguration(
+              controlPlanes.get(attempt % controlPlanes.size()).http, configuration);
       if (result.good()) {
         return new Sent(configurationNumber, begunAt, (System.nanoTime() - begunAt) / 1_000_000);
       }
@@ -327,7 +266,7 @@
   }
 
   /**
-   * Changes at the target's pace for a phase, each sent at its time or once the one before was
+   * Sends changes at the rate of the target for a phase, each at its time or once the one before is
    * acknowledged.
    */
   private void changes(String experiment) {
@@ -341,36 +280,32 @@
     }
     pause(Math.max(0, phaseMs - (System.nanoTime() - begunAt) / 1_000_000));
     rates(experiment, before);
+    addDelays(experiment, sent);
+  }
+
+  private void addDelays(String experiment, List<Sent> sent) {
     List<Long> delays = new ArrayList<>();
     long unknown = 0;
     for (Sent change : sent) {
       for (JsonNode answer : execute("known " + change.number())) {
-        for (JsonNode at : answer.path("known")) {
-          if (at.asLong() < 0) {
+        for (JsonNode knownAt : answer.path("known")) {
+          if (knownAt.asLong() < 0) {
             unknown++;
           } else {
-            delays.add((at.asLong() - change.sentAtNanos()) / 1_000_000);
+            delays.add((knownAt.asLong() - change.sentAtNanos()) / 1_000_000);
           }
         }
       }
     }
     List<Long> acknowledged = sent.stream().map(Sent::acknowledgedMs).toList();
+    long medianAcknowledged = SimulatedScale.percentile(acknowledged, 50);
+    long slowestAcknowledged = SimulatedScale.percentile(acknowledged, 100);
     add(experiment, "edge", "known after, median", "ms", SimulatedScale.percentile(delays, 50));
     add(experiment, "edge", "known after, 99th", "ms", SimulatedScale.percentile(delays, 99));
     add(experiment, "edge", "known after, slowest", "ms", SimulatedScale.percentile(delays, 100));
     add(experiment, "edge", "never known by then", "changes x nodes", unknown);
-    add(
-        experiment,
-        "core",
-        "acknowledged after, median",
-        "ms",
-        SimulatedScale.percentile(acknowledged, 50));
-    add(
-        experiment,
-        "core",
-        "acknowledged after, slowest",
-        "ms",
-        SimulatedScale.percentile(acknowledged, 100));
+    add(experiment, "core", "acknowledged after, median", "ms", medianAcknowledged);
+    add(experiment, "core", "acknowledged after, slowest", "ms", slowestAcknowledged);
   }
 
   private void lose(String experiment, IntPredicate lost) {
@@ -410,7 +345,7 @@
 
   @Override
   public void close() {
-    hosts.forEach(host -> host.process.destroyForcibly());
+    hosts.forEach(LightweightEdgeProcess::close);
     fleet.close();
   }
 }
