--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
@@ -109,7 +109,7 @@
   static List<MetadataRecord> nodeRegistrations(int count) {
     List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
-      var member =
+      var registration =
           new NodeRegistration(
               String.format("%012x", index),
               1,
@@ -119,7 +119,7 @@
               "10.1." + index / 250 + "." + index % 250 + ":7001",
               "10.1." + index / 250 + "." + index % 250 + ":7000",
               true);
-      items.add(new MetadataRecord("member/" + member.id(), 1, Json.bytes(member)));
+      items.add(new MetadataRecord("member/" + registration.id(), 1, Json.bytes(registration)));
     }
     return items;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -22,7 +22,6 @@
 import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
-import applespindle.corelogic.protocol.MessageNames;
 import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.storage.StorageNode;
 import applespindle.operatortool.Signing;
@@ -34,7 +33,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
@@ -74,14 +72,6 @@
     }
   }
 
-  private record Event(long atUs, long order, Runnable task) implements Comparable<Event> {
-    @Override
-    public int compareTo(Event other) {
-      int byTime = Long.compare(atUs, other.atUs);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
-    }
-  }
-
   /** One node and the machine under it. */
   final class Machine extends StubEnvironment {
     final String name;
@@ -147,15 +137,15 @@
 
     @Override
     public long nowMs() {
-      return nowUs / MS + 1_000_000;
+      return time.nowUs() / MS + 1_000_000;
     }
 
     @Override
     public ScheduledTask schedule(long millis, Runnable task) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
-      at(
-          nowUs + millis * MS,
+      time.at(
+          time.nowUs() + millis * MS,
           () -> {
             if (!cancelled[0]) {
               enter(inLife, task);
@@ -168,11 +158,11 @@
     public void send(String peerAddress, Envelope envelope) {
       Machine target = machines.get(peerAddress);
       if (target == this) {
-        at(nowUs + 1, () -> enter(life, () -> node.receive(envelope)));
+        time.at(time.nowUs() + 1, () -> enter(life, () -> node.receive(envelope)));
         return;
       }
       byte[] frame = codec.encode(envelope);
-      meter.sent(kindOf(envelope.message()), frame.length + FRAME_HEAD_BYTES);
+      meter.sent(MessageKinds.of(envelope.message()), frame.length + FRAME_HEAD_BYTES);
       if (target != null && !target.zone.equals(zone)) {
         meter.sentBetweenZonesBytes += writtenBytes(frame);
       }
@@ -181,8 +171,8 @@
         return;
       }
       int targetLife = target.life;
-      at(
-          nowUs + delayUs(this, target),
+      time.at(
+          time.nowUs() + delayUs(this, target),
           () ->
               target.enter(
                   targetLife,
@@ -200,7 +190,7 @@
         meter.diskBytes += logRecordCodec.encode(record).length + DISK_HEAD_BYTES;
       }
       int inLife = life;
-      at(nowUs + SYNC_US, () -> enter(inLife, whenSynced));
+      time.at(time.nowUs() + SYNC_US, () -> enter(inLife, whenSynced));
     }
 
     @Override
@@ -213,8 +203,8 @@
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       running.merge(call.workerAddress(), 1, Integer::sum);
-      at(
-          nowUs + shape.runMs * MS,
+      time.at(
+          time.nowUs() + shape.runMs * MS,
           () -> {
             running.merge(call.workerAddress(), -1, Integer::sum);
             if (!cancelled[0]) {
@@ -237,8 +227,8 @@
       meter.loadReads++;
       if (shape.reports) {
         int inLife = life;
-        at(
-            nowUs + LOAD_READ_MS * MS,
+        time.at(
+            time.nowUs() + LOAD_READ_MS * MS,
             () ->
                 enter(
                     inLife,
@@ -270,7 +260,7 @@
   List<String> workerOutput = List.of("word ".repeat(40));
 
   private final Map<String, Integer> running = new HashMap<>();
-  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final SimulatedTime time = new SimulatedTime();
   private final PeerCodec codec = new PeerCodec();
   private final LogRecordCodec logRecordCodec = new LogRecordCodec();
   private final FrameDeflation deflation = new FrameDeflation();
@@ -279,9 +269,6 @@
   /** In simulated microseconds. */
   private final ConfigurationArrivals<Machine> arrivals = new ConfigurationArrivals<>();
 
-  private long nowUs;
-  private long order;
-
   MeasuredFleet(Shape shape, long seed) {
     this.shape = shape;
     this.random = new SplittableRandom(seed);
@@ -295,7 +282,9 @@
     for (int index = 0; index < shape.edges; index++) {
       edges.add(add("edge-" + (index + 1), index % zones, "edge"));
     }
-    machines.values().forEach(machine -> at(random.nextLong(START_SPREAD_MS * MS), machine::start));
+    machines
+        .values()
+        .forEach(machine -> time.at(random.nextLong(START_SPREAD_MS * MS), machine::start));
   }
 
   Machine add(String name, int zone, String role) {
@@ -305,26 +294,6 @@
     return machine;
   }
 
-  static String kindOf(Message message) {
-    if (message instanceof Message.PeerRequest request) {
-      return "Ask:" + request.operationName();
-    }
-    if (message instanceof ChangeFeedUpdate update) {
-      return kindOfNews(update);
-    }
-    return MessageNames.of(message);
-  }
-
-  private static String kindOfNews(ChangeFeedUpdate update) {
-    if (update.records().isEmpty()) {
-      return "FeedNews:none";
-    }
-    if (update.relayed()) {
-      return "FeedNews:relayed";
-    }
-    return update.snapshot() ? "FeedNews:checkpoint" : "FeedNews:changes";
-  }
-
   private static long delayUs(Machine from, Machine to) {
     if (from.zone.equals(to.zone)) {
       return WITHIN_ZONE_US;
@@ -347,43 +316,23 @@
 
   private void recordArrival(Machine machine, Message message) {
     if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate update) {
-      arrivals.record(machine, update, nowUs);
+      arrivals.record(machine, update, time.nowUs());
     }
   }
 
   // ---- time
 
   long nowMs() {
-    return nowUs / MS;
-  }
-
-  void at(long atUs, Runnable task) {
-    events.add(new Event(Math.max(atUs, nowUs), order++, task));
+    return time.nowMs();
   }
 
   void runFor(long millis) {
-    long untilUs = nowUs + millis * MS;
-    while (!events.isEmpty() && events.peek().atUs() <= untilUs) {
-      Event event = events.poll();
-      nowUs = event.atUs();
-      event.task().run();
-    }
-    nowUs = untilUs;
+    time.runFor(millis);
   }
 
-  /**
-   * Runs until the condition holds, checked every 100 simulated ms; false if it does not within the
-   * limit.
-   */
+  /** As {@link SimulatedTime#runUntil}. */
   boolean runUntil(BooleanSupplier condition, long mostMs) {
-    long endsAt = nowMs() + mostMs;
-    while (!condition.getAsBoolean()) {
-      if (nowMs() >= endsAt) {
-        return false;
-      }
-      runFor(100);
-    }
-    return true;
+    return time.runUntil(condition, mostMs);
   }
 
   // ---- what operators do
@@ -412,15 +361,16 @@
                 key,
                 body,
                 response ->
-                    at(
-                        nowUs,
+                    time.at(
+                        time.nowUs(),
                         () -> {
                           if (response.isSuccess()
                               || response.status() == 409
                               || response.status() == 400) {
                             then.accept(response);
                           } else {
-                            at(nowUs + 300 * MS, () -> command(operation, key, body, then));
+                            time.at(
+                                time.nowUs() + 300 * MS, () -> command(operation, key, body, then));
                           }
                         })));
   }
