--- a/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
@@ -340,15 +340,16 @@
               StringBuilder text = new StringBuilder();
               return read(response.takeBodyStream(), text)
                   .map(
-                      whole -> {
+                      complete -> {
                         then.accept(
-                            whole ? response.getCode() : -response.getCode(), text.toString());
+                            complete ? response.getCode() : -response.getCode(), text.toString());
                         return (Void) null;
                       });
             })
         .whenException(fault -> then.accept(0, ""));
   }
 
+  /** Reads a stream to its end; false if it broke off. */
   private static Promise<Boolean> read(ChannelSupplier<ByteBuf> stream, StringBuilder text) {
     return stream
         .get()
@@ -413,14 +414,7 @@
         body,
         headers,
         (status, text) -> {
-          String output = stream ? streamed(text) : tree(text).at("/choices/0/text").asText("");
-          boolean complete = status == 200 && (!stream || text.endsWith("data: [DONE]\n\n"));
-          String detail = "complete";
-          if (!complete) {
-            detail = Math.abs(status) == 200 ? "cut" : tree(text).path("type").asText("cut");
-          }
-          see(Kind.LIVE_ANSWERED, id, detail, output, Math.abs(status));
-          if (complete) {
+          if (seeLiveResponse(id, status, text, stream)) {
             latencies
                 .computeIfAbsent(trafficClass, unseen -> new ArrayList<>())
                 .add(EmulatedWorkers.nowMs() - sentAt);
@@ -428,6 +422,18 @@
         });
   }
 
+  /** Records the response to a live request; false if it is not complete. */
+  private boolean seeLiveResponse(String id, int status, String text, boolean stream) {
+    String output = stream ? streamed(text) : tree(text).at("/choices/0/text").asText("");
+    boolean complete = status == 200 && (!stream || text.endsWith("data: [DONE]\n\n"));
+    String detail = "complete";
+    if (!complete) {
+      detail = Math.abs(status) == 200 ? "cut" : tree(text).path("type").asText("cut");
+    }
+    see(Kind.LIVE_ANSWERED, id, detail, output, Math.abs(status));
+    return complete;
+  }
+
   private static String streamed(String text) {
     StringBuilder output = new StringBuilder();
     for (String line : text.split("\n")) {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/ScaleCommand.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/ScaleCommand.java
@@ -56,6 +56,14 @@
         .type(Integer.class)
         .setDefault(27)
         .help("27 a minute are 39,000 a day");
+    addProcessArguments(scale);
+    scale
+        .addArgument("--out")
+        .metavar("FOLDER")
+        .help("where scale.json, .csv and pictures go; nothing is kept without it");
+  }
+
+  private static void addProcessArguments(Subparser scale) {
     scale
         .addArgument("--processes")
         .action(Arguments.storeTrue())
@@ -80,10 +88,6 @@
         .addArgument("--folder")
         .setDefault("capacity-data")
         .help("where the real processes keep data and logs; must not exist");
-    scale
-        .addArgument("--out")
-        .metavar("FOLDER")
-        .help("where scale.json, .csv and pictures go; nothing is kept without it");
   }
 
   static void run(Namespace flags, String command) throws RefusedException, IOException {
