--- a/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
@@ -218,11 +218,11 @@
       workers.add("w" + (index + 1), address());
     }
     workers.start();
-    List<PeerAddress> cores = new ArrayList<>();
+    List<PeerAddress> controlPlanes = new ArrayList<>();
     for (int index = 0; index < ZONES; index++) {
-      PeerAddress core = peerAddress("core-" + (index + 1));
-      cores.add(core);
-      controlPlanePeers.add(core.advertised());
+      PeerAddress controlPlane = peerAddress("core-" + (index + 1));
+      controlPlanes.add(controlPlane);
+      controlPlanePeers.add(controlPlane.advertised());
     }
     ObjectNode startup = JSON.createObjectNode();
     startup.putObject("operatorKeys").put("operator", keys.publicKey());
@@ -234,7 +234,7 @@
           "core-" + (zone + 1),
           zone,
           ControlPlane.class,
-          cores.get(zone),
+          controlPlanes.get(zone),
           true,
           "--startup",
           file.toString());
@@ -313,11 +313,14 @@
    * then waits until all processes are ready.
    */
   public void open(long mostMs) {
-    String core = ofRole("core").get(0).http;
-    awaitTrue("the core", mostMs, () -> allAlive() && caller.get(core, "/ready").good());
+    String controlPlane = ofRole("core").get(0).http;
+    awaitTrue("the core", mostMs, () -> allAlive() && caller.get(controlPlane, "/ready").good());
     awaitTrue(
-        "the worker list", mostMs, () -> caller.put(core, "/v1/workers", workerList()).good());
-    awaitTrue("the bundle", mostMs, () -> sendConfiguration(core, deployment.bundle(1)).good());
+        "the worker list",
+        mostMs,
+        () -> caller.put(controlPlane, "/v1/workers", workerList()).good());
+    awaitTrue(
+        "the bundle", mostMs, () -> sendConfiguration(controlPlane, deployment.bundle(1)).good());
     awaitTrue(
         "all nodes",
         mostMs,
@@ -358,10 +361,10 @@
    * Sends a configuration as an operator does: repeats the same bytes until the response is
    * definite.
    */
-  void rollOut(long number, String bundle) {
+  void rollOut(long number, String configuration) {
     history.add(
         EmulatedWorkers.nowMs(), History.Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
-    Deployment.pools(bundle)
+    Deployment.pools(configuration)
         .forEach(
             (trafficClass, pool) ->
                 history.add(
@@ -374,20 +377,21 @@
     untilCertain(
         History.Kind.BUNDLE_ANSWERED,
         Long.toString(number),
-        core -> sendConfiguration(core, bundle));
+        controlPlane -> sendConfiguration(controlPlane, configuration));
   }
 
   void markLeaving(String worker) {
     untilCertain(
         History.Kind.LEAVING_ANSWERED,
         worker,
-        core -> caller.post(core, "/v1/workers/" + worker + "/leaving", new byte[0], Map.of()));
+        controlPlane ->
+            caller.post(controlPlane, "/v1/workers/" + worker + "/leaving", new byte[0], Map.of()));
   }
 
   private void untilCertain(History.Kind kind, String subject, Function<String, Result> command) {
     for (int attempt = 0; attempt < COMMAND_TRIES; attempt++) {
-      List<Member> cores = ofRole("core");
-      Result result = command.apply(cores.get(attempt % cores.size()).http);
+      List<Member> controlPlanes = ofRole("core");
+      Result result = command.apply(controlPlanes.get(attempt % controlPlanes.size()).http);
       history.add(
           EmulatedWorkers.nowMs(),
           kind,
@@ -401,10 +405,10 @@
     }
   }
 
-  public Result sendConfiguration(String core, String bundle) {
-    byte[] bytes = bundle.getBytes(UTF_8);
+  public Result sendConfiguration(String controlPlane, String configuration) {
+    byte[] bytes = configuration.getBytes(UTF_8);
     return caller.post(
-        core,
+        controlPlane,
         "/v1/bundles",
         bytes,
         Map.of(
