--- a/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
+++ b/core-logic/src/main/java/applespindle/corelogic/batch/BatchDispatcher.java
@@ -14,7 +14,7 @@
 
 /**
  * The dispatcher of batch items at an edge, for the workers that this edge dispatches to. It takes
- * the messages of batch leaders and does the regular duties; {@link WorkerDispatcher} sends the
+ * the messages of batch leaders and does the periodic work; {@link WorkerDispatcher} sends the
  * items.
  *
  * <p>A range is requested after its batch was offered, held from its assignment, and forgotten once
@@ -30,7 +30,7 @@
     /** Whether this edge is the one that dispatches batch items to the worker. */
     boolean dispatchesTo(String worker);
 
-    /** Why no work may be started now, or null; asked right before each item is sent. */
+    /** The error that forbids new work now, or null; checked right before each item is sent. */
     ApiError rejectionOfNewWork();
 
     /** The configuration this edge works by, or null. */
@@ -44,7 +44,7 @@
   }
 
   /** After so many lease times a range without outcomes is forgotten. */
-  private static final int LAPSED_LEASES = 4;
+  private static final int ABANDONED_AFTER_LEASES = 4;
 
   private final Environment environment;
   private final WorkerRegistry registry;
@@ -122,7 +122,7 @@
     ranges.removeIfDone(range);
   }
 
-  // ---- regular duties
+  // ---- periodic work
 
   /** Sends as many items to each worker as it has capacity for, and requests ranges. */
   public void dispatch() {
@@ -143,7 +143,7 @@
       if (range.isReportDue(now)) {
         reporter.report(range);
       }
-      if (isLapsed(range, now)) {
+      if (isAbandoned(range, now)) {
         ranges.remove(range);
       }
     }
@@ -151,10 +151,10 @@
   }
 
   /** Nothing of the range runs, and its lease ended so long ago that no response will come. */
-  private static boolean isLapsed(AssignedRange range, long now) {
+  private static boolean isAbandoned(AssignedRange range, long now) {
     long lapsedMs = now - range.leaseEndsAt;
     return range.running.isEmpty()
-        && lapsedMs > LAPSED_LEASES * BatchConstants.RANGE_LEASE_MS
+        && lapsedMs > ABANDONED_AFTER_LEASES * BatchConstants.RANGE_LEASE_MS
         && (range.unacknowledged.isEmpty() || lapsedMs > BatchConstants.OUTCOME_RETENTION_MS);
   }
 
--- a/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
+++ b/core-logic/src/main/java/applespindle/corelogic/dataplane/DataPlaneNode.java
@@ -58,21 +58,21 @@
   private boolean started;
   private long startedAt;
 
-  /** When the present feed source was last heard, or chosen. */
-  private long sourceHeardAt;
+  /** When the last fresh update came from the present feed source, or when that was chosen. */
+  private long lastSourceContactAt;
 
-  /** At this time, on this node's clock, all that was acknowledged was known here. */
+  /** The latest time, on this node's clock, at which every acknowledged update was known here. */
   private long upToDateAt = NEVER;
 
   /** Whether an update came from the control plane itself since the start. */
   private boolean receivedFromControlPlane;
 
-  private long controlPlaneHeardAt = NEVER;
+  private long lastControlPlaneContactAt = NEVER;
 
-  /** Which of the members is asked next where the control plane is. */
-  private int nextAskedMember;
+  /** Index of the node of the data plane that gets the next discovery request. */
+  private int nextDiscoveryTarget;
 
-  /** Null after the members have changed, until it is asked for. */
+  /** Computed when it is needed; null after the members have changed. */
   private BatchLeaderPlacement leaderPlacement;
 
   protected DataPlaneNode(Environment environment, NodeIdentity identity, NodeSettings settings) {
@@ -93,33 +93,33 @@
   public void start() {
     started = true;
     startedAt = environment.nowMs();
-    sourceHeardAt = startedAt;
+    lastSourceContactAt = startedAt;
     discoverControlPlane();
     pollUntilFirstUpdate();
     repeatEvery(ChangeFeedConstants.POLL_INTERVAL_MS, this::pollFeed);
     repeatEvery(MembershipConstants.LEASE_RENEWAL_INTERVAL_MS, this::renewLease);
     repeatEvery(ChangeFeedConstants.NEAREST_SOURCE_CHECK_INTERVAL_MS, this::probePreferredSource);
-    repeatEvery(MembershipConstants.LEASE_DURATION_MS, this::discoverControlPlaneIfSilent);
+    repeatEvery(MembershipConstants.LEASE_DURATION_MS, this::discoverControlPlaneAfterTimeout);
   }
 
   // ---- finding the control plane
 
-  private void discoverControlPlaneIfSilent() {
-    if (environment.nowMs() - controlPlaneHeardAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
+  private void discoverControlPlaneAfterTimeout() {
+    if (environment.nowMs() - lastControlPlaneContactAt > ChangeFeedConstants.SOURCE_TIMEOUT_MS) {
       discoverControlPlane();
     }
   }
 
   /**
-   * Seeds and members may be stale or down: all seeds and all known control plane members are
-   * asked, and a few of the other members in turn, so that the messages of a large fleet grow only
-   * with its nodes.
+   * Sends discovery requests to all seeds and all known control plane members, any of which may be
+   * stale or down, and to a few of the other nodes in turn: the number of messages grows only in
+   * proportion to the nodes of the fleet.
    */
   private void discoverControlPlane() {
     List<NodeRegistration> known = List.copyOf(members().values());
     int asked = Math.min(ChangeFeedConstants.DISCOVERY_FANOUT, known.size());
     for (int count = 0; count < asked; count++) {
-      NodeRegistration member = known.get(Math.floorMod(nextAskedMember++, known.size()));
+      NodeRegistration member = known.get(Math.floorMod(nextDiscoveryTarget++, known.size()));
       send(member.peerAddress(), "", new QuorumDiscoveryRequest());
     }
     seeds.forEach(seed -> send(seed, "", new QuorumDiscoveryRequest()));
@@ -128,19 +128,19 @@
         .forEach(member -> send(member.peerAddress(), member.id(), new QuorumDiscoveryRequest()));
   }
 
-  /** The first membership: the feed is polled and the lease asked for at once. */
+  /** Called with the first membership: polls the feed and requests the lease immediately. */
   @Override
   protected void learnMembership(QuorumMembership learned) {
     boolean first = membership.members().isEmpty();
     super.learnMembership(learned);
     if (started && first && !membership.members().isEmpty()) {
-      sourceHeardAt = environment.nowMs();
+      lastSourceContactAt = environment.nowMs();
       pollFeed();
       renewLease();
     }
   }
 
-  /** Asks the followed member first, then the others in turn. */
+  /** Sends a request to the control plane: to the followed member first, then to others in turn. */
   public void requestControlPlane(
       Operation operation, String key, Object body, long expiryMs, Consumer<Response> callback) {
     sendRequest(this::controlPlaneMember, operation, key, body, expiryMs, callback);
@@ -182,8 +182,8 @@
   // ---- polling the feed
 
   /**
-   * A node without metadata can serve nobody: it polls often, and waits only shortly for a control
-   * plane member that does not answer.
+   * Polls at a short interval until the first update, without which the node cannot serve, and
+   * switches sooner to another control plane member if one does not answer.
    */
   private void pollUntilFirstUpdate() {
     environment.schedule(
@@ -200,9 +200,9 @@
   }
 
   private void switchSourceAfter(long timeoutMs) {
-    if (environment.nowMs() - sourceHeardAt > timeoutMs) {
+    if (environment.nowMs() - lastSourceContactAt > timeoutMs) {
       feedSource.chooseNext();
-      sourceHeardAt = environment.nowMs();
+      lastSourceContactAt = environment.nowMs();
     }
   }
 
@@ -217,7 +217,7 @@
         source.peerAddress(),
         source.id(),
         poll(feedSource.sourceId(), feedSource.incarnation(), feedSource.position()));
-    long silentMs = Math.max(feedAge(), environment.nowMs() - controlPlaneHeardAt);
+    long silentMs = Math.max(feedAge(), environment.nowMs() - lastControlPlaneContactAt);
     if (receivedFromControlPlane && silentMs > ChangeFeedConstants.PEER_EDGE_POLL_AFTER_MS) {
       pollPeerEdges();
     }
@@ -238,9 +238,9 @@
   }
 
   /**
-   * While the control plane is silent every peer edge is polled, as a majority of them decides
-   * whether this node goes on. A few in turn get this node's positions: one that reaches the
-   * control plane forwards them.
+   * Polls every peer edge while the control plane does not answer, because this node may then begin
+   * new work only if it reaches a majority of the listed edges. A few of them in turn also get this
+   * node's positions, which an edge that reaches the control plane forwards.
    */
   private void pollPeerEdges() {
     List<String> addresses = peerEdgeAddresses();
@@ -256,8 +256,8 @@
   }
 
   /**
-   * A node that had to turn to a member of another zone polls the preferred one now and then, and
-   * follows it from its answer on.
+   * Polls the preferred member at long intervals while this node follows one of another zone; the
+   * preferred one is followed again as soon as it answers.
    */
   private void probePreferredSource() {
     if (receivedFromControlPlane
@@ -283,7 +283,7 @@
     }
   }
 
-  /** Answers a peer edge that does not hear the control plane. */
+  /** Responds to a peer edge that has no contact with the control plane. */
   private void handlePoll(ChangeFeedPoll poll, String fromId, String fromAddress) {
     if (!receivedFromControlPlane) {
       return;
@@ -331,7 +331,7 @@
     }
     boolean fresh = isFresh(update);
     if (fresh) {
-      sourceHeardAt = environment.nowMs();
+      lastSourceContactAt = environment.nowMs();
     }
     feedSource.advance(update, fresh);
     return true;
@@ -341,7 +341,7 @@
     return update.ageMs() < MembershipConstants.QUORUM_PEER_TIMEOUT_MS;
   }
 
-  /** Applies what is newer; the positions of those keys whose updates are acknowledged. */
+  /** Applies the newer records; returns the positions of those whose updates are acknowledged. */
   private List<KeyPosition> applyRecords(List<MetadataRecord> records) {
     List<KeyPosition> applied = new ArrayList<>();
     for (MetadataRecord metadataRecord : records) {
@@ -383,14 +383,14 @@
       long tookMs = environment.nowMs() - startedAt;
       environment.log(LOG_PART, "First update applied " + tookMs + " ms after the start.");
     }
-    controlPlaneHeardAt = Math.max(controlPlaneHeardAt, update.echoedAt());
+    lastControlPlaneContactAt = Math.max(lastControlPlaneContactAt, update.echoedAt());
   }
 
   private void reportApplied(List<String> addresses) {
     reportApplied(addresses, metadata.acknowledgedPositions());
   }
 
-  /** Reports what this edge has applied, unless it knows only what peer edges sent. */
+  /** Reports the applied positions, but not before the first update of the control plane itself. */
   private void reportApplied(List<String> addresses, List<KeyPosition> positions) {
     if (!receivedFromControlPlane || !identity.role().equals(EDGE_ROLE)) {
       return;
@@ -412,9 +412,9 @@
 
   /**
    * Whether this node must not begin new work: its metadata is stale, and it does not reach a
-   * majority of the listed edges. If it does, it is the control plane that is cut off and live
-   * traffic goes on: whatever was acknowledged is known to one of that majority, and by its answer
-   * here.
+   * majority of the listed edges. If it does reach one, the control plane is cut off, and live
+   * traffic continues: every acknowledged update is known to an edge of that majority, and through
+   * its response to this node.
    */
   public boolean isIsolated() {
     return isFeedStale()
@@ -428,7 +428,7 @@
         && environment.nowMs() - startedAt < LifecycleConstants.MAX_STARTUP_MS;
   }
 
-  // ---- what subclasses work by
+  // ---- for subclasses
 
   /** Called once, when the first update of the control plane itself was applied. */
   protected void firstUpdateApplied() {}
@@ -477,15 +477,15 @@
   // ---- readiness and status
 
   @Override
-  public String notReadyBecause() {
+  public String notReadyReason() {
     if (stopping) {
       return "stopping";
     }
-    return hasLease() ? notServingBecause() : "no grant from the core";
+    return hasLease() ? notServingReason() : "no grant from the core";
   }
 
   /** Empty if all metadata that serving takes is here, else what is missing. */
-  protected String notServingBecause() {
+  protected String notServingReason() {
     if (isFeedStale()) {
       return "the feed is stale";
     }
--- a/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
+++ b/core-logic/src/main/java/applespindle/corelogic/edge/BatchLeaders.java
@@ -22,7 +22,8 @@
 
 /**
  * The batches that this edge leads, and its elections to lead others. Invariant: a batch is listed
- * from a won election until its leadership is lost, transferred or given up.
+ * from a won election until its leadership is lost or resigned, which is also how a transfer
+ * begins.
  */
 final class BatchLeaders {
   private static final String LOG_PART = "edge";
@@ -71,11 +72,11 @@
   /**
    * Stands for election as the leader of a key, unless this edge leads it.
    *
-   * @param transferred whether the former leader gave the key to this edge
+   * @param transferred whether the former leader transferred the key to this edge
    */
   void elect(String key, boolean transferred, Consumer<ElectionOutcome> callback) {
     BatchLeader present = leaders.get(key);
-    if (present != null && present.leader.isLeading()) {
+    if (present != null && present.logLeader.isLeading()) {
       callback.accept(
           new ElectionOutcome(
               ElectionResult.ELECTED, edge.identity().id(), edge.identity().peerAddress()));
@@ -111,13 +112,13 @@
   void handleAppendResponse(AppendResponse response, String fromId) {
     BatchLeader leader = leaders.get(response.key());
     ReplicatedLogLeader logLeader =
-        leader != null ? leader.leader : elections.inProgress(response.key());
+        leader != null ? leader.logLeader : elections.inProgress(response.key());
     if (logLeader != null) {
       logLeader.handleAppendResponse(response, fromId);
     }
   }
 
-  /** The former leader gives a batch to this edge. */
+  /** The former leader transfers a batch to this edge, which stands for election. */
   void acceptTransfer(LeadershipTransfer transfer) {
     if (!edge.isStopping() && !leaders.containsKey(transfer.key())) {
       elect(transfer.key(), true, outcome -> {});
@@ -127,7 +128,7 @@
   /** The replicas of a shard have changed. */
   void reconfigure(String shardKey) {
     leaders.values().stream()
-        .map(leader -> leader.leader)
+        .map(leader -> leader.logLeader)
         .filter(logLeader -> MetadataKeys.shardOf(logLeader.key).equals(shardKey))
         .toList()
         .forEach(logLeader -> logLeader.reconfigure(edge.replicaConfigurationOf(logLeader.key)));
@@ -146,14 +147,14 @@
   }
 
   private void resign(BatchLeader leader) {
-    leader.leader.resign();
-    leaders.remove(leader.leader.key);
+    leader.logLeader.resign();
+    leaders.remove(leader.logLeader.key);
     leader.leadershipLost();
   }
 
   /**
-   * Leads on a batch whose leader is gone. Of one that was reserved but never accepted it makes the
-   * rejection lasting; of one that has ended it releases the capacity.
+   * Stands for election to lead a batch whose leader has failed. If the batch has a reservation but
+   * was never accepted, its rejection is made permanent; if it has ended, its capacity is released.
    */
   void recoverLeaderless(String key) {
     if (edge.isStopping() || edge.isIsolated()) {
@@ -189,17 +190,17 @@
 
   // ---- shutdown and status
 
-  /** Gives every batch up; the open ones to the edge that is to lead them next. */
+  /** Resigns from every batch, and transfers the open ones to the next edges in their order. */
   void transferAll(BatchDispatcher batchDispatcher) {
     for (BatchLeader leader : List.copyOf(leaders.values())) {
-      NodeAddress successor = successorFor(leader.leader.key);
+      NodeAddress successor = successorFor(leader.logLeader.key);
       resign(leader);
       if (successor != null && leader.batchState.isOpen()) {
         edge.send(
             successor.address(),
             successor.id(),
             new LeadershipTransfer(
-                leader.leader.key, leader.leader.epoch(), leader.leader.lastSequence()));
+                leader.logLeader.key, leader.logLeader.epoch(), leader.logLeader.lastSequence()));
         batchDispatcher.leaderMoved(leader.batch, successor.id(), successor.address());
         environment.log("batch", "Leadership transferred: batch=" + leader.batch + ".");
       }
@@ -225,7 +226,7 @@
                 leader.batch,
                 leader.batchState.state()
                     + ", epoch "
-                    + leader.leader.epoch().counter()
+                    + leader.logLeader.epoch().counter()
                     + ", recorded "
                     + leader.batchState.results.size()
                     + " of "
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightEdgeHost.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/LightweightEdgeHost.java
@@ -93,7 +93,7 @@
           answer.put(
               "ready",
               edges.stream()
-                  .filter(edge -> edge.up && edge.node.notReadyBecause().isEmpty())
+                  .filter(edge -> edge.up && edge.node.notReadyReason().isEmpty())
                   .count());
       case "known" -> {
         ArrayNode rows = answer.putArray("known");
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/SimulatedScale.java
@@ -234,6 +234,6 @@
   }
 
   private static boolean allReady(List<Machine> machines) {
-    return machines.stream().allMatch(machine -> machine.node.notReadyBecause().isEmpty());
+    return machines.stream().allMatch(machine -> machine.node.notReadyReason().isEmpty());
   }
 }
