--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -132,13 +132,13 @@
    * @param maxCachedTokens a worker's memory for prompts, in tokens
    */
   public record Pool(
-      /** A pool whose workers' slots, connections and memory are not known. */
       @Min(16) @Max(100_000) int prefixBlockChars,
       @Min(1) @Max(64) int prefixBlocks,
       @DecimalMin("1.0") @DecimalMax("10.0") double loadFactor,
       @Min(0) Integer slots,
       @JsonProperty("connectionsMost") @Min(0) Integer maxConnections,
       @JsonProperty("keptTokensMost") @Min(0) Long maxCachedTokens) {
+    /** A pool whose workers' slots, connections and memory are not known. */
     public Pool(int prefixBlockChars, int prefixBlocks, double loadFactor) {
       this(prefixBlockChars, prefixBlocks, loadFactor, null, null, null);
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/IsolatedNode.java
@@ -2,16 +2,13 @@
 
 import applespindle.adapters.PeerCodec;
 import applespindle.adapters.UnreadableFrameException;
-import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.common.Json;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.edge.EdgeNode;
-import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
 import applespindle.corelogic.environment.Environment.WorkerCall;
 import applespindle.corelogic.environment.Environment.WorkerCallHandle;
 import applespindle.corelogic.environment.Environment.WorkerCallListener;
-import applespindle.corelogic.environment.Environment.WorkerLoad;
 import applespindle.corelogic.log.LogRecord;
 import applespindle.corelogic.metadata.NodeRegistration;
 import applespindle.corelogic.metadata.QuorumMember;
@@ -29,39 +26,37 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.Function;
-import java.util.random.RandomGenerator;
 
 /**
- * One node that is told things and whose own words go nowhere: for what it holds and what taking it
- * in costs.
+ * One node without peers: messages are delivered to it, and those it sends are counted and dropped.
+ * Measures what the node holds and what processing of a message costs.
  */
-final class IsolatedNode implements Environment {
+final class IsolatedNode extends StubEnvironment {
   private static final int FRAME_HEAD_BYTES = 4;
   private final PeerCodec codec = new PeerCodec();
-  private final RandomGenerator random = new SplittableRandom(1);
   final Node node;
   long sentBytes;
 
   IsolatedNode(Function<IsolatedNode, Node> maker) {
+    super(new SplittableRandom(1));
     this.node = maker.apply(this);
   }
 
   static IsolatedNode edge() {
-    return new IsolatedNode(surroundings -> new EdgeNode(surroundings, place("edge")));
+    return new IsolatedNode(surroundings -> new EdgeNode(surroundings, identity("edge")));
   }
 
   static IsolatedNode storage() {
-    return new IsolatedNode(surroundings -> new StorageNode(surroundings, place("storage")));
+    return new IsolatedNode(surroundings -> new StorageNode(surroundings, identity("storage")));
   }
 
-  static IsolatedNode core() {
+  static IsolatedNode controlPlane() {
     return new IsolatedNode(
-        surroundings -> new ControlPlaneNode(surroundings, place("core"), Map.of(), List.of()));
+        surroundings -> new ControlPlaneNode(surroundings, identity("core"), Map.of(), List.of()));
   }
 
-  private static NodeIdentity place(String role) {
+  private static NodeIdentity identity(String role) {
     return new NodeIdentity(
         "0123456789ab",
         1,
@@ -74,10 +69,10 @@
   }
 
   /**
-   * What the node gets has been through the codec, so that it shares nothing with what the teller
-   * holds.
+   * Delivers a message to the node. It goes through the codec, so that the node shares no object
+   * with the caller.
    */
-  void tell(Message message) {
+  void deliver(Message message) {
     try {
       byte[] frame = codec.encode(new Envelope("core00000001", "10.0.1.1:7000", "", message));
       node.receive(codec.decode(frame));
@@ -91,7 +86,7 @@
         + FRAME_HEAD_BYTES;
   }
 
-  static Message roster() {
+  static Message quorumDiscovery() {
     List<QuorumMember> members = new ArrayList<>();
     for (int index = 1; index <= 3; index++) {
       members.add(
@@ -106,15 +101,15 @@
         1, Json.bytes(new QuorumMembership(1, members, List.of())));
   }
 
-  static Message checkpoint(List<MetadataRecord> items) {
+  static Message snapshot(List<MetadataRecord> items) {
     return new ChangeFeedUpdate(
         "core00000001", 1, 0, items.size(), true, false, 0, 1_000_000, items);
   }
 
-  static List<MetadataRecord> members(int count) {
+  static List<MetadataRecord> nodeRegistrations(int count) {
     List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
-      var member =
+      var registration =
           new NodeRegistration(
               String.format("%012x", index),
               1,
@@ -124,12 +119,12 @@
               "10.1." + index / 250 + "." + index % 250 + ":7001",
               "10.1." + index / 250 + "." + index % 250 + ":7000",
               true);
-      items.add(new MetadataRecord("member/" + member.id(), 1, Json.bytes(member)));
+      items.add(new MetadataRecord("member/" + registration.id(), 1, Json.bytes(registration)));
     }
     return items;
   }
 
-  static List<MetadataRecord> workers(int count) {
+  static List<MetadataRecord> workerRegistrations(int count) {
     List<MetadataRecord> items = new ArrayList<>();
     for (int index = 0; index < count; index++) {
       var worker =
@@ -145,14 +140,14 @@
     return items;
   }
 
-  static MetadataRecord bundle(long number, byte[] bytes) {
+  static MetadataRecord configuration(long number, byte[] bytes) {
     return new MetadataRecord(
         "bundle",
         number,
         Json.bytes(new SignedConfiguration(number, bytes, "operator", new byte[64])));
   }
 
-  // ---- ports: nothing comes back
+  // ---- environment: no call has an effect
 
   @Override
   public long nowMs() {
@@ -183,16 +178,4 @@
   public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
     return () -> {};
   }
-
-  @Override
-  public void readLoad(
-      String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {}
-
-  @Override
-  public RandomGenerator random() {
-    return random;
-  }
-
-  @Override
-  public void log(String part, String sentence) {}
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/MeasuredFleet.java
@@ -1,7 +1,5 @@
 package applespindle.testfleet.capacity;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
 import applespindle.adapters.FrameDeflation;
 import applespindle.adapters.LogRecordCodec;
 import applespindle.adapters.PeerCodec;
@@ -11,7 +9,6 @@
 import applespindle.corelogic.constants.PeerConnectionConstants;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.edge.EdgeNode;
-import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
 import applespindle.corelogic.environment.Environment.WorkerCall;
 import applespindle.corelogic.environment.Environment.WorkerCallHandle;
@@ -25,24 +22,23 @@
 import applespindle.corelogic.protocol.Envelope;
 import applespindle.corelogic.protocol.Message;
 import applespindle.corelogic.protocol.Message.ChangeFeedUpdate;
-import applespindle.corelogic.protocol.Message.MetadataRecord;
-import applespindle.corelogic.protocol.MessageNames;
 import applespindle.corelogic.protocol.Operation;
 import applespindle.corelogic.storage.StorageNode;
 import applespindle.operatortool.Signing;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
+import java.util.Base64;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import java.util.random.RandomGenerator;
+import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 
 /**
@@ -59,7 +55,7 @@
   private static final long SYNC_US = 3_000;
   private static final long LOAD_READ_MS = 1;
 
-  /** Machines come up over this long, so that their beats do not fall on one instant. */
+  /** Machines come up over this long, so that their heartbeats do not fall together. */
   private static final long START_SPREAD_MS = 500;
 
   private static final int LISTED_AT_ONCE = 10;
@@ -76,16 +72,8 @@
     }
   }
 
-  private record Event(long atUs, long order, Runnable task) implements Comparable<Event> {
-    @Override
-    public int compareTo(Event other) {
-      int byTime = Long.compare(atUs, other.atUs);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
-    }
-  }
-
   /** One node and the machine under it. */
-  final class Machine implements Environment {
+  final class Machine extends StubEnvironment {
     final String name;
     final String zone;
     final String region;
@@ -94,15 +82,13 @@
     Node node;
     boolean up;
     private int life;
-    private final SplittableRandom random;
-    private final Map<String, Integer> runningAt = new HashMap<>();
 
     Machine(String name, String region, String zone, String role, SplittableRandom random) {
+      super(random);
       this.name = name;
       this.region = region;
       this.zone = zone;
       this.role = role;
-      this.random = random;
     }
 
     void start() {
@@ -110,18 +96,19 @@
       life++;
       var identity =
           new NodeIdentity(
-              name + "-" + life + "-" + Integer.toHexString(random.nextInt(1 << 20)),
+              name + "-" + life + "-" + Integer.toHexString(random().nextInt(1 << 20)),
               life,
               name,
               zone,
               role,
               name,
               name + "/http",
-              CORE);
+              CONTROL_PLANE);
       node =
           switch (role) {
             case "core" ->
-                new ControlPlaneNode(this, identity, Map.of("operator", KEYS.publicKey()), CORE);
+                new ControlPlaneNode(
+                    this, identity, Map.of("operator", KEYS.publicKey()), CONTROL_PLANE);
             case "storage" -> new StorageNode(this, identity);
             default -> new EdgeNode(this, identity);
           };
@@ -150,15 +137,15 @@
 
     @Override
     public long nowMs() {
-      return nowUs / MS + 1_000_000;
+      return time.nowUs() / MS + 1_000_000;
     }
 
     @Override
     public ScheduledTask schedule(long millis, Runnable task) {
       int inLife = life;
       boolean[] cancelled = new boolean[1];
-      at(
-          nowUs + millis * MS,
+      time.at(
+          time.nowUs() + millis * MS,
           () -> {
             if (!cancelled[0]) {
               enter(inLife, task);
@@ -171,11 +158,11 @@
     public void send(String peerAddress, Envelope envelope) {
       Machine target = machines.get(peerAddress);
       if (target == this) {
-        at(nowUs + 1, () -> enter(life, () -> node.receive(envelope)));
+        time.at(time.nowUs() + 1, () -> enter(life, () -> node.receive(envelope)));
         return;
       }
       byte[] frame = codec.encode(envelope);
-      meter.sent(kindOf(envelope.message()), frame.length + FRAME_HEAD_BYTES);
+      meter.sent(MessageKinds.of(envelope.message()), frame.length + FRAME_HEAD_BYTES);
       if (target != null && !target.zone.equals(zone)) {
         meter.sentBetweenZonesBytes += writtenBytes(frame);
       }
@@ -184,8 +171,8 @@
         return;
       }
       int targetLife = target.life;
-      at(
-          nowUs + delayUs(this, target),
+      time.at(
+          time.nowUs() + delayUs(this, target),
           () ->
               target.enter(
                   targetLife,
@@ -193,7 +180,7 @@
                     target.meter.receivedBytes += frame.length + FRAME_HEAD_BYTES;
                     decode(frame);
                     target.node.receive(envelope);
-                    noteBundle(target, envelope.message());
+                    recordArrival(target, envelope.message());
                   }));
     }
 
@@ -203,7 +190,7 @@
         meter.diskBytes += logRecordCodec.encode(record).length + DISK_HEAD_BYTES;
       }
       int inLife = life;
-      at(nowUs + SYNC_US, () -> enter(inLife, whenSynced));
+      time.at(time.nowUs() + SYNC_US, () -> enter(inLife, whenSynced));
     }
 
     @Override
@@ -216,8 +203,8 @@
       int inLife = life;
       boolean[] cancelled = new boolean[1];
       running.merge(call.workerAddress(), 1, Integer::sum);
-      at(
-          nowUs + shape.runMs * MS,
+      time.at(
+          time.nowUs() + shape.runMs * MS,
           () -> {
             running.merge(call.workerAddress(), -1, Integer::sum);
             if (!cancelled[0]) {
@@ -240,8 +227,8 @@
       meter.loadReads++;
       if (shape.reports) {
         int inLife = life;
-        at(
-            nowUs + LOAD_READ_MS * MS,
+        time.at(
+            time.nowUs() + LOAD_READ_MS * MS,
             () ->
                 enter(
                     inLife,
@@ -254,50 +241,40 @@
                                 false))));
       }
     }
-
-    @Override
-    public RandomGenerator random() {
-      return random;
-    }
-
-    @Override
-    public void log(String part, String sentence) {}
   }
 
+  /** The way from one machine to another. */
   record Link(Machine from, Machine to) {}
 
-  static final List<String> CORE = List.of("core-1", "core-2", "core-3");
+  static final List<String> CONTROL_PLANE = List.of("core-1", "core-2", "core-3");
   final Map<String, Machine> machines = new LinkedHashMap<>();
   final List<Machine> edges = new ArrayList<>();
   final Shape shape;
 
-  /** Which links carry nothing now. */
+  /** The links that are cut now. */
   Predicate<Link> cut = link -> false;
 
   BiConsumer<Machine, Envelope> sentFrames = (from, envelope) -> {};
 
-  /** What a worker puts out for each run, in pieces. */
+  /** Output of a worker for each request, in pieces. */
   List<String> workerOutput = List.of("word ".repeat(40));
 
   private final Map<String, Integer> running = new HashMap<>();
-  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final SimulatedTime time = new SimulatedTime();
   private final PeerCodec codec = new PeerCodec();
   private final LogRecordCodec logRecordCodec = new LogRecordCodec();
   private final FrameDeflation deflation = new FrameDeflation();
   private final SplittableRandom random;
 
-  /** By bundle number and machine, when news of it was first folded there. */
-  private final Map<Long, Map<Machine, Long>> bundleKnownAtUs = new HashMap<>();
-
-  private long nowUs;
-  private long order;
+  /** In simulated microseconds. */
+  private final ConfigurationArrivals<Machine> arrivals = new ConfigurationArrivals<>();
 
   MeasuredFleet(Shape shape, long seed) {
     this.shape = shape;
     this.random = new SplittableRandom(seed);
     int zones = shape.regions * shape.zonesEach;
-    for (int index = 0; index < CORE.size(); index++) {
-      add(CORE.get(index), index * zones / CORE.size(), "core");
+    for (int index = 0; index < CONTROL_PLANE.size(); index++) {
+      add(CONTROL_PLANE.get(index), index * zones / CONTROL_PLANE.size(), "core");
     }
     for (int index = 0; index < 3; index++) {
       add("storage-" + (index + 1), index * zones / 3, "storage");
@@ -305,7 +282,9 @@
     for (int index = 0; index < shape.edges; index++) {
       edges.add(add("edge-" + (index + 1), index % zones, "edge"));
     }
-    machines.values().forEach(machine -> at(random.nextLong(START_SPREAD_MS * MS), machine::start));
+    machines
+        .values()
+        .forEach(machine -> time.at(random.nextLong(START_SPREAD_MS * MS), machine::start));
   }
 
   Machine add(String name, int zone, String role) {
@@ -315,26 +294,6 @@
     return machine;
   }
 
-  static String kindOf(Message message) {
-    if (message instanceof Message.PeerRequest request) {
-      return "Ask:" + request.operationName();
-    }
-    if (message instanceof ChangeFeedUpdate update) {
-      return kindOfNews(update);
-    }
-    return MessageNames.of(message);
-  }
-
-  private static String kindOfNews(ChangeFeedUpdate update) {
-    if (update.records().isEmpty()) {
-      return "FeedNews:none";
-    }
-    if (update.relayed()) {
-      return "FeedNews:relayed";
-    }
-    return update.snapshot() ? "FeedNews:checkpoint" : "FeedNews:changes";
-  }
-
   private static long delayUs(Machine from, Machine to) {
     if (from.zone.equals(to.zone)) {
       return WITHIN_ZONE_US;
@@ -355,66 +314,30 @@
     }
   }
 
-  private void noteBundle(Machine machine, Message message) {
+  private void recordArrival(Machine machine, Message message) {
     if (machine.role.equals("edge") && message instanceof ChangeFeedUpdate update) {
-      for (MetadataRecord metadataRecord : update.records()) {
-        if (metadataRecord.key().equals("bundle")) {
-          long number = numberOf(metadataRecord.value());
-          bundleKnownAtUs
-              .computeIfAbsent(number, unseen -> new HashMap<>())
-              .putIfAbsent(machine, nowUs);
-        }
-      }
+      arrivals.record(machine, update, time.nowUs());
     }
   }
 
-  private final Map<Integer, Long> numbersByHash = new HashMap<>();
-
-  private long numberOf(byte[] value) {
-    return numbersByHash.computeIfAbsent(
-        java.util.Arrays.hashCode(value),
-        unseen ->
-            applespindle.corelogic.common.Json.read(value, SignedConfiguration.class).number());
-  }
-
   // ---- time
 
   long nowMs() {
-    return nowUs / MS;
-  }
-
-  void at(long atUs, Runnable task) {
-    events.add(new Event(Math.max(atUs, nowUs), order++, task));
+    return time.nowMs();
   }
 
   void runFor(long millis) {
-    long untilUs = nowUs + millis * MS;
-    while (!events.isEmpty() && events.peek().atUs() <= untilUs) {
-      Event event = events.poll();
-      nowUs = event.atUs();
-      event.task().run();
-    }
-    nowUs = untilUs;
+    time.runFor(millis);
   }
 
-  /**
-   * Runs until the condition holds, looked at every 100 simulated ms; false if it does not within
-   * the limit.
-   */
-  boolean runUntil(java.util.function.BooleanSupplier condition, long mostMs) {
-    long endsAt = nowMs() + mostMs;
-    while (!condition.getAsBoolean()) {
-      if (nowMs() >= endsAt) {
-        return false;
-      }
-      runFor(100);
-    }
-    return true;
+  /** As {@link SimulatedTime#runUntil}. */
+  boolean runUntil(BooleanSupplier condition, long mostMs) {
+    return time.runUntil(condition, mostMs);
   }
 
   // ---- what operators do
 
-  private ControlPlaneNode core() {
+  private ControlPlaneNode controlPlane() {
     return (ControlPlaneNode)
         machines.values().stream()
             .filter(
@@ -427,26 +350,27 @@
             .orElseThrow(() -> new IllegalStateException("no core node is ready"));
   }
 
-  /** Sends again, as an operator does, until something certain is said. */
+  /** Sends a command as an operator does: repeats it until the response is definite. */
   private void command(Operation operation, String key, Object body, Consumer<Response> then) {
-    ControlPlaneNode core = core();
-    Machine machine = machines.get(core.identity().name());
+    ControlPlaneNode node = controlPlane();
+    Machine machine = machines.get(node.identity().name());
     machine.enter(
         () ->
-            core.command(
+            node.command(
                 operation,
                 key,
                 body,
                 response ->
-                    at(
-                        nowUs,
+                    time.at(
+                        time.nowUs(),
                         () -> {
                           if (response.isSuccess()
                               || response.status() == 409
                               || response.status() == 400) {
                             then.accept(response);
                           } else {
-                            at(nowUs + 300 * MS, () -> command(operation, key, body, then));
+                            time.at(
+                                time.nowUs() + 300 * MS, () -> command(operation, key, body, then));
                           }
                         })));
   }
@@ -456,13 +380,18 @@
     long number;
     long sentAtMs;
     long acknowledgedAtMs = -1;
+
+    /** From sending to the acknowledgement, which must have come. */
+    long acknowledgementDelayMs() {
+      return acknowledgedAtMs - sentAtMs;
+    }
   }
 
-  Change sendBundle(long number, byte[] bytes) {
+  Change sendConfiguration(long number, byte[] bytes) {
     var change = new Change();
     change.number = number;
     change.sentAtMs = nowMs();
-    byte[] signature = java.util.Base64.getDecoder().decode(Signing.sign(bytes, KEYS.privateKey()));
+    byte[] signature = Base64.getDecoder().decode(Signing.sign(bytes, KEYS.privateKey()));
     command(
         Operation.SET_CONFIGURATION,
         "bundle",
@@ -478,11 +407,11 @@
   }
 
   /**
-   * Delays from sending to being folded, one for each edge that is up; an edge that does not know
+   * Delays from sending to being applied, one for each edge that is up; an edge that does not know
    * it yet counts as -1.
    */
   List<Long> delaysOf(Change change) {
-    Map<Machine, Long> known = bundleKnownAtUs.getOrDefault(change.number, Map.of());
+    Map<Machine, Long> known = arrivals.of(change.number);
     return edges.stream()
         .filter(machine -> machine.up)
         .map(
@@ -525,8 +454,15 @@
         "not every worker was listed in " + mostMs + " ms");
   }
 
-  /** Brings the fleet up: roster, members, workers, first bundle, every edge ready. */
-  void open(int workers, byte[] firstBundle) {
+  /** Makes a fleet and brings it up, as {@link #open} does. */
+  static MeasuredFleet opened(Shape shape, long seed, int workers, byte[] configuration) {
+    MeasuredFleet fleet = new MeasuredFleet(shape, seed);
+    fleet.open(workers, configuration);
+    return fleet;
+  }
+
+  /** Brings the fleet up: quorum, nodes, first configuration, every edge ready, then workers. */
+  void open(int workers, byte[] firstConfiguration) {
     require(
         runUntil(
             () ->
@@ -546,7 +482,7 @@
                     .allMatch(machine -> !machine.node.notReadyReason().contains("grant")),
             120_000),
         "not every node was granted its place");
-    sendBundle(1, firstBundle);
+    sendConfiguration(1, firstConfiguration);
     require(
         runUntil(
             () -> edges.stream().allMatch(machine -> machine.node.notReadyReason().isEmpty()),
@@ -561,7 +497,7 @@
     runFor(3_000);
   }
 
-  private static void require(boolean condition, String otherwise) {
+  static void require(boolean condition, String otherwise) {
     if (!condition) {
       throw new IllegalStateException(otherwise);
     }
@@ -575,35 +511,11 @@
     return machines.values().stream().filter(machine -> machine.role.equals(role)).toList();
   }
 
-  /** A bundle with one rule for each tenant and the given number of rules beside. */
-  static byte[] bundle(long number, int rules, int tenants) {
-    StringBuilder text =
-        new StringBuilder(
-            "{\"number\":"
-                + number
-                + ",\"pools\":{\"main\":{\"prefixBlockChars\":64,\"prefixBlocks\":4,\"loadFactor\":1.5}},\"rules\":[");
-    for (int index = 0; index < rules; index++) {
-      text.append("{\"name\":\"rule-")
-          .append(index)
-          .append("\",\"match\":{\"headers\":{\"Host\":\"host-")
-          .append(index)
-          .append(
-              ".example\"}},\"way\":{\"pool\":\"main\",\"trafficClass\":\"note\",\"expiryMs\":10000,\"retries\":2}},");
-    }
-    for (int index = 0; index < tenants; index++) {
-      text.append("{\"name\":\"tenant-")
-          .append(index)
-          .append("\",\"match\":{\"sender\":\"tenant-")
-          .append(index)
-          .append(
-              "\"},\"way\":{\"pool\":\"main\",\"trafficClass\":\"note\",\"expiryMs\":10000,\"retries\":2}},");
-    }
-    return text.append(
-            "{\"name\":\"rest\",\"way\":{\"pool\":\"main\",\"trafficClass\":\"note\",\"expiryMs\":10000,\"retries\":2}}],"
-                + "\"limits\":{\"classes\":{\"note\":{\"rank\":1,\"queueMost\":1000}},\"batch\":{\"pool\":\"main\","
-                + "\"waitingItemsMost\":100000000,\"perWorkerMost\":8,\"liveReserve\":0,\"cancelForLive\":false,"
-                + "\"itemExpiryMs\":30000,\"retentionMs\":86400000}}}")
-        .toString()
-        .getBytes(UTF_8);
+  /** The mean of one figure over the machines; 0 if there are none. */
+  static double mean(List<Machine> machines, ToDoubleFunction<Meter> figure) {
+    return machines.stream()
+        .mapToDouble(machine -> figure.applyAsDouble(machine.meter))
+        .average()
+        .orElse(0);
   }
 }
