--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchRules.java
@@ -16,7 +16,7 @@
  * Opaque batches: nothing accepted is lost, nothing runs that should not, results stay as they
  * were.
  */
-final class ProxiedBatchRules extends ProxyRules {
+final class ProxiedBatchRules extends RuleGroup<ProxyTraffic> {
   private static final long UNLIMITED = Long.MAX_VALUE / 1_000;
 
   ProxiedBatchRules(ProxyTraffic traffic, List<Violation> violations) {
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 
 /** What clients get: whole responses of their own request, and service without long gaps. */
-final class ProxiedResponseRules extends ProxyRules {
+final class ProxiedResponseRules extends RuleGroup<ProxyTraffic> {
   private static final int ATTEMPTS_LEAST = 3;
 
   ProxiedResponseRules(ProxyTraffic traffic, List<Violation> violations) {
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /** Changes of routes: who wins, what is read back, and what each request shows to be in force. */
-final class RouteChangeRules extends ProxyRules {
+final class RouteChangeRules extends RuleGroup<ProxyTraffic> {
   RouteChangeRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RuleGroup.java
@@ -4,12 +4,16 @@
 import applespindle.testfleet.Checker.Violation;
 import java.util.List;
 
-/** A group of rules over the same traffic; each adds what it finds to one list. */
-abstract class ProxyRules {
-  final ProxyTraffic traffic;
+/**
+ * A group of rules over the same traffic; each adds the violations it finds to one list.
+ *
+ * @param <T> the view of the history that the rules read
+ */
+abstract class RuleGroup<T> {
+  final T traffic;
   private final List<Violation> violations;
 
-  ProxyRules(ProxyTraffic traffic, List<Violation> violations) {
+  RuleGroup(T traffic, List<Violation> violations) {
     this.traffic = traffic;
     this.violations = violations;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /** What workers are asked to run, and how often. */
-final class WorkerRunRules extends ProxyRules {
+final class WorkerRunRules extends RuleGroup<ProxyTraffic> {
   WorkerRunRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
