--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyWorkers.java
@@ -9,7 +9,6 @@
 import applespindle.corelogic.environment.ProxiedRequest;
 import applespindle.corelogic.environment.ProxiedRequest.Header;
 import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
-import applespindle.corelogic.environment.ProxiedRequest.ResponseChunk;
 import applespindle.corelogic.environment.ProxiedRequest.ResponseHead;
 import applespindle.testfleet.History.Kind;
 import java.util.ArrayList;
@@ -22,53 +21,74 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Workers of opaque requests on simulated time. A worker is one life with its own id at an address
- * that another may get later; it works on so many at once, reads of a prompt what it does not keep,
- * lets urgent ones take the place of others and keeps its output to what it was asked.
+ * Simulated workers of proxied requests. A worker is one incarnation with its own id, at an address
+ * that a later one may get. It runs a limited number of requests at once, reads the part of a
+ * prompt that is not in its cache, preempts runs for those of a more urgent rank, and puts out a
+ * text that names the request.
  */
 final class ProxyWorkers {
-  /**
-   * GREY fails a part, ERRS answers a part with 500, LOSES runs and resets, SLOWS when nearly full.
-   */
+  /** The states of a worker that scenario files name. */
   enum Condition {
     WELL,
+    /** Accepts connections and does nothing more. */
     DARK,
+    /** Does not answer connection attempts. */
     VANISHED,
+    /** Truncates each output half-way. */
     CUTS,
+    /** Sends malformed responses. */
     GARBAGE,
+    /** Truncates a part of the responses before their start. */
     GREY,
+    /** Answers a part of the requests with status 500. */
     ERRS,
+    /** Runs each request and resets the connection in place of the end. */
     LOSES,
+    /** Rejects each request. */
     REFUSES,
     SLOW,
+    /** Is slow when nearly full. */
     SLOWS
   }
 
   static final int SLOTS = 8;
 
+  private static final double WITHIN_ZONE_MS = 0.4;
+  private static final double BETWEEN_ZONES_MS = 1.2;
+  private static final long CONNECT_TIMEOUT_MS = 300;
+  private static final double SLOWDOWN_PER_RUN = 0.05;
+  private static final int SLOW_FACTOR = 8;
+  private static final int MAX_TOKENS_PER_EVENT = 3;
+  private static final int FAILS_ONE_IN = 3;
+
+  /** Marks a target whose runs fail a part of the time. */
+  static final String FAILING = "failing";
+
+  /** Marks a target that no worker can run. */
+  static final String IMPOSSIBLE = "impossible";
+
   WorkerEngine engine = WorkerEngine.DEFAULT;
 
-  /** Each worker has one of these; empty: any between 0.8 and 1.2. */
+  /** Each worker has a random one of these; empty: one between 0.8 and 1.2. */
   List<Double> paces = List.of();
 
   WorkerEngine.Watcher watcher = (worker, edgeZone, request) -> {};
 
-  /** By the last part of a target: what to do once a run of it has ended whole. */
+  /** By the last part of a target: what to do once a run of it is complete. */
   final Map<String, Runnable> whenDone = new HashMap<>();
 
-  private static final double WITHIN_ZONE_MS = 0.4;
-  private static final double BETWEEN_ZONES_MS = 1.2;
-  private static final long CONNECT_TIMEOUT_MS = 300;
-  private static final double CROWDED = 0.05;
-  private static final int SLOW_BY = 8;
-  private static final int TOKENS_AN_EVENT_MOST = 3;
-  private static final int ONE_IN = 3;
-
-  /** Marks in a body: items that fail a part of the time, and items that no worker can do. */
-  static final String FAILING = "failing";
+  private final Simulation simulation;
+  private final Map<String, Worker> byAddress = new HashMap<>();
+  private final Map<String, Worker> byId = new LinkedHashMap<>();
+  private long runs;
+  long readTokens;
+  long promptedTokens;
 
-  static final String IMPOSSIBLE = "impossible";
+  ProxyWorkers(Simulation simulation) {
+    this.simulation = simulation;
+  }
 
+  /** One incarnation of a worker with its running and waiting runs. */
   final class Worker {
     final String id;
     final String address;
@@ -81,8 +101,7 @@
     boolean over;
     private final List<Run> running = new ArrayList<>();
     private final List<Run> waiting = new ArrayList<>();
-    private final LinkedHashMap<String, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private long keptTokens;
+    private final PromptCache promptCache = new PromptCache(engine.keptTokensMost());
     private double readerFreeAtMs;
 
     Worker(String id, String address, String pool, String zone) {
@@ -99,18 +118,18 @@
     void become(Condition next) {
       condition = next;
       List<Run> stuck = List.copyOf(running);
-      stuck.forEach(Run::goOn);
+      stuck.forEach(Run::resume);
       pump();
     }
 
     void end() {
       over = true;
-      leave(running);
-      leave(waiting);
+      failAll(running);
+      failAll(waiting);
     }
 
-    private void leave(List<Run> runs) {
-      List.copyOf(runs).forEach(run -> run.breakOff(new ApiError.WorkerStreamTruncated(id)));
+    private void failAll(List<Run> runs) {
+      List.copyOf(runs).forEach(run -> run.fail(new ApiError.WorkerStreamTruncated(id)));
     }
 
     private WorkerLoad load() {
@@ -137,52 +156,40 @@
       while (!waiting.isEmpty()) {
         Run next = waiting.get(0);
         if (running.size() >= slots) {
-          Run given =
+          Run preempted =
               running.stream()
                   .max(
                       Comparator.comparingInt((Run run) -> run.exchange.rank())
                           .thenComparingLong(run -> run.number))
                   .get();
-          if (!engine.ranks() || given.exchange.rank() <= next.exchange.rank()) {
+          if (!engine.ranks() || preempted.exchange.rank() <= next.exchange.rank()) {
             return;
           }
-          given.putBack();
+          preempted.preempt();
         }
         waiting.remove(next);
         next.begin();
       }
     }
 
-    /** Tokens that must be read: all from the first part on that is not kept. */
+    /** Gives the number of tokens to read: all from the first part that is not cached. */
     private int read(List<PromptPart> prompt, int promptTokens) {
-      int keptOfPrompt = 0;
-      boolean whole = true;
-      for (PromptPart part : prompt) {
-        whole &= kept.containsKey(part.id());
-        keptOfPrompt += whole ? part.tokens() : 0;
-        if (kept.put(part.id(), part.tokens()) == null) {
-          keptTokens += part.tokens();
-        }
-      }
-      while (keptTokens > engine.keptTokensMost()) {
-        String eldest = kept.keySet().iterator().next();
-        keptTokens -= kept.remove(eldest);
-      }
-      readTokens += Math.max(0, promptTokens - keptOfPrompt);
+      int unreadTokens = Math.max(0, promptTokens - promptCache.put(prompt));
+      readTokens += unreadTokens;
       promptedTokens += promptTokens;
-      return Math.max(0, promptTokens - keptOfPrompt);
+      return unreadTokens;
     }
   }
 
+  /** One exchange of a node with a worker, from its arrival to its end. */
   final class Run {
     private final String label;
     private final long number;
     private final String edge;
     private final String zone;
-    private final double wireMs;
     private final WorkerExchange exchange;
     private final String asked;
-    private final ExchangeListener listener;
+    private final RunConnection connection;
     private final BooleanSupplier callerDead;
     private final boolean stream;
     private final int tokens;
@@ -194,27 +201,22 @@
     private boolean headSent;
     private boolean over;
 
-    /** The connection is gone. */
-    private boolean deaf;
-
-    /** Set by the caller's side: nothing more is told. */
+    /** Set by the caller: it listens no longer. */
     boolean cancelled;
 
     Run(
         String edge,
         String zone,
-        double wireMs,
         WorkerExchange exchange,
-        ExchangeListener listener,
+        RunConnection connection,
         BooleanSupplier callerDead) {
       ProxiedRequest request = exchange.request();
       this.number = ++runs;
       this.label = "r" + number;
       this.edge = edge;
       this.zone = zone;
-      this.wireMs = wireMs;
       this.exchange = exchange;
-      this.listener = listener;
+      this.connection = connection;
       this.callerDead = callerDead;
       this.asked = asked(request);
       this.stream =
@@ -234,14 +236,12 @@
       worker = byAddress.get(exchange.address());
       if (worker == null || worker.over) {
         over = true;
-        tell(() -> listener.fail(new ApiError.WorkerUnreachable(exchange.workerId()), false));
+        connection.refuse(exchange.workerId());
         return;
       }
       if (worker.condition == Condition.VANISHED) {
         over = true;
-        simulation.afterMs(
-            CONNECT_TIMEOUT_MS,
-            () -> listener.fail(new ApiError.WorkerUnreachable(worker.id), false));
+        connection.timeOut(CONNECT_TIMEOUT_MS, worker.id);
         return;
       }
       if (callerDead.getAsBoolean() || cancelled) {
@@ -249,11 +249,11 @@
         return;
       }
       if (!worker.id.equals(exchange.workerId())) {
-        turnAway(421);
+        reject(421);
       } else if (worker.condition == Condition.REFUSES || exchange.expiryMs() <= 0 || full()) {
-        turnAway(503);
+        reject(503);
       } else {
-        seen(0);
+        recordArrival(0);
         watcher.arrives(worker, zone, exchange.request());
         worker.waiting.add(this);
         simulation.afterMs(exchange.expiryMs(), this::expire);
@@ -268,7 +268,7 @@
               || worker.running.stream().allMatch(run -> run.exchange.rank() <= exchange.rank()));
     }
 
-    private void seen(int status) {
+    private void recordArrival(int status) {
       simulation.history.add(
           simulation.simulatedNowMs(),
           Kind.RUN_ARRIVED,
@@ -278,15 +278,10 @@
           status);
     }
 
-    private void turnAway(int status) {
+    private void reject(int status) {
       over = true;
-      seen(status);
-      WorkerLoad load = worker.load();
-      tell(
-          () -> {
-            tellLoad(load);
-            listener.fail(new ApiError.WorkerRejected(status), false);
-          });
+      recordArrival(status);
+      connection.reject(worker.load(), status);
     }
 
     private void begin() {
@@ -304,145 +299,144 @@
           label,
           resumeAfter);
       if (exchange.request().target().contains(IMPOSSIBLE)) {
-        whole(422);
+        respond(422);
         return;
       }
-      boolean fails = simulation.random.nextInt(ONE_IN) == 0;
+      boolean fails = simulation.random.nextInt(FAILS_ONE_IN) == 0;
       if (fails
           && (worker.condition == Condition.ERRS
               || exchange.request().target().contains(FAILING))) {
-        whole(500);
+        respond(500);
         return;
       }
       if (fails && worker.condition == Condition.GREY) {
-        breakOff(new ApiError.WorkerStreamTruncated(worker.id));
+        fail(new ApiError.WorkerStreamTruncated(worker.id));
         return;
       }
       read();
     }
 
-    /** Also after it was put back. */
+    /** Reads the prompt, again after the run was preempted. */
     private void read() {
       int unread = worker.read(exchange.request().prompt(), exchange.request().promptTokens());
       double readMs = unread * engine.readMsAToken();
       if (!engine.oneReader()) {
-        next(engine.firstMs() + readMs);
+        scheduleNext(engine.firstMs() + readMs);
         return;
       }
       double nowMs = simulation.nowUs() / 1_000.0;
       worker.readerFreeAtMs = Math.max(nowMs, worker.readerFreeAtMs) + readMs;
-      next(engine.firstMs() + worker.readerFreeAtMs - nowMs);
+      scheduleNext(engine.firstMs() + worker.readerFreeAtMs - nowMs);
     }
 
-    private void putBack() {
+    private void preempt() {
       round++;
       worker.running.remove(this);
       worker.waiting.add(this);
     }
 
-    private void goOn() {
+    private void resume() {
       if (!over && worker.running.contains(this)) {
-        next(engine.eventMs());
+        scheduleNext(engine.eventMs());
       }
     }
 
-    private void next(double waitMs) {
-      int inRound = ++round;
-      double crowd = 1 + CROWDED * worker.running.size();
+    private void scheduleNext(double waitMs) {
+      int scheduledRound = ++round;
+      double crowd = 1 + SLOWDOWN_PER_RUN * worker.running.size();
       boolean nearlyFull =
           worker.condition == Condition.SLOWS && worker.running.size() * 5 > worker.slots * 4;
       double factor =
-          worker.pace * crowd * (worker.condition == Condition.SLOW || nearlyFull ? SLOW_BY : 1);
+          worker.pace
+              * crowd
+              * (worker.condition == Condition.SLOW || nearlyFull ? SLOW_FACTOR : 1);
       simulation.afterMs(
           waitMs * factor,
           () -> {
             if (!over
-                && inRound == round
+                && scheduledRound == round
                 && worker.running.contains(this)
                 && worker.condition != Condition.DARK) {
-              event();
+              produceOutput();
             }
           });
     }
 
-    private void event() {
+    private void produceOutput() {
       if (callerDead.getAsBoolean()) {
         dropped();
         return;
       }
       if (worker.condition == Condition.GARBAGE) {
-        breakOff(new ApiError.MalformedWorkerResponse(worker.id));
+        fail(new ApiError.MalformedWorkerResponse(worker.id));
         return;
       }
       if (worker.condition == Condition.CUTS && position >= tokens / 2) {
-        breakOff(new ApiError.WorkerStreamTruncated(worker.id));
+        fail(new ApiError.WorkerStreamTruncated(worker.id));
         return;
       }
       int first = position + 1;
       position = Math.min(tokens, stream ? position + tokensOfNextEvent() : tokens);
       int last = position;
-      double took = stream ? 0 : engine.eventMs() * (tokens - first);
+      double outputMs = stream ? 0 : engine.eventMs() * (tokens - first);
       if (stream && first <= last) {
         sendHead(200);
         String text = ProxiedOutput.text(asked, first, last, label);
-        tell(() -> piece(Integer.toString(last), "id: " + last + "\ndata: " + text + "\n\n"));
+        connection.event(last, text);
       }
       if (position < tokens) {
-        next(engine.eventMs());
-      } else if (took > 0) {
-        int inRound = ++round;
-        simulation.afterMs(
-            took * worker.pace,
-            () -> {
-              if (!over && inRound == round && worker.condition != Condition.DARK) {
-                finish();
-              }
-            });
+        scheduleNext(engine.eventMs());
+      } else if (outputMs > 0) {
+        scheduleFinish(outputMs);
       } else {
         finish();
       }
     }
 
+    private void scheduleFinish(double waitMs) {
+      int scheduledRound = ++round;
+      simulation.afterMs(
+          waitMs * worker.pace,
+          () -> {
+            if (!over && scheduledRound == round && worker.condition != Condition.DARK) {
+              finish();
+            }
+          });
+    }
+
     private int tokensOfNextEvent() {
       return engine.tokensAnEvent() > 0
           ? engine.tokensAnEvent()
-          : 1 + simulation.random.nextInt(TOKENS_AN_EVENT_MOST);
+          : 1 + simulation.random.nextInt(MAX_TOKENS_PER_EVENT);
     }
 
     private void finish() {
       if (worker.condition == Condition.LOSES) {
-        ended(200);
-        tell(() -> listener.fail(new ApiError.WorkerStreamTruncated(worker.id), true));
+        releaseAndRecord(200);
+        connection.fail(new ApiError.WorkerStreamTruncated(worker.id));
         return;
       }
-      whole(200);
+      respond(200);
       String target = exchange.request().target();
       String name = target.substring(target.lastIndexOf('/') + 1);
       Optional.ofNullable(whenDone.remove(name)).ifPresent(Runnable::run);
     }
 
     private void sendHead(int status) {
-      if (!headSent) {
-        headSent = true;
-        WorkerLoad load = worker.load();
-        ResponseHead head =
-            new ResponseHead(
-                status,
-                List.of(
-                    new Header(
-                        "Content-Type",
-                        stream && status == 200 ? "text/event-stream" : "text/plain"),
-                    new Header("Stamp", ProxiedOutput.stamp(asked, label))));
-        tell(
-            () -> {
-              tellLoad(load);
-              listener.head(head);
-            });
+      if (headSent) {
+        return;
       }
+      headSent = true;
+      String contentType = stream && status == 200 ? "text/event-stream" : "text/plain";
+      List<Header> headers =
+          List.of(
+              new Header("Content-Type", contentType),
+              new Header("Stamp", ProxiedOutput.stamp(asked, label)));
+      connection.head(worker.load(), new ResponseHead(status, headers));
     }
 
-    /** A whole answer of the worker's own. */
-    private void whole(int status) {
+    /** Sends all of a response that is no stream, or the end of one that is. */
+    private void respond(int status) {
       boolean failure = status >= 300;
       sendHead(status);
       if (failure || !stream) {
@@ -451,21 +445,11 @@
                 ? ProxyChecker.failure(label, status)
                 : ProxiedOutput.text(asked, 1, tokens, label);
         int half = text.length() / 2;
-        tell(() -> piece("", text.substring(0, half)));
-        tell(() -> piece("", text.substring(half)));
-      }
-      ended(status);
-      tell(listener::end);
-    }
-
-    private void tellLoad(WorkerLoad load) {
-      if (engine.tellsLoad()) {
-        listener.load(load);
+        connection.chunk("", text.substring(0, half));
+        connection.chunk("", text.substring(half));
       }
-    }
-
-    private void piece(String eventId, String text) {
-      listener.chunk(new ResponseChunk(eventId, text.getBytes(UTF_8)));
+      releaseAndRecord(status);
+      connection.end();
     }
 
     private void expire() {
@@ -473,28 +457,23 @@
         return;
       }
       if (!begun) {
-        leave();
-        WorkerLoad load = worker.load();
-        tell(
-            () -> {
-              tellLoad(load);
-              listener.fail(new ApiError.WorkerRejected(503), false);
-            });
+        release();
+        connection.reject(worker.load(), 503);
       } else if (headSent) {
-        breakOff(new ApiError.WorkerStreamTruncated(worker.id));
+        fail(new ApiError.WorkerStreamTruncated(worker.id));
       } else {
-        whole(504);
+        respond(504);
       }
     }
 
-    private void breakOff(ApiError error) {
+    private void fail(ApiError error) {
       if (!over) {
-        ended(0);
-        tell(() -> listener.fail(error, true));
+        releaseAndRecord(0);
+        connection.fail(error);
       }
     }
 
-    private void leave() {
+    private void release() {
       over = true;
       if (worker != null) {
         worker.running.remove(this);
@@ -504,8 +483,8 @@
       }
     }
 
-    private void ended(int status) {
-      leave();
+    private void releaseAndRecord(int status) {
+      release();
       if (begun) {
         simulation.history.add(
             simulation.simulatedNowMs(),
@@ -520,44 +499,24 @@
     /** The caller closed the connection or died. */
     void dropped() {
       simulation.afterMs(
-          wireMs,
+          connection.latencyMs(),
           () -> {
             if (!over) {
-              ended(ProxyChecker.DROPPED);
+              releaseAndRecord(ProxyChecker.DROPPED);
             }
           });
     }
 
-    /** The connection broke between both. */
+    /** The network broke the connection. */
     void reset() {
       if (!over) {
         dropped();
-        tell(() -> listener.fail(new ApiError.WorkerStreamTruncated(exchange.workerId()), true));
-        deaf = true;
+        connection.reset(exchange.workerId());
       }
     }
-
-    private void tell(Runnable telling) {
-      if (!deaf) {
-        simulation.afterMs(wireMs, telling);
-      }
-    }
-  }
-
-  private final Simulation simulation;
-  private final Map<String, Worker> byAddress = new HashMap<>();
-  private final Map<String, Worker> byId = new LinkedHashMap<>();
-  private long runs;
-  long readTokens;
-  long promptedTokens;
-
-  ProxyWorkers(Simulation simulation) {
-    this.simulation = simulation;
   }
 
-  /**
-   * What a worker was asked, in one line; that it goes on behind some event changes nothing of it.
-   */
+  /** A request in one line, as the history has it; the event to resume after is no part of it. */
   static String asked(ProxiedRequest request) {
     return request.method()
         + " "
@@ -568,7 +527,7 @@
         + new String(request.body(), UTF_8);
   }
 
-  /** The number of tokens put out stands at the end of a body, behind the last dot. */
+  /** The number of tokens to put out stands at the end of a body, after the last dot. */
   private static int tokens(ProxiedRequest request) {
     String body = new String(request.body(), UTF_8);
     return Integer.parseInt(body.substring(body.lastIndexOf('.') + 1));
@@ -597,9 +556,10 @@
       ExchangeListener listener,
       BooleanSupplier callerDead) {
     Worker there = byAddress.get(exchange.address());
-    double wireMs = there == null || there.zone.equals(zone) ? WITHIN_ZONE_MS : BETWEEN_ZONES_MS;
-    Run run = new Run(edge, zone, wireMs, exchange, listener, callerDead);
-    simulation.afterMs(wireMs, run::arrive);
+    double latencyMs = there == null || there.zone.equals(zone) ? WITHIN_ZONE_MS : BETWEEN_ZONES_MS;
+    var connection = new RunConnection(simulation, listener, latencyMs, engine.tellsLoad());
+    Run run = new Run(edge, zone, exchange, connection, callerDead);
+    simulation.afterMs(latencyMs, run::arrive);
     return run;
   }
 }
