--- a/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
@@ -12,376 +12,297 @@
 import static applespindle.testfleet.Checker.Rule.SERVICE_NOT_BACK;
 import static applespindle.testfleet.Checker.Rule.WORK_TO_LEAVING_WORKER;
 import static applespindle.testfleet.Checker.Rule.WRONG_OR_CUT_ANSWER;
-import static applespindle.testfleet.History.Kind.BATCH_READ;
-import static applespindle.testfleet.History.Kind.BUNDLE_ANSWERED;
-import static applespindle.testfleet.History.Kind.BUNDLE_READ;
-import static applespindle.testfleet.History.Kind.BUNDLE_WAY;
-import static applespindle.testfleet.History.Kind.CEILING;
-import static applespindle.testfleet.History.Kind.EDGE_BUNDLE;
-import static applespindle.testfleet.History.Kind.END_ANSWERED;
-import static applespindle.testfleet.History.Kind.ITEM;
-import static applespindle.testfleet.History.Kind.LEAVING_ANSWERED;
-import static applespindle.testfleet.History.Kind.LIVE_ANSWERED;
-import static applespindle.testfleet.History.Kind.LIVE_AT;
-import static applespindle.testfleet.History.Kind.LIVE_CLASS;
-import static applespindle.testfleet.History.Kind.LIVE_SENT;
-import static applespindle.testfleet.History.Kind.RESULT_READ;
-import static applespindle.testfleet.History.Kind.SUBMIT_ANSWERED;
-import static applespindle.testfleet.History.Kind.SUBMIT_SENT;
-import static applespindle.testfleet.History.Kind.WORKER_POOL;
-import static applespindle.testfleet.History.Kind.WORKER_RECEIVED;
+import static applespindle.testfleet.HistoryEvents.accepted;
+import static applespindle.testfleet.HistoryEvents.batchRead;
+import static applespindle.testfleet.HistoryEvents.batchReadFailed;
+import static applespindle.testfleet.HistoryEvents.ceiling;
+import static applespindle.testfleet.HistoryEvents.configurationAnswered;
+import static applespindle.testfleet.HistoryEvents.configurationRead;
+import static applespindle.testfleet.HistoryEvents.configurationRoute;
+import static applespindle.testfleet.HistoryEvents.edgeConfiguration;
+import static applespindle.testfleet.HistoryEvents.endAnswered;
+import static applespindle.testfleet.HistoryEvents.item;
+import static applespindle.testfleet.HistoryEvents.itemReceived;
+import static applespindle.testfleet.HistoryEvents.leavingAnswered;
+import static applespindle.testfleet.HistoryEvents.liveAt;
+import static applespindle.testfleet.HistoryEvents.liveClass;
+import static applespindle.testfleet.HistoryEvents.liveCompleted;
+import static applespindle.testfleet.HistoryEvents.liveReceived;
+import static applespindle.testfleet.HistoryEvents.liveRefused;
+import static applespindle.testfleet.HistoryEvents.liveSent;
+import static applespindle.testfleet.HistoryEvents.refused;
+import static applespindle.testfleet.HistoryEvents.resultRead;
+import static applespindle.testfleet.HistoryEvents.submitSent;
+import static applespindle.testfleet.HistoryEvents.workerPool;
 import static com.google.common.truth.Truth.assertThat;
 
 import applespindle.testfleet.Checker.Rule;
-import applespindle.testfleet.History.Kind;
+import applespindle.testfleet.Checker.Violation;
+import applespindle.testfleet.History.Seen;
+import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The checker accepts a sound history and rejects a doctored one for each never-rule. */
+/** The checker accepts a correct history and rejects a modified one for each rule. */
 class CheckerTest {
-  private static final String WHOLE_A = EmulatedOutput.whole("prompt a", 3);
-  private static final String WHOLE_B = EmulatedOutput.whole("prompt b", 3);
-
-  private static void add(
-      History history,
-      long at,
-      Kind kind,
-      String subject,
-      String detail,
-      String text,
-      long number) {
-    history.add(at, kind, subject, detail, text, number);
-  }
-
-  /** One accepted batch of two items, finished and read; one live request; one bundle. */
-  private static History sound() {
+  private static final String OUTPUT_A = EmulatedOutput.whole("prompt a", 3);
+  private static final String OUTPUT_B = EmulatedOutput.whole("prompt b", 3);
+
+  /** One accepted batch of two items, finished and read; one live request; one configuration. */
+  private static final List<Seen> CORRECT =
+      List.of(
+          ceiling(0, 10),
+          item(1, "k", "a", "prompt a", 3),
+          item(1, "k", "b", "prompt b", 3),
+          accepted(10, "k", "b-1"),
+          itemReceived(20, "b-1/a", "prompt a"),
+          itemReceived(20, "b-1/b", "prompt b"),
+          resultRead(100, "k", "a|succeeded", OUTPUT_A, 1),
+          resultRead(100, "k", "b|succeeded", OUTPUT_B, 2),
+          batchRead(100, "k", "finished", 2),
+          liveSent(200, "l1", "once-1", "live prompt", 2),
+          liveReceived(210, "w1", "live prompt"),
+          liveCompleted(220, "l1", EmulatedOutput.whole("live prompt", 2)),
+          configurationAnswered(300, 2, "", 200),
+          configurationRead(400, 350, 2),
+          edgeConfiguration(2_400, "edge-1", 2));
+
+  /** The correct history, followed by further events. */
+  private static History history(List<Seen> further) {
     History history = new History();
-    add(history, 0, CEILING, "", "", "", 10);
-    add(history, 1, ITEM, "k", "a", "prompt a", 3);
-    add(history, 1, ITEM, "k", "b", "prompt b", 3);
-    add(history, 10, SUBMIT_ANSWERED, "k", "", "b-1", 201);
-    add(history, 20, WORKER_RECEIVED, "w1", "b-1/a", "prompt a", 0);
-    add(history, 20, WORKER_RECEIVED, "w1", "b-1/b", "prompt b", 0);
-    add(history, 100, RESULT_READ, "k", "a|succeeded", WHOLE_A, 1);
-    add(history, 100, RESULT_READ, "k", "b|succeeded", WHOLE_B, 2);
-    add(history, 100, BATCH_READ, "k", "finished", "2", 200);
-    add(history, 200, LIVE_SENT, "l1", "once-1", "live prompt", 2);
-    add(history, 210, WORKER_RECEIVED, "w1", "", "live prompt", 0);
-    add(history, 220, LIVE_ANSWERED, "l1", "complete", EmulatedOutput.whole("live prompt", 2), 200);
-    add(history, 300, BUNDLE_ANSWERED, "2", "", "", 200);
-    add(history, 400, BUNDLE_READ, "", "", "350", 2);
-    add(history, 2_400, EDGE_BUNDLE, "edge-1", "", "", 2);
+    for (List<Seen> events : List.of(CORRECT, further)) {
+      for (Seen each : events) {
+        history.add(
+            each.atMs(), each.kind(), each.subject(), each.detail(), each.text(), each.number());
+      }
+    }
     return history;
   }
 
-  private static void rejects(Rule rule, Consumer<History> doctoring) {
-    History history = sound();
-    doctoring.accept(history);
-    List<Rule> found =
-        Checker.check(history).stream().map(Checker.Violation::rule).distinct().toList();
-    assertThat(found).containsExactly(rule);
+  private static void rejects(Rule rule, Seen... further) {
+    rejects(rule, List.of(further));
   }
 
-  @Test
-  void acceptsASoundHistory() {
-    assertThat(Checker.check(sound())).isEmpty();
+  private static void rejects(Rule rule, List<Seen> further) {
+    List<Rule> violated =
+        Checker.check(history(further)).stream().map(Violation::rule).distinct().toList();
+    assertThat(violated).containsExactly(rule);
   }
 
   @Test
-  void rejectsALostBatch() {
-    rejects(
-        ACCEPTED_BATCH_LOST, history -> add(history, 500, SUBMIT_ANSWERED, "lost", "", "b-2", 201));
-    rejects(
-        ACCEPTED_BATCH_LOST, history -> add(history, 500, BATCH_READ, "k", "running", "2", 200));
+  void acceptsACorrectHistory() {
+    assertThat(Checker.check(history(List.of()))).isEmpty();
   }
 
   @Test
-  void rejectsARefusedBatchThatRan() {
-    rejects(
-        REFUSED_BATCH_RAN,
-        history -> {
-          add(history, 500, SUBMIT_ANSWERED, "r", "NotReady", "b-3", 503);
-          add(history, 900, WORKER_RECEIVED, "w1", "b-3/a", "x", 0);
-        });
+  void rejectsALostBatch() {
+    rejects(ACCEPTED_BATCH_LOST, accepted(500, "lost", "b-2"));
+    rejects(ACCEPTED_BATCH_LOST, batchRead(500, "k", "running", 2));
   }
 
   @Test
-  void rejectsAnItemTwiceAndAChangedResult() {
-    rejects(
-        RESULT_TWICE_OR_CHANGED,
-        history -> add(history, 500, RESULT_READ, "k", "a|succeeded", WHOLE_A, 3));
+  void rejectsAFinishedBatchThatLacksResults() {
     rejects(
-        RESULT_TWICE_OR_CHANGED, history -> add(history, 500, RESULT_READ, "k", "a|failed", "", 1));
+        ACCEPTED_BATCH_LOST,
+        item(500, "m", "a", "prompt a", 3),
+        item(500, "m", "b", "prompt b", 3),
+        accepted(510, "m", "b-2"),
+        batchRead(600, "m", "finished", 1));
   }
 
   @Test
-  void rejectsAResultWithoutItsWholeOutput() {
-    rejects(
-        RESULT_NOT_WHOLE,
-        history -> {
-          add(history, 500, ITEM, "k", "c", "prompt c", 3);
-          add(
-              history,
-              600,
-              RESULT_READ,
-              "k",
-              "c|succeeded",
-              EmulatedOutput.whole("prompt c", 2),
-              3);
-          add(history, 600, BATCH_READ, "k", "finished", "3", 200);
-        });
+  void rejectsAnEndThatNobodyAskedFor() {
+    rejects(ACCEPTED_BATCH_LOST, accepted(510, "m", "b-2"), batchRead(600, "m", "ended", 0));
   }
 
   @Test
-  void rejectsAnAcceptedBatchOrAReadResultReportedMissing() {
-    rejects(
-        REPORTED_MISSING,
-        history -> {
-          add(history, 1_500, BATCH_READ, "k", "NoSuchBatch", "0", 404);
-          add(history, 1_600, BATCH_READ, "k", "finished", "2", 200);
-        });
+  void rejectsARefusedBatchThatRan() {
     rejects(
-        REPORTED_MISSING,
-        history -> {
-          add(history, 1_500, BATCH_READ, "k", "finished", "1", 200);
-          add(history, 1_600, BATCH_READ, "k", "finished", "2", 200);
-        });
+        REFUSED_BATCH_RAN,
+        refused(500, "r", "NotReady", "b-3", 503),
+        itemReceived(900, "b-3/a", "x"));
   }
 
   @Test
-  void rejectsItemsThatRunAfterTheEnd() {
+  void rejectsABatchThatRanAfterAnyMixOfRefusals() {
     rejects(
-        RAN_AFTER_END,
-        history -> {
-          add(history, 500, END_ANSWERED, "k", "", "", 200);
-          add(history, 3_501, WORKER_RECEIVED, "w1", "b-1/a", "prompt a", 0);
-        });
+        REFUSED_BATCH_RAN,
+        refused(500, "m", "NotReady", "b-9", 503),
+        itemReceived(600, "b-9/a", "x"),
+        refused(700, "m", "BatchRefused", "b-9", 409));
   }
 
   @Test
-  void rejectsAOnceRequestThatRanTwiceOrAfterARefusal() {
-    rejects(
-        ONCE_REQUEST_RAN_WRONGLY,
-        history -> add(history, 500, WORKER_RECEIVED, "w2", "", "live prompt", 0));
-    rejects(
-        ONCE_REQUEST_RAN_WRONGLY,
-        history -> {
-          add(history, 500, LIVE_SENT, "l2", "once-2", "second", 2);
-          add(history, 600, LIVE_ANSWERED, "l2", "QueueFull", "", 429);
-          add(history, 700, WORKER_RECEIVED, "w1", "", "second", 0);
-        });
+  void rejectsAnItemTwiceAndAChangedResult() {
+    rejects(RESULT_TWICE_OR_CHANGED, resultRead(500, "k", "a|succeeded", OUTPUT_A, 3));
+    rejects(RESULT_TWICE_OR_CHANGED, resultRead(500, "k", "a|failed", "", 1));
   }
 
   @Test
-  void rejectsAnothersAndACutAnswer() {
-    rejects(
-        WRONG_OR_CUT_ANSWER,
-        history -> {
-          add(history, 500, LIVE_SENT, "l2", "", "second", 2);
-          add(history, 600, LIVE_ANSWERED, "l2", "complete", EmulatedOutput.whole("other", 2), 200);
-        });
+  void rejectsAResultWithoutItsCompleteOutput() {
     rejects(
-        WRONG_OR_CUT_ANSWER,
-        history -> {
-          add(history, 500, LIVE_SENT, "l2", "", "second", 2);
-          add(
-              history,
-              600,
-              LIVE_ANSWERED,
-              "l2",
-              "complete",
-              EmulatedOutput.whole("second", 1),
-              200);
-        });
+        RESULT_NOT_WHOLE,
+        item(500, "k", "c", "prompt c", 3),
+        resultRead(600, "k", "c|succeeded", EmulatedOutput.whole("prompt c", 2), 3),
+        batchRead(600, "k", "finished", 3));
   }
 
   @Test
-  void rejectsWorkToALeavingWorker() {
+  void rejectsAFailedItemWhereNoWorkerFailed() {
     rejects(
-        WORK_TO_LEAVING_WORKER,
-        history -> {
-          add(history, 500, LEAVING_ANSWERED, "w1", "", "", 200);
-          add(history, 3_501, WORKER_RECEIVED, "w1", "", "third", 0);
-        });
+        RESULT_NOT_WHOLE,
+        item(500, "m", "a", "prompt a", 3),
+        accepted(510, "m", "b-2"),
+        resultRead(600, "m", "a|failed", "", 1),
+        batchRead(600, "m", "finished", 1));
   }
 
   @Test
-  void rejectsABundleThatIsNotInForceOrUndone() {
-    rejects(BUNDLE_NOT_IN_FORCE, history -> add(history, 2_301, EDGE_BUNDLE, "edge-2", "", "", 1));
-    rejects(BUNDLE_NOT_IN_FORCE, history -> add(history, 900, BUNDLE_READ, "", "", "800", 1));
+  void rejectsAnAcceptedBatchOrAReadResultReportedMissing() {
+    rejects(
+        REPORTED_MISSING,
+        batchReadFailed(1_500, "k", "NoSuchBatch", 404),
+        batchRead(1_600, "k", "finished", 2));
+    rejects(
+        REPORTED_MISSING,
+        batchRead(1_500, "k", "finished", 1),
+        batchRead(1_600, "k", "finished", 2));
   }
 
   @Test
-  void rejectsAServiceThatDoesNotComeBack() {
+  void rejectsAnOlderStateThanWasRead() {
     rejects(
-        SERVICE_NOT_BACK,
-        history -> {
-          for (int number = 2; number < 20; number++) {
-            add(history, number * 1_000L, LIVE_SENT, "l" + number, "", "p" + number, 2);
-            add(history, number * 1_000L + 10, LIVE_ANSWERED, "l" + number, "NotReady", "", 503);
-          }
-        });
+        REPORTED_MISSING,
+        batchRead(1_500, "k", "running", 2),
+        batchRead(1_600, "k", "finished", 2));
   }
 
   @Test
-  void rejectsAnOvershotCeiling() {
-    rejects(
-        CEILING_OVERSHOT,
-        history -> {
-          for (int item = 0; item < 12; item++) {
-            add(history, 400, ITEM, "big", "i" + item, "p", 1);
-          }
-          add(history, 500, SUBMIT_ANSWERED, "big", "", "b-9", 201);
-          add(history, 600, BATCH_READ, "big", "finished", "12", 200);
-        });
+  void rejectsItemsThatRunAfterTheEnd() {
+    rejects(RAN_AFTER_END, endAnswered(500, "k"), itemReceived(3_501, "b-1/a", "prompt a"));
   }
 
-  // ---- each of these passed an earlier checker
-
   @Test
-  void rejectsAFinishedBatchThatLacksResults() {
+  void rejectsAOnceRequestThatRanTwiceOrAfterARefusal() {
+    rejects(ONCE_REQUEST_RAN_WRONGLY, liveReceived(500, "w2", "live prompt"));
     rejects(
-        ACCEPTED_BATCH_LOST,
-        history -> {
-          add(history, 500, ITEM, "m", "a", "prompt a", 3);
-          add(history, 500, ITEM, "m", "b", "prompt b", 3);
-          add(history, 510, SUBMIT_ANSWERED, "m", "", "b-2", 201);
-          add(history, 600, BATCH_READ, "m", "finished", "1", 200);
-        });
+        ONCE_REQUEST_RAN_WRONGLY,
+        liveSent(500, "l2", "once-2", "second", 2),
+        liveRefused(600, "l2", "QueueFull", 429),
+        liveReceived(700, "w1", "second"));
   }
 
   @Test
-  void rejectsAnEndThatNobodyAskedFor() {
-    rejects(
-        ACCEPTED_BATCH_LOST,
-        history -> {
-          add(history, 510, SUBMIT_ANSWERED, "m", "", "b-2", 201);
-          add(history, 600, BATCH_READ, "m", "ended", "0", 200);
-        });
+  void rejectsAnothersAndACutResponse() {
+    for (String output :
+        List.of(EmulatedOutput.whole("other", 2), EmulatedOutput.whole("second", 1))) {
+      rejects(
+          WRONG_OR_CUT_ANSWER,
+          liveSent(500, "l2", "", "second", 2),
+          liveCompleted(600, "l2", output));
+    }
   }
 
   @Test
-  void rejectsAFailedItemWhereNoWorkerFailed() {
-    rejects(
-        RESULT_NOT_WHOLE,
-        history -> {
-          add(history, 500, ITEM, "m", "a", "prompt a", 3);
-          add(history, 510, SUBMIT_ANSWERED, "m", "", "b-2", 201);
-          add(history, 600, RESULT_READ, "m", "a|failed", "", 1);
-          add(history, 600, BATCH_READ, "m", "finished", "1", 200);
-        });
+  void rejectsWorkToALeavingWorker() {
+    rejects(WORK_TO_LEAVING_WORKER, leavingAnswered(500, "w1"), liveReceived(3_501, "w1", "third"));
   }
 
   @Test
-  void rejectsABatchThatRanAfterAnyMixOfRefusals() {
-    rejects(
-        REFUSED_BATCH_RAN,
-        history -> {
-          add(history, 500, SUBMIT_ANSWERED, "m", "NotReady", "b-9", 503);
-          add(history, 600, WORKER_RECEIVED, "w1", "b-9/a", "x", 0);
-          add(history, 700, SUBMIT_ANSWERED, "m", "BatchRefused", "b-9", 409);
-        });
+  void rejectsAConfigurationThatIsNotInForceOrUndone() {
+    rejects(BUNDLE_NOT_IN_FORCE, edgeConfiguration(2_301, "edge-2", 1));
+    rejects(BUNDLE_NOT_IN_FORCE, configurationRead(900, 800, 1));
   }
 
   @Test
-  void rejectsAnOlderStateThanWasRead() {
+  void rejectsAConfigurationWithoutEffect() {
     rejects(
-        REPORTED_MISSING,
-        history -> {
-          add(history, 1_500, BATCH_READ, "k", "running", "2", 200);
-          add(history, 1_600, BATCH_READ, "k", "finished", "2", 200);
-        });
+        BUNDLE_NOT_IN_FORCE,
+        workerPool("w1", "main"),
+        configurationRoute(0, 1, "check", "main"),
+        configurationRoute(290, 2, "check", "spare"),
+        liveClass(2_310, "l9", "check", "late prompt"),
+        liveReceived(2_320, "w1", "late prompt"));
   }
 
   @Test
-  void rejectsABundleWithoutEffect() {
-    rejects(
-        BUNDLE_NOT_IN_FORCE,
-        history -> {
-          add(history, 0, WORKER_POOL, "w1", "main", "", 0);
-          add(history, 0, BUNDLE_WAY, "1", "check", "main", 1);
-          add(history, 290, BUNDLE_WAY, "2", "check", "spare", 2);
-          add(history, 2_310, LIVE_CLASS, "l9", "check", "late prompt", 0);
-          add(history, 2_320, WORKER_RECEIVED, "w1", "", "late prompt", 0);
-        });
+  void rejectsAServiceThatDoesNotRecover() {
+    List<Seen> events = new ArrayList<>();
+    for (int number = 2; number < 20; number++) {
+      events.add(liveSent(number * 1_000L, "l" + number, "", "p" + number, 2));
+      events.add(liveRefused(number * 1_000L + 10, "l" + number, "NotReady", 503));
+    }
+    rejects(SERVICE_NOT_BACK, events);
   }
 
   @Test
   void rejectsOneEdgeThatServesNobody() {
-    rejects(
-        SERVICE_NOT_BACK,
-        history -> {
-          for (int number = 0; number < 20; number++) {
-            add(history, 1_000 + number * 1_000, LIVE_SENT, "x" + number, "", "p" + number, 2);
-            add(history, 1_000 + number * 1_000, LIVE_AT, "x" + number, "edge-1", "", 0);
-            add(history, 1_001 + number * 1_000, LIVE_ANSWERED, "x" + number, "NotReady", "", 503);
-            add(history, 1_002 + number * 1_000, LIVE_SENT, "y" + number, "", "q" + number, 2);
-            add(
-                history,
-                1_003 + number * 1_000,
-                LIVE_ANSWERED,
-                "y" + number,
-                "complete",
-                EmulatedOutput.whole("q" + number, 2),
-                200);
-          }
-        });
+    List<Seen> events = new ArrayList<>();
+    for (int number = 0; number < 20; number++) {
+      long atMs = 1_000 + number * 1_000;
+      events.add(liveSent(atMs, "x" + number, "", "p" + number, 2));
+      events.add(liveAt(atMs, "x" + number, "edge-1"));
+      events.add(liveRefused(atMs + 1, "x" + number, "NotReady", 503));
+      events.add(liveSent(atMs + 2, "y" + number, "", "q" + number, 2));
+      events.add(liveCompleted(atMs + 3, "y" + number, EmulatedOutput.whole("q" + number, 2)));
+    }
+    rejects(SERVICE_NOT_BACK, events);
   }
 
   @Test
   void rejectsABatchThatCanNotBeRead() {
-    rejects(
-        SERVICE_NOT_BACK,
-        history -> {
-          for (int number = 0; number < 6; number++) {
-            add(history, 1_000 + number * 4_000, BATCH_READ, "k", "NoMajority", "0", 503);
-          }
-          add(history, 30_000, BATCH_READ, "k", "finished", "2", 200);
-        });
+    List<Seen> events = new ArrayList<>();
+    for (int number = 0; number < 6; number++) {
+      events.add(batchReadFailed(1_000 + number * 4_000, "k", "NoMajority", 503));
+    }
+    events.add(batchRead(30_000, "k", "finished", 2));
+    rejects(SERVICE_NOT_BACK, events);
   }
 
   @Test
   void rejectsABatchThatIsPassedOver() {
-    rejects(
-        SERVICE_NOT_BACK,
-        history -> {
-          add(history, 1_000, ITEM, "m", "a", "prompt a", 3);
-          add(history, 3_500, ITEM, "n", "a", "prompt a", 3);
-          add(history, 1_000, SUBMIT_ANSWERED, "m", "", "b-2", 201);
-          add(history, 3_500, SUBMIT_ANSWERED, "n", "", "b-3", 201);
-          add(history, 5_000, BATCH_READ, "n", "finished", "1", 200);
-          for (int second = 2; second < 16; second++) {
-            add(history, second * 1_000, BATCH_READ, "m", "accepted", "0", 200);
-          }
-          add(history, 16_000, BATCH_READ, "m", "finished", "1", 200);
-        });
+    List<Seen> events = new ArrayList<>();
+    events.add(item(1_000, "m", "a", "prompt a", 3));
+    events.add(item(3_500, "n", "a", "prompt a", 3));
+    events.add(accepted(1_000, "m", "b-2"));
+    events.add(accepted(3_500, "n", "b-3"));
+    events.add(batchRead(5_000, "n", "finished", 1));
+    for (int second = 2; second < 16; second++) {
+      events.add(batchRead(second * 1_000, "m", "accepted", 0));
+    }
+    events.add(batchRead(16_000, "m", "finished", 1));
+    rejects(SERVICE_NOT_BACK, events);
   }
 
   @Test
   void rejectsCommandsThatStayUnanswered() {
-    rejects(
-        SERVICE_NOT_BACK,
-        history -> {
-          for (int number = 0; number < 8; number++) {
-            add(history, 1_000 + number * 2_000, BUNDLE_ANSWERED, "3", "OutcomeUnknown", "", 504);
-          }
-        });
+    List<Seen> events = new ArrayList<>();
+    for (int number = 0; number < 8; number++) {
+      events.add(configurationAnswered(1_000 + number * 2_000, 3, "OutcomeUnknown", 504));
+    }
+    rejects(SERVICE_NOT_BACK, events);
   }
 
   @Test
   void rejectsNoRoomWhereThereIsRoom() {
     rejects(
-        SERVICE_NOT_BACK,
-        history -> {
-          add(history, 20_000, SUBMIT_SENT, "m", "", "", 2);
-          add(history, 20_010, SUBMIT_ANSWERED, "m", "NoRoom", "b-2", 429);
-        });
+        SERVICE_NOT_BACK, submitSent(20_000, "m", 2), refused(20_010, "m", "NoRoom", "b-2", 429));
+  }
+
+  @Test
+  void rejectsAnOvershotCeiling() {
+    List<Seen> events = new ArrayList<>();
+    for (int number = 0; number < 12; number++) {
+      events.add(item(400, "big", "i" + number, "p", 1));
+    }
+    events.add(accepted(500, "big", "b-9"));
+    events.add(batchRead(600, "big", "finished", 12));
+    rejects(CEILING_OVERSHOT, events);
   }
 
   @Test
   void namesTheLineOfABrokenHistory() throws History.BrokenLine {
-    String lines = sound().toLines();
+    String lines = history(List.of()).toLines();
     assertThat(History.fromLines(lines).toLines()).isEqualTo(lines);
     try {
       History.fromLines(lines + "{broken");
