--- a/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
@@ -75,7 +75,7 @@
   }
 
   /** Whether a life of the process ended or began between two times. */
-  boolean oneLife(String process, long fromMs, long untilMs) {
+  boolean sameIncarnation(String process, long fromMs, long untilMs) {
     TreeMap<Long, Set<String>> ofProcess = open.getOrDefault(process, new TreeMap<>());
     return ofProcess.subMap(fromMs, true, untilMs, true).values().stream()
             .noneMatch(now -> now.contains("down"))
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyChecker.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyChecker.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * The never-rules of opaque requests, opaque batches, the outside list and changes of routes, from
- * outside alone.
+ * Judges proxied requests, proxied batches, the platform's list of workers and changes of routes by
+ * what was observed from outside.
  */
 final class ProxyChecker {
-  /** How a run ended whose caller left. */
+  /** In place of a status: the caller of the run closed the connection. */
   static final int DROPPED = -1;
 
   static List<Violation> check(List<Seen> seen) {
@@ -21,9 +21,10 @@
     var changes = new RouteChangeRules(traffic, violations);
     var batches = new ProxiedBatchRules(traffic, violations);
     runs.runsAreAsAsked();
-    responses.responsesAreWhole();
+    responses.responsesAreComplete();
     runs.leavingWorkersGetNothing();
     changes.oneChangeWins();
+    changes.readsAreCurrent();
     changes.operatorsSeeOneRegister();
     changes.effectsAreInForce();
     responses.plannedStopsCutNothing();
@@ -33,6 +34,7 @@
     return violations;
   }
 
+  /** The body of a failure that a simulated worker responds with. */
   static String failure(String run, long status) {
     return "failed " + status + " " + run;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
@@ -87,7 +87,7 @@
   }
 
   final List<Seen> seen;
-  final HealthyMachines touch;
+  final HealthyMachines machines;
   final Map<String, Long> bounds = new HashMap<>();
   final Map<String, Seen> requests = new HashMap<>();
   final Map<String, Seen> answers = new HashMap<>();
@@ -107,7 +107,7 @@
   ProxyTraffic(List<Seen> seen) {
     this.seen = seen;
     of(Kind.BOUND).forEach(each -> bounds.put(each.subject(), each.number()));
-    touch = new HealthyMachines(seen, bound("contactMs", 3_000), bound("losses", 1));
+    machines = new HealthyMachines(seen, bound("contactMs", 3_000), bound("losses", 1));
     learn();
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
@@ -13,12 +13,40 @@
 import java.util.List;
 import java.util.Map;
 
-/** Changes of routes: who wins, what is read back, and what each request shows to be in force. */
+/**
+ * Changes of routes: which of them is acknowledged, what is read back, and which of them the
+ * handling of each request shows to be in force.
+ */
 final class RouteChangeRules extends RuleGroup<ProxyTraffic> {
+  /**
+   * How a node handled a request or a batch item.
+   *
+   * @param request null for a batch item
+   * @param pool where it ran; null if the node answered that there is no such route
+   */
+  private record Handling(
+      Seen request, String asked, long sentMs, String edge, long atMs, String pool) {
+    String describe() {
+      return (request == null ? "an item" : request.subject())
+          + " asked "
+          + ProxyTraffic.host(asked)
+          + ProxyTraffic.path(asked)
+          + " at "
+          + edge
+          + (pool == null ? " and was told of no route" : " ran in " + pool);
+    }
+  }
+
+  /** A node had a change of at least this number in force at a time. */
+  private record Proof(long number, long atMs) {}
+
+  private final Map<String, List<Proof>> proofsOfEdge = new HashMap<>();
+
   RouteChangeRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
 
+  /** At most one change on top of each configuration is acknowledged, and no invalid one. */
   void oneChangeWins() {
     Map<String, String> winnerOn = new HashMap<>();
     for (Seen each : traffic.of(Kind.CHANGE_ANSWERED)) {
@@ -40,6 +68,10 @@
             change.id() + " and " + other + " both build on " + change.buildsOn());
       }
     }
+  }
+
+  /** Reads give a change that may be in force, no older than the one acknowledged before. */
+  void readsAreCurrent() {
     for (Seen each : traffic.of(Kind.CHANGE_READ)) {
       long begunMs = Long.parseLong(each.text());
       long newest = traffic.acknowledgedBefore(begunMs);
@@ -59,7 +91,7 @@
     }
   }
 
-  /** All that operators were told fits one register. */
+  /** The responses that operators got are linearizable on one register. */
   void operatorsSeeOneRegister() {
     LinearizabilityChecker.check(traffic.seen)
         .ifPresent(
@@ -74,122 +106,113 @@
    * its node by then.
    */
   void effectsAreInForce() {
-    Map<String, List<long[]>> provenAt = new HashMap<>();
     for (Seen each : traffic.seen) {
-      switch (each.kind()) {
-        case RUN_BEGAN -> {
-          Run run = traffic.runs.get(each.text());
-          Seen request = traffic.requests.get(each.detail());
-          Batch batch = traffic.batches.get(traffic.batchOfItem.getOrDefault(each.detail(), ""));
-          if (request != null) {
-            handled(
-                request,
-                request.text(),
-                request.atMs(),
-                run.edge(),
-                each.atMs(),
-                traffic.poolOfWorker.get(each.subject()),
-                provenAt);
-          } else if (batch != null && batch.acceptedMs >= 0) {
-            handled(
-                null,
-                run.asked(),
-                batch.acceptedMs,
-                run.edge(),
-                each.atMs(),
-                traffic.poolOfWorker.get(each.subject()),
-                provenAt);
-          }
-        }
-        case REQUEST_ANSWERED -> {
-          Seen request = traffic.requests.get(each.subject());
-          if (each.detail().equals("refused") && each.number() == 404) {
-            handled(
-                request,
-                request.text(),
-                request.atMs(),
-                ProxyTraffic.edgeOf(request),
-                each.atMs(),
-                null,
-                provenAt);
-          }
-        }
-        default -> {}
+      if (each.kind() == Kind.RUN_BEGAN) {
+        runBegan(each);
+      } else if (each.kind() == Kind.REQUEST_ANSWERED
+          && each.detail().equals("refused")
+          && each.number() == 404) {
+        Seen request = traffic.requests.get(each.subject());
+        String edge = ProxyTraffic.edgeOf(request);
+        check(new Handling(request, request.text(), request.atMs(), edge, each.atMs(), null));
       }
     }
   }
 
-  /** pool: where it ran; null if it was told that there is no such route. */
-  private void handled(
-      Seen request,
-      String asked,
-      long sentMs,
-      String edge,
-      long atMs,
-      String pool,
-      Map<String, List<long[]>> provenAt) {
-    long[] fitting =
-        traffic.changes.values().stream()
-            .filter(traffic::mayBeInForce)
-            .filter(change -> change.sentMs() <= atMs)
-            .filter(
-                change -> {
-                  Route route =
-                      ProxyTraffic.routeOf(
-                          change, ProxyTraffic.host(asked), ProxyTraffic.path(asked));
-                  return pool == null
-                      ? route == null
-                      : route != null && route.pools().contains(pool);
-                })
-            .mapToLong(Change::number)
-            .sorted()
-            .toArray();
-    String what = described(request, asked, edge, pool);
-    if (fitting.length == 0) {
-      boolean wrong =
-          pool != null
-              ? traffic.everAllowed(asked, pool, atMs)
-              : traffic.acknowledgedBefore(sentMs) > 0 && traffic.touch.inTouch(edge, sentMs);
-      if (wrong) {
-        violated(Rule.BUNDLE_NOT_IN_FORCE, atMs, what + ", which nothing in force allowed");
-      }
+  private void runBegan(Seen began) {
+    Run run = traffic.runs.get(began.text());
+    String pool = traffic.poolOfWorker.get(began.subject());
+    Seen request = traffic.requests.get(began.detail());
+    Batch batch = traffic.batches.get(traffic.batchOfItem.getOrDefault(began.detail(), ""));
+    if (request != null) {
+      check(new Handling(request, request.text(), request.atMs(), run.edge(), began.atMs(), pool));
+    } else if (batch != null && batch.acceptedMs >= 0) {
+      check(new Handling(null, run.asked(), batch.acceptedMs, run.edge(), began.atMs(), pool));
+    }
+  }
+
+  private void check(Handling handling) {
+    long[] allowedBy = changesThatAllow(handling);
+    if (allowedBy.length == 0) {
+      checkAllowedByNone(handling);
       return;
     }
-    long newest = fitting[fitting.length - 1];
-    long inForce = traffic.acknowledgedBefore(sentMs - traffic.bound("applyMs", 2_000));
+    long newest = allowedBy[allowedBy.length - 1];
+    long inForce = traffic.acknowledgedBefore(handling.sentMs() - traffic.bound("applyMs", 2_000));
     if (newest < inForce
-        && traffic.touch.inTouch(edge, sentMs)
-        && traffic.touch.inTouch(edge, atMs)) {
+        && traffic.machines.inTouch(handling.edge(), handling.sentMs())
+        && traffic.machines.inTouch(handling.edge(), handling.atMs())) {
+      violated(
+          Rule.BUNDLE_NOT_IN_FORCE,
+          handling.atMs(),
+          handling.describe()
+              + " by nothing newer than "
+              + newest
+              + " where "
+              + inForce
+              + " was in force");
+    }
+    checkNoDowngrade(handling, newest);
+    if (handling.pool() != null) {
+      addProof(handling, allowedBy[0]);
+    }
+  }
+
+  /** The numbers of the changes that allow the handling, in ascending order. */
+  private long[] changesThatAllow(Handling handling) {
+    return traffic.changes.values().stream()
+        .filter(traffic::mayBeInForce)
+        .filter(change -> change.sentMs() <= handling.atMs())
+        .filter(change -> allows(change, handling))
+        .mapToLong(Change::number)
+        .sorted()
+        .toArray();
+  }
+
+  private static boolean allows(Change change, Handling handling) {
+    String asked = handling.asked();
+    Route route = ProxyTraffic.routeOf(change, ProxyTraffic.host(asked), ProxyTraffic.path(asked));
+    if (handling.pool() == null) {
+      return route == null;
+    }
+    return route != null && route.pools().contains(handling.pool());
+  }
+
+  private void checkAllowedByNone(Handling handling) {
+    boolean wrong =
+        handling.pool() != null
+            ? traffic.everAllowed(handling.asked(), handling.pool(), handling.atMs())
+            : traffic.acknowledgedBefore(handling.sentMs()) > 0
+                && traffic.machines.inTouch(handling.edge(), handling.sentMs());
+    if (wrong) {
       violated(
           Rule.BUNDLE_NOT_IN_FORCE,
-          atMs,
-          what + " by nothing newer than " + newest + " where " + inForce + " was in force");
+          handling.atMs(),
+          handling.describe() + ", which nothing in force allowed");
     }
-    List<long[]> proven = provenAt.computeIfAbsent(edge, unseen -> new ArrayList<>());
-    for (long[] before : proven) {
-      if (newest < before[0]
-          && sentMs > before[1] + traffic.bound("downgradeMs", 250)
-          && request != null
-          && traffic.touch.oneLife(edge, before[1], sentMs)) {
+  }
+
+  /** A node does not go back to an older change within one incarnation. */
+  private void checkNoDowngrade(Handling handling, long newest) {
+    long graceMs = traffic.bound("downgradeMs", 250);
+    for (Proof before : proofsOfEdge.getOrDefault(handling.edge(), List.of())) {
+      if (newest < before.number()
+          && handling.sentMs() > before.atMs() + graceMs
+          && handling.request() != null
+          && traffic.machines.sameIncarnation(handling.edge(), before.atMs(), handling.sentMs())) {
         violated(
             Rule.BUNDLE_NOT_IN_FORCE,
-            atMs,
-            what + " by " + newest + " after it had shown " + before[0]);
-        break;
+            handling.atMs(),
+            handling.describe() + " by " + newest + " after it had shown " + before.number());
+        return;
       }
     }
-    if (pool != null && (proven.isEmpty() || proven.get(proven.size() - 1)[0] < fitting[0])) {
-      proven.add(new long[] {fitting[0], atMs});
-    }
   }
 
-  private static String described(Seen request, String asked, String edge, String pool) {
-    return (request == null ? "an item" : request.subject())
-        + " asked "
-        + ProxyTraffic.host(asked)
-        + ProxyTraffic.path(asked)
-        + " at "
-        + edge
-        + (pool == null ? " and was told of no route" : " ran in " + pool);
+  private void addProof(Handling handling, long oldestAllowing) {
+    List<Proof> proofs = proofsOfEdge.computeIfAbsent(handling.edge(), unseen -> new ArrayList<>());
+    if (proofs.isEmpty() || proofs.get(proofs.size() - 1).number() < oldestAllowing) {
+      proofs.add(new Proof(oldestAllowing, handling.atMs()));
+    }
   }
 }
