--- a/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
@@ -9,19 +9,19 @@
 import java.util.TreeMap;
 
 /**
- * Callers of the control side, from the instant a trouble begins until after its end: they ask
- * every core process for a confirmed read of every key that has an owner, over and over. Measures
- * how long no process served a key, how many terms the owners used up, and how long answers took.
+ * Probes the control plane from the start of a fault until after its end: sends confirmed reads of
+ * every key that has an owner to every control plane node, at a fixed interval. Measures how long
+ * no node served a key, how many terms the owners used, and how long responses took.
  */
 final class ControlPlaneProbe {
-  private static final long EVERY_MS = 200;
-  private static final long PATIENCE_MS = 15_000;
+  private static final long INTERVAL_MS = 200;
+  private static final long TIMEOUT_MS = 15_000;
 
-  /** Watched for so long after the trouble's end: what returns must disturb nobody. */
+  /** How long the probe goes on after the fault, as a returning node must not disrupt others. */
   private static final long AFTER_MS = 10_000;
 
-  /** Answers count once the trouble is known to whoever it befell. */
-  private static final long KNOWN_MS = 3_000;
+  /** Responses count from this time after the start of the fault, once nodes detected it. */
+  private static final long DETECTION_MS = 3_000;
 
   private final SimulatedFleet fleet;
   private final Simulation simulation;
@@ -30,15 +30,16 @@
   private final Map<String, Long> servedAtMs = new TreeMap<>();
   private Map<String, Long> termsBefore = Map.of();
 
-  /** The longest time in which no core process served one of the keys, and which key it was. */
+  /** The longest time in which no node served one of the keys. */
   long longestGapMs;
 
+  /** The key that was not served for longest. */
   String longestGapKey = "";
 
-  /** Terms that all keys together used up. */
+  /** Terms that all keys together used. */
   long terms;
 
-  /** The longest time until any answer, a refusal included, of a process that could answer. */
+  /** The longest time to any response, refusals included, of a node that could respond. */
   long slowestAnswerMs;
 
   ControlPlaneProbe(SimulatedFleet fleet, long fromMs, long toMs) {
@@ -53,7 +54,7 @@
   private void begin() {
     termsBefore = terms();
     termsBefore.keySet().forEach(key -> servedAtMs.put(key, fromMs));
-    ask();
+    sendReads();
   }
 
   private void end() {
@@ -66,9 +67,9 @@
   /** By key, the highest term that any owner knows. */
   private Map<String, Long> terms() {
     Map<String, Long> terms = new TreeMap<>();
-    for (Process core : cores()) {
-      if (core.alive()) {
-        JsonNode owned = core.node().status().path("owned");
+    for (Process node : controlPlaneNodes()) {
+      if (node.alive()) {
+        JsonNode owned = node.node().status().path("owned");
         owned
             .fields()
             .forEachRemaining(
@@ -78,34 +79,35 @@
     return terms;
   }
 
-  private List<Process> cores() {
+  private List<Process> controlPlaneNodes() {
     return simulation.processes.values().stream()
         .filter(process -> process.node() instanceof ControlPlaneNode)
         .toList();
   }
 
-  private void ask() {
+  private void sendReads() {
     if (simulation.simulatedNowMs() >= toMs + AFTER_MS) {
       return;
     }
-    for (Process core : cores()) {
-      servedAtMs.keySet().forEach(key -> read(core, key));
+    for (Process node : controlPlaneNodes()) {
+      servedAtMs.keySet().forEach(key -> read(node, key));
     }
-    simulation.afterMs(EVERY_MS, this::ask);
+    simulation.afterMs(INTERVAL_MS, this::sendReads);
   }
 
-  private void read(Process core, String key) {
+  private void read(Process node, String key) {
     long begunMs = simulation.simulatedNowMs();
-    boolean judged = begunMs >= fromMs + KNOWN_MS && begunMs < toMs - KNOWN_MS && !core.frozen();
+    boolean judged =
+        begunMs >= fromMs + DETECTION_MS && begunMs < toMs - DETECTION_MS && !node.frozen();
     fleet.command(
-        core,
-        PATIENCE_MS,
+        node,
+        TIMEOUT_MS,
         Operation.READ_KEY,
         key,
         new byte[] {'{', '}'},
         response -> {
           long tookMs = simulation.simulatedNowMs() - begunMs;
-          boolean connectionBroke = response == null && tookMs < PATIENCE_MS;
+          boolean connectionBroke = response == null && tookMs < TIMEOUT_MS;
           if (judged && !connectionBroke) {
             slowestAnswerMs = Math.max(slowestAnswerMs, tookMs);
           }
--- a/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
@@ -10,27 +10,25 @@
 import java.util.TreeMap;
 
 /**
- * Which machines are bound by time limits at a moment: those without trouble for a while, before a
- * settled core. Read from what was done to the fleet, never from what a node says of itself.
+ * Tells which machines must keep the time limits at a moment: those without a fault for a while, as
+ * long as the control plane is stable. It is derived from the injected faults, never from what a
+ * node reports of itself.
  */
 final class HealthyMachines {
-  private static final Set<String> CORE_ROLES = Set.of("core", "storage");
+  private static final Set<String> CONTROL_PLANE_ROLES = Set.of("core", "storage");
 
-  /**
-   * A core is settled though a minority of it is down or frozen; any other open trouble unsettles
-   * it.
-   */
-  private static final Set<String> BORNE = Set.of("down", "frozen");
+  /** Faults of a minority that leave the control plane stable; any other fault does not. */
+  private static final Set<String> TOLERATED = Set.of("down", "frozen");
 
-  /** By process, the times at which its trouble changed, with what was then open. */
+  /** By process, the times at which its faults changed, with the faults then open. */
   private final Map<String, TreeMap<Long, Set<String>>> open = new HashMap<>();
 
-  private final TreeMap<Long, Boolean> coreSettled = new TreeMap<>();
+  private final TreeMap<Long, Boolean> controlPlaneStable = new TreeMap<>();
   private final long contactMs;
 
   HealthyMachines(List<Seen> seen, long contactMs, long losses) {
     this.contactMs = contactMs;
-    Map<String, Set<String>> core = new HashMap<>();
+    Map<String, Set<String>> controlPlane = new HashMap<>();
     for (Seen each : seen) {
       if (each.kind() != Kind.TROUBLE) {
         continue;
@@ -46,27 +44,28 @@
         now.remove(words[1]);
       }
       ofProcess.put(each.atMs(), now);
-      if (CORE_ROLES.contains(each.text())) {
-        core.put(each.subject(), now);
-        boolean borne = core.values().stream().allMatch(BORNE::containsAll);
-        long down = core.entrySet().stream().filter(entry -> !entry.getValue().isEmpty()).count();
-        coreSettled.put(each.atMs(), borne && down <= losses);
+      if (CONTROL_PLANE_ROLES.contains(each.text())) {
+        controlPlane.put(each.subject(), now);
+        boolean tolerated = controlPlane.values().stream().allMatch(TOLERATED::containsAll);
+        long down =
+            controlPlane.entrySet().stream().filter(entry -> !entry.getValue().isEmpty()).count();
+        controlPlaneStable.put(each.atMs(), tolerated && down <= losses);
       }
     }
   }
 
-  boolean inTouch(String process, long atMs) {
+  boolean isHealthy(String process, long atMs) {
     TreeMap<Long, Set<String>> ofProcess = open.get(process);
-    return settled(atMs) && (ofProcess == null || calm(ofProcess, atMs));
+    return isStable(atMs) && (ofProcess == null || hasNoFault(ofProcess, atMs));
   }
 
-  boolean settled(long atMs) {
-    Map.Entry<Long, Boolean> last = coreSettled.floorEntry(atMs);
+  boolean isStable(long atMs) {
+    Map.Entry<Long, Boolean> last = controlPlaneStable.floorEntry(atMs);
     return last == null || last.getValue() && last.getKey() + contactMs < atMs;
   }
 
-  /** No trouble of any kind on the process from contactMs before a time until another. */
-  boolean untroubled(String process, long fromMs, long untilMs, Set<String> planned) {
+  /** Whether the process had no unplanned fault from contactMs before a time until another. */
+  boolean hadNoFault(String process, long fromMs, long untilMs, Set<String> planned) {
     TreeMap<Long, Set<String>> ofProcess = open.getOrDefault(process, new TreeMap<>());
     Map.Entry<Long, Set<String>> before = ofProcess.floorEntry(fromMs - contactMs);
     return (before == null || planned.containsAll(before.getValue()))
@@ -74,7 +73,7 @@
             .allMatch(planned::containsAll);
   }
 
-  /** Whether a life of the process ended or began between two times. */
+  /** Whether the process was up without a restart between two times. */
   boolean sameIncarnation(String process, long fromMs, long untilMs) {
     TreeMap<Long, Set<String>> ofProcess = open.getOrDefault(process, new TreeMap<>());
     return ofProcess.subMap(fromMs, true, untilMs, true).values().stream()
@@ -83,7 +82,7 @@
             || !ofProcess.floorEntry(fromMs).getValue().contains("down"));
   }
 
-  private boolean calm(TreeMap<Long, Set<String>> ofProcess, long atMs) {
+  private boolean hasNoFault(TreeMap<Long, Set<String>> ofProcess, long atMs) {
     Map.Entry<Long, Set<String>> last = ofProcess.floorEntry(atMs);
     return last == null || last.getValue().isEmpty() && last.getKey() + contactMs < atMs;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/History.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/History.java
@@ -9,17 +9,17 @@
 import java.util.List;
 
 /**
- * What was observed from outside, in order of time: by senders, workers, operators and the
- * platform.
+ * The events observed from outside of the system by clients, workers, operators and the platform,
+ * in order of time.
  */
 public final class History {
-  /** What was seen; each kind says what the fields of its events hold. */
+  /** The kinds of events; each documents the fields of its events. */
   public enum Kind {
     /** subject: batch key; detail: item id; text: prompt; number: tokens. */
     ITEM,
     /** subject: batch key; number: items. */
     SUBMIT_SENT,
-    /** subject: batch key; number: status, 0 for none; detail: fault type; text: batch id. */
+    /** subject: batch key; number: status, 0 for none; detail: error type; text: batch id. */
     SUBMIT_ANSWERED,
     /** subject: batch key; number: status; detail: state; text: results recorded. */
     BATCH_READ,
@@ -35,22 +35,23 @@
     /** subject: request; detail: once-id; text: prompt; number: tokens. */
     LIVE_SENT,
     /**
-     * subject: request; number: status, 0 for none; detail: complete, cut, or the fault type; text:
+     * subject: request; number: status, 0 for none; detail: complete, cut, or the error type; text:
      * output.
      */
     LIVE_ANSWERED,
-    /** number: the bundle's number. */
+    /** number: the configuration's number. */
     BUNDLE_SENT,
-    /** subject: the bundle's number; number: status. */
+    /** subject: the configuration's number; number: status. */
     BUNDLE_ANSWERED,
     /** number: the number read; text: when the read began. */
     BUNDLE_READ,
-    /** subject: an edge that says it is ready; number: the bundle it has in force. */
+    /** subject: an edge that says it is ready; number: the configuration it has in force. */
     EDGE_BUNDLE,
     /** subject: worker; number: status. */
     LEAVING_ANSWERED,
     /**
-     * subject: the bundle's number; detail: traffic class; text: the pool it routes the class to.
+     * subject: the configuration's number; detail: traffic class; text: the pool it routes the
+     * class to.
      */
     BUNDLE_WAY,
     /** subject: request; detail: the edge it was sent to. */
@@ -89,7 +90,7 @@
      */
     CHANGE_ROUTE,
     /**
-     * subject: change; detail: fault type; text: when this call began, empty for the first; number:
+     * subject: change; detail: error type; text: when this call began, empty for the first; number:
      * status, 0 for none.
      */
     CHANGE_ANSWERED,
@@ -127,7 +128,7 @@
      * out.
      */
     OPAQUE_ITEM,
-    /** subject: batch; detail: fault type; number: status, 0 for none. */
+    /** subject: batch; detail: error type; number: status, 0 for none. */
     OPAQUE_ANSWERED,
     /**
      * subject: batch; detail: edge; text: first position asked, next position, total, when the read
@@ -149,7 +150,7 @@
     OPAQUE_CLOSED
   }
 
-  /** One event as seen from outside. */
+  /** One event as observed from outside. */
   public record Seen(
       long atMs, Kind kind, String subject, String detail, String text, long number) {}
 
@@ -174,7 +175,7 @@
     return lines.toString();
   }
 
-  /** A line of a written history that can not be read. */
+  /** A line of a written history that can't be parsed. */
   public static final class BrokenLine extends Exception {
     public final int line;
 
--- a/test-fleet/src/main/java/applespindle/testfleet/LinearizabilityChecker.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LinearizabilityChecker.java
@@ -16,7 +16,7 @@
 /**
  * Whether the operators' calls could have happened one after the other, each at a moment between
  * its sending and its answer, on one compare-and-set register that holds the configuration in
- * force. An order is accepted if the register holds the revision that it builds on; sent again, it
+ * force. A change is accepted if the register holds the revision that it builds on; sent again, it
  * is acknowledged again. A call without a clear answer may have been carried out at any later
  * moment, or never.
  *
@@ -29,7 +29,7 @@
   private static final Set<Long> REFUSALS = Set.of(400L, 409L, 412L, 413L, 422L);
 
   /** More alternatives than these are no history that operators leave behind. */
-  private static final int ALTERNATIVES_MOST = 10_000;
+  private static final int MAX_STATES = 10_000;
 
   private enum Result {
     ACKNOWLEDGED,
@@ -37,74 +37,75 @@
     READ
   }
 
-  /** An order as its operator sends it, each time in the same words. */
-  private record Order(String id, long buildsOn, long number, boolean valid, long firstSentMs) {}
+  /** A change as its operator sends it, unchanged each time. */
+  private record Change(String id, long buildsOn, long number, boolean valid, long firstSentMs) {}
 
-  private record Call(Order order, Result result, long sentMs, long answeredMs) {}
+  private record Call(Change change, Result result, long sentMs, long answeredMs) {}
 
   /**
-   * The register after an order was accepted just before the answer with the given place; before is
+   * The register after a change was accepted just before the answer with the given place; before is
    * null for the empty register.
    */
-  private record State(Order accepted, int place, State before) {
-    static final State EMPTY = new State(new Order("none", 0, 0, true, 0), -1, null);
+  private record State(Change accepted, int place, State before) {
+    static final State EMPTY = new State(new Change("none", 0, 0, true, 0), -1, null);
 
     long number() {
       return accepted.number();
     }
 
     /** Numbers fall from each state to the one before it. */
-    boolean holdsOrHeld(Order order) {
+    boolean holdsOrHeld(Change change) {
       State state = this;
-      while (state.number() > order.number()) {
+      while (state.number() > change.number()) {
         state = state.before;
       }
-      return state.accepted == order;
+      return state.accepted == change;
     }
 
-    boolean accepts(Order order, long nowMs) {
-      return order.valid()
-          && order.buildsOn() == number()
-          && order.number() > number()
-          && order.firstSentMs() <= nowMs;
+    boolean accepts(Change change, long nowMs) {
+      return change.valid()
+          && change.buildsOn() == number()
+          && change.number() > number()
+          && change.firstSentMs() <= nowMs;
     }
   }
 
-  private final Map<String, Order> orders = new LinkedHashMap<>();
-  private final Map<Long, List<Order>> ordersOnBase = new HashMap<>();
+  private final Map<String, Change> changes = new LinkedHashMap<>();
+  private final Map<Long, List<Change>> changesOnBase = new HashMap<>();
 
   /** By the time of their answers. */
   private final List<Call> calls = new ArrayList<>();
 
   private LinearizabilityChecker(List<Seen> history) {
-    history.forEach(this::learn);
+    history.forEach(this::index);
     calls.sort(Comparator.comparingLong(Call::answeredMs));
   }
 
-  /** The first call that no order of events explains, in words; empty if all are explained. */
+  /** The first call that no order of the calls explains, in words; empty if all are explained. */
   static Optional<String> check(List<Seen> history) {
     return new LinearizabilityChecker(history).search();
   }
 
-  private void learn(Seen seen) {
-    Order order = orders.get(seen.subject());
-    if (seen.kind() == Kind.CHANGE_SENT && order == null) {
+  private void index(Seen seen) {
+    Change change = changes.get(seen.subject());
+    if (seen.kind() == Kind.CHANGE_SENT && change == null) {
       boolean valid = seen.detail().equals("valid");
-      Order sent =
-          new Order(seen.subject(), Long.parseLong(seen.text()), seen.number(), valid, seen.atMs());
-      orders.put(sent.id(), sent);
-      ordersOnBase.computeIfAbsent(sent.buildsOn(), unseen -> new ArrayList<>()).add(sent);
+      Change sent =
+          new Change(
+              seen.subject(), Long.parseLong(seen.text()), seen.number(), valid, seen.atMs());
+      changes.put(sent.id(), sent);
+      changesOnBase.computeIfAbsent(sent.buildsOn(), unseen -> new ArrayList<>()).add(sent);
     } else if (seen.kind() == Kind.CHANGE_ANSWERED && seen.number() == 200) {
-      calls.add(new Call(order, Result.ACKNOWLEDGED, sentMs(seen, order), seen.atMs()));
+      calls.add(new Call(change, Result.ACKNOWLEDGED, sentMs(seen, change), seen.atMs()));
     } else if (seen.kind() == Kind.CHANGE_ANSWERED && REFUSALS.contains(seen.number())) {
-      calls.add(new Call(order, Result.REFUSED, sentMs(seen, order), seen.atMs()));
-    } else if (seen.kind() == Kind.CHANGE_READ && order != null) {
-      calls.add(new Call(order, Result.READ, sentMs(seen, order), seen.atMs()));
+      calls.add(new Call(change, Result.REFUSED, sentMs(seen, change), seen.atMs()));
+    } else if (seen.kind() == Kind.CHANGE_READ && change != null) {
+      calls.add(new Call(change, Result.READ, sentMs(seen, change), seen.atMs()));
     }
   }
 
-  private static long sentMs(Seen answer, Order order) {
-    return answer.text().isEmpty() ? order.firstSentMs() : Long.parseLong(answer.text());
+  private static long sentMs(Seen answer, Change change) {
+    return answer.text().isEmpty() ? change.firstSentMs() : Long.parseLong(answer.text());
   }
 
   private Optional<String> search() {
@@ -117,7 +118,7 @@
       if (next.isEmpty()) {
         return Optional.of(describe(calls.get(place), possible));
       }
-      if (next.size() > ALTERNATIVES_MOST) {
+      if (next.size() > MAX_STATES) {
         throw new IllegalStateException("too many orders without a clear answer");
       }
       possible = next;
@@ -136,9 +137,9 @@
         explaining.add(state);
         continue;
       }
-      for (Order order : ordersOnBase.getOrDefault(state.number(), List.of())) {
-        if (state.accepts(order, call.answeredMs())) {
-          open.add(new State(order, place, state));
+      for (Change change : changesOnBase.getOrDefault(state.number(), List.of())) {
+        if (state.accepts(change, call.answeredMs())) {
+          open.add(new State(change, place, state));
         }
       }
     }
@@ -161,15 +162,15 @@
 
   private static boolean explains(State last, Call call, int firstPlace) {
     if (call.result() == Result.ACKNOWLEDGED) {
-      return last.holdsOrHeld(call.order());
+      return last.holdsOrHeld(call.change());
     }
     for (State state = last, after = null;
         state != null && (after == null || after.place() >= firstPlace);
         after = state, state = state.before()) {
       boolean fits =
           call.result() == Result.READ
-              ? state.accepted() == call.order()
-              : refuses(state, call.order());
+              ? state.accepted() == call.change()
+              : refuses(state, call.change());
       if (fits) {
         return true;
       }
@@ -177,19 +178,19 @@
     return false;
   }
 
-  private static boolean refuses(State state, Order order) {
-    return !state.holdsOrHeld(order) && !state.accepts(order, Long.MAX_VALUE);
+  private static boolean refuses(State state, Change change) {
+    return !state.holdsOrHeld(change) && !state.accepts(change, Long.MAX_VALUE);
   }
 
   private static String describe(Call call, List<State> possible) {
     State likely = possible.get(0);
     return "no order of the calls explains that "
-        + call.order().id()
+        + call.change().id()
         + " ("
-        + call.order().buildsOn()
+        + call.change().buildsOn()
         + " to "
-        + call.order().number()
-        + (call.order().valid() ? "" : ", invalid")
+        + call.change().number()
+        + (call.change().valid() ? "" : ", invalid")
         + "), sent or asked at "
         + call.sentMs()
         + ", was "
--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -18,17 +18,17 @@
 
 /** Simulated clients that send live prompts to the edges of one fleet. */
 final class LiveClients {
-  private static final long PATIENCE_MS = 12_000;
-  private static final int ONCE_TWINS_ONE_IN = 5;
-  private static final int ONCE_REPEATS = 3;
-  private static final double ONCE_AGAIN_MS = 400;
-  private static final double PIECE_DELAY_MS = 0.3;
+  private static final long TIMEOUT_MS = 12_000;
+  private static final int DUPLICATE_ONE_IN = 5;
+  private static final int MAX_RETRIES = 3;
+  private static final double RETRY_PAUSE_MS = 400;
+  private static final double CLIENT_DELAY_MS = 0.3;
   private static final int NOTE_TOKENS = 24;
   private static final int CHECK_TOKENS = 2;
 
   private final SimulatedFleet fleet;
   private final Simulation simulation;
-  private final Set<String> cameBack = new HashSet<>();
+  private final Set<String> retriedAsTold = new HashSet<>();
   private long lastNumber;
 
   LiveClients(SimulatedFleet fleet) {
@@ -36,7 +36,7 @@
     this.simulation = fleet.simulation;
   }
 
-  /** Requests a second, as a stream with random gaps. */
+  /** Sends requests of a class as a Poisson process of a rate. */
   void live(String trafficClass, double perSecond, long fromMs, long untilMs) {
     if (perSecond <= 0) {
       return;
@@ -48,19 +48,19 @@
     if (simulation.simulatedNowMs() >= untilMs) {
       return;
     }
-    sendOrTwins(trafficClass, trafficClass.equals("once") ? "once-" + lastNumber : "");
+    sendSometimesTwice(trafficClass, trafficClass.equals("once") ? "once-" + lastNumber : "");
     double gap = -Math.log(1 - simulation.random.nextDouble()) * 1000 / perSecond;
     simulation.afterMs(gap, () -> sendNext(trafficClass, perSecond, untilMs));
   }
 
   /**
-   * A client of a once-request that hears nothing certain sends it again elsewhere; some are sent
-   * twice at once.
+   * Sends a request. One with a once-id is sometimes sent twice concurrently; without a definite
+   * response it is sent again to another node.
    */
-  private void sendOrTwins(String trafficClass, String once) {
+  private void sendSometimesTwice(String trafficClass, String once) {
     send(trafficClass, once, 0);
-    if (!once.isEmpty() && simulation.random.nextInt(ONCE_TWINS_ONE_IN) == 0) {
-      send(trafficClass, once, ONCE_REPEATS);
+    if (!once.isEmpty() && simulation.random.nextInt(DUPLICATE_ONE_IN) == 0) {
+      send(trafficClass, once, MAX_RETRIES);
     }
   }
 
@@ -69,34 +69,34 @@
   }
 
   /**
-   * A client that was told when to come back does so then; how many such are served is expected of
-   * some scenarios.
+   * Sends a refused request again after the time that its response named; some scenarios expect how
+   * many of these are served.
    */
-  private void comeBack(String id, int seconds, String trafficClass) {
-    if (fleet.obedient && trafficClass.equals("check") && !cameBack.contains(id)) {
+  private void retryAsTold(String id, int seconds, String trafficClass) {
+    if (fleet.obedient && trafficClass.equals("check") && !retriedAsTold.contains(id)) {
       simulation.afterMs(
           1000.0 * seconds,
           () -> {
-            cameBack.add("l" + (lastNumber + 1));
+            retriedAsTold.add("l" + (lastNumber + 1));
             send(trafficClass, "", 0);
           });
     }
   }
 
   /**
-   * Percent of the clients that came back when told to and were served then; 100 if none had to.
+   * The percentage of requests served among those sent again after a refusal; 100 if there are
+   * none.
    */
   long cameBackPercent() {
     long served =
         simulation.history.of(Kind.LIVE_ANSWERED).stream()
-            .filter(seen -> cameBack.contains(seen.subject()) && seen.detail().equals("complete"))
+            .filter(
+                seen -> retriedAsTold.contains(seen.subject()) && seen.detail().equals("complete"))
             .count();
-    return cameBack.isEmpty() ? 100 : 100 * served / cameBack.size();
+    return retriedAsTold.isEmpty() ? 100 : 100 * served / retriedAsTold.size();
   }
 
-  /**
-   * One request at one edge, from its sending to its answer or the end of its client's patience.
-   */
+  /** One request at one edge, from its sending to its response or its timeout. */
   private final class SentRequest implements LiveResponseListener, Caller<Runnable> {
     private final String trafficClass;
     private final String once;
@@ -134,7 +134,7 @@
       simulation.history.add(sentAt, Kind.LIVE_AT, id, edge.name, "", 0);
       simulation.history.add(sentAt, Kind.LIVE_CLASS, id, isNote() ? "note" : "check", prompt, 0);
       simulation.call(edge, this::begin, this);
-      simulation.afterMs(PATIENCE_MS, this::loseTheConnection);
+      simulation.afterMs(TIMEOUT_MS, this::timeOut);
     }
 
     /** Runs at the edge. */
@@ -152,7 +152,7 @@
 
     @Override
     public void text(String text) {
-      simulation.afterMs(PIECE_DELAY_MS, () -> streamed.append(done ? "" : text));
+      simulation.afterMs(CLIENT_DELAY_MS, () -> streamed.append(done ? "" : text));
     }
 
     @Override
@@ -165,7 +165,7 @@
       if (!cut && response.retryAfterSeconds() > 0) {
         long tookMs = simulation.simulatedNowMs() - sentAt;
         fleet.refusedAfterMs.merge(response.errorType(), tookMs, Math::max);
-        comeBack(id, response.retryAfterSeconds(), trafficClass);
+        retryAsTold(id, response.retryAfterSeconds(), trafficClass);
       }
       int status = cut ? 200 : response.status();
       String detail = cut ? "cut" : response.errorType();
@@ -182,8 +182,8 @@
       finish(0, neverReached ? "unreachable" : "cut", streamed.toString());
     }
 
-    /** The client's patience has ended: it closes the connection, which the edge may notice. */
-    private void loseTheConnection() {
+    /** Closes the connection, which the edge may notice. */
+    private void timeOut() {
       if (done) {
         return;
       }
@@ -193,10 +193,14 @@
           (Consumer<Object> then) -> handle.cancel(),
           new Caller<>() {
             @Override
-            public void answered(Object ignored) {}
+            public void answered(Object ignored) {
+              // Nobody waits for it.
+            }
 
             @Override
-            public void broken(boolean neverReached) {}
+            public void broken(boolean neverReached) {
+              // Nothing is left to cancel.
+            }
           });
     }
 
@@ -205,9 +209,9 @@
         return;
       }
       boolean complete = detail.equals("complete");
-      if (!once.isEmpty() && !complete && status != 409 && repeats < ONCE_REPEATS) {
+      if (!once.isEmpty() && !complete && status != 409 && repeats < MAX_RETRIES) {
         simulation.afterMs(
-            ONCE_AGAIN_MS, () -> LiveClients.this.send(trafficClass, once, repeats + 1));
+            RETRY_PAUSE_MS, () -> LiveClients.this.send(trafficClass, once, repeats + 1));
       }
       done = true;
       simulation.history.add(
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedOutput.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedOutput.java
@@ -5,11 +5,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a simulated worker writes for what was asked: it names what it answers, its tokens and the
- * run that made them.
+ * The output of a simulated worker. Each part of it names the request, the range of tokens and the
+ * run that produced them, so that a checker can tell where it came from.
  */
 final class ProxiedOutput {
-  /** A part of an output: tokens first to last of what was asked, made by a run. */
+  /** A part of an output: the tokens first to last for a request, produced by a run. */
   record Part(String asked, int first, int last, String run) {
     /** Null if the text is no part of any output. */
     static Part parse(String text) {
@@ -29,7 +29,7 @@
     return sum(asked) + "." + first + "-" + last + "." + run;
   }
 
-  /** The stamp that a run puts on its answer. */
+  /** The header value that a run marks its response with. */
   static String stamp(String asked, String run) {
     return run + "." + sum(asked);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
@@ -122,9 +122,9 @@
       Seen request = traffic.requests.get(answer.subject());
       String edge = ProxyTraffic.edgeOf(request);
       if (cutByPlannedStop(request, answer, stops.getOrDefault(edge, List.of()))
-          && traffic.machines.settled(request.atMs())
-          && traffic.machines.settled(answer.atMs())
-          && traffic.machines.untroubled(
+          && traffic.machines.isStable(request.atMs())
+          && traffic.machines.isStable(answer.atMs())
+          && traffic.machines.hadNoFault(
               edge, request.atMs(), answer.atMs(), Set.of("stopping", "down"))) {
         violated(
             Rule.RESPONSE_LOST,
@@ -197,7 +197,7 @@
       String edge = ProxyTraffic.edgeOf(traffic.requests.get(each.subject()));
       boolean good =
           each.detail().equals("complete")
-              || !traffic.machines.inTouch(edge, each.atMs())
+              || !traffic.machines.isHealthy(edge, each.atMs())
               || each.number() == 404
               || !traffic.acknowledgedSince(each.atMs());
       if (good) {
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What was seen of opaque requests, batches and changes of routes, put together for the rules. */
+/** The events of proxied requests, batches and changes of routes, indexed for the rules. */
 final class ProxyTraffic {
-  /** Statuses that promise that nothing ran. */
-  static final Set<Long> PROMISES = Set.of(408L, 421L, 429L, 503L);
+  /** Statuses that guarantee that nothing ran. */
+  static final Set<Long> NOT_RUN = Set.of(408L, 421L, 429L, 503L);
 
-  /** Statuses after which a change is certainly not in force. */
-  private static final Set<Long> CLEAR_NO = Set.of(400L, 409L, 412L, 413L, 422L);
+  /** Statuses that guarantee that a change is not in force. */
+  private static final Set<Long> DEFINITE_REFUSALS = Set.of(400L, 409L, 412L, 413L, 422L);
 
   /** One run at a worker; began is null while it waits there. */
   record Run(
@@ -40,6 +40,7 @@
       long sentMs,
       Map<String, Route> routes) {}
 
+  /** A route as a change describes it. */
   record Route(
       String host, String prefix, String type, int attempts, long tokensMost, Set<String> pools) {
     static Route parse(String text) {
@@ -54,7 +55,7 @@
     }
   }
 
-  /** One batch and what its client and the workers saw of it. */
+  /** One batch as its client and the workers observed it. */
   static final class Batch {
     final String id;
     String host;
@@ -76,8 +77,8 @@
       return Integer.parseInt(items.get(item).text().split(" ", 2)[0]);
     }
 
-    /** Batches of one place share a route. */
-    String place() {
+    /** Batches with the same key share a route. */
+    String routeKey() {
       return host + " " + path.substring(0, path.lastIndexOf('/') + 1);
     }
 
@@ -108,18 +109,18 @@
     this.seen = seen;
     of(Kind.BOUND).forEach(each -> bounds.put(each.subject(), each.number()));
     machines = new HealthyMachines(seen, bound("contactMs", 3_000), bound("losses", 1));
-    learn();
+    index();
   }
 
-  long bound(String name, long unlessTold) {
-    return bounds.getOrDefault(name, unlessTold);
+  long bound(String name, long defaultValue) {
+    return bounds.getOrDefault(name, defaultValue);
   }
 
   List<Seen> of(Kind kind) {
     return seen.stream().filter(each -> each.kind() == kind).toList();
   }
 
-  private void learn() {
+  private void index() {
     Map<String, Seen> ends = new HashMap<>();
     Map<String, Seen> begins = new HashMap<>();
     of(Kind.RUN_ENDED).forEach(each -> ends.put(each.text(), each));
@@ -159,16 +160,16 @@
           if (each.number() == 200) {
             acknowledged.add(each.subject());
             acknowledgedMs.putIfAbsent(changes.get(each.subject()).number(), each.atMs());
-          } else if (CLEAR_NO.contains(each.number())) {
+          } else if (DEFINITE_REFUSALS.contains(each.number())) {
             refusedChanges.add(each.subject());
           }
         }
-        default -> learnBatch(each);
+        default -> indexBatch(each);
       }
     }
   }
 
-  private void learnBatch(Seen each) {
+  private void indexBatch(Seen each) {
     Batch batch =
         each.kind().name().startsWith("OPAQUE_")
             ? batches.computeIfAbsent(each.subject(), Batch::new)
@@ -188,7 +189,7 @@
       }
       case OPAQUE_ANSWERED -> {
         batch.openTries--;
-        batch.refusedAtEveryTry &= PROMISES.contains(each.number());
+        batch.refusedAtEveryTry &= NOT_RUN.contains(each.number());
         if (each.number() == 201 && batch.acceptedMs < 0) {
           batch.acceptedMs = each.atMs();
         }
@@ -203,7 +204,7 @@
     }
   }
 
-  /** Neither refused nor beaten: may be in force from the time it was sent. */
+  /** Whether a change may be in force from the time it was sent: it is valid and not refused. */
   boolean mayBeInForce(Change change) {
     return change.valid()
         && (acknowledged.contains(change.id()) || !refusedChanges.contains(change.id()));
@@ -229,8 +230,8 @@
   }
 
   /**
-   * Null if the pieces follow each other, each from a run of just this request, that goes on where
-   * the one before ended.
+   * Checks that the parts of an output follow each other, each from a run of this request that
+   * resumed where the part before ended. Gives null if so, else what is wrong.
    */
   String joined(List<String> texts, String request, String asked, long resumeAfter) {
     long last = resumeAfter;
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
@@ -140,8 +140,8 @@
     long newest = allowedBy[allowedBy.length - 1];
     long inForce = traffic.acknowledgedBefore(handling.sentMs() - traffic.bound("applyMs", 2_000));
     if (newest < inForce
-        && traffic.machines.inTouch(handling.edge(), handling.sentMs())
-        && traffic.machines.inTouch(handling.edge(), handling.atMs())) {
+        && traffic.machines.isHealthy(handling.edge(), handling.sentMs())
+        && traffic.machines.isHealthy(handling.edge(), handling.atMs())) {
       violated(
           Rule.BUNDLE_NOT_IN_FORCE,
           handling.atMs(),
@@ -183,7 +183,7 @@
         handling.pool() != null
             ? traffic.everAllowed(handling.asked(), handling.pool(), handling.atMs())
             : traffic.acknowledgedBefore(handling.sentMs()) > 0
-                && traffic.machines.inTouch(handling.edge(), handling.sentMs());
+                && traffic.machines.isHealthy(handling.edge(), handling.sentMs());
     if (wrong) {
       violated(
           Rule.BUNDLE_NOT_IN_FORCE,
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
@@ -18,57 +18,57 @@
 import java.util.function.Consumer;
 
 /**
- * Two operators who send changes of the routes, each on top of the number that it knows of,
- * sometimes at once, sometimes under one number, sometimes faulty ones. What gets no clear answer
- * is sent again as it was, to any node.
+ * Two operators who send changes of the routes, each based on the newest number that it knows of:
+ * sometimes concurrently, sometimes with equal numbers, sometimes invalid. A change without a
+ * definite response is sent again unchanged, to any node.
  */
 final class RouteOperators {
   static final long RETENTION_MS = 60_000;
   private static final long TIMEOUT_MS = 4_000;
   private static final long TARGET_MS = 500;
-  private static final long GAP_MS = 150;
+  private static final long GAP_TARGET_MS = 150;
   private static final int ATTEMPTS = 2;
   private static final long BATCH_TARGET_MS = 10_000;
-  private static final long SILENCE_MS = 1_000;
-  private static final double PAUSE_MS = 200;
+  private static final long CALL_TIMEOUT_MS = 1_000;
+  private static final double RETRY_PAUSE_MS = 200;
   private static final long READ_EVERY_MS = 700;
-  private static final int ADDED_KEPT = 2;
+  private static final int MAX_ADDED_ROUTES = 2;
   private static final int OPERATORS = 2;
-  private static final int UNDER_WAY_MOST = 8;
+  private static final int MAX_IN_FLIGHT = 8;
 
-  /** How often an old order is sent again before its operator leaves it at no clear answer. */
-  private static final int RESEND_TRIES = 4;
+  /** How often an old change is sent without a definite response before its operator gives up. */
+  private static final int MAX_RESENDS = 4;
 
-  private static final long LATE_MS = 5_000;
+  private static final long MAX_DELAY_MS = 5_000;
   private static final int SAME_NUMBER_ONE_IN = 4;
 
   /** A route as the operators keep it; pools with their weights. */
   record Route(String name, String host, String prefix, String type, Map<String, Integer> pools) {}
 
-  /** One change, sent in the same words each time. */
-  private record Order(String id, int operator, long number, long buildsOn, byte[] bytes) {}
+  /** One change; the same bytes are sent each time. */
+  private record Change(String id, int operator, long number, long buildsOn, byte[] bytes) {}
 
-  /** What becomes of one call on its way, besides what the fleet does to it. */
-  private enum Passage {
-    WHOLE,
+  /** What becomes of one call in the network, besides the faults of the fleet. */
+  private enum Delivery {
+    NORMAL,
     LOST,
-    LATE,
-    ANSWER_LOST
+    DELAYED,
+    RESPONSE_LOST
   }
 
   private final SimulatedFleet fleet;
   private final Simulation simulation;
   private final long waitingTokensMost;
 
-  /** So many of 100 calls are lost, late, or lose their answer. */
+  /** The percentage of calls that are lost, are delayed, or lose their response. */
   int callsLostPercent;
 
-  private final List<Order> orders = new ArrayList<>();
-  private final long[] knownTo = new long[OPERATORS];
-  private int underWay;
+  private final List<Change> sentChanges = new ArrayList<>();
+  private final long[] newestKnownTo = new long[OPERATORS];
+  private int inFlight;
   private final Map<String, Route> routes = new TreeMap<>();
 
-  /** Content of every change sent, by its bytes. */
+  /** By the bytes of every change sent, its id. */
   private final Map<String, String> changeOfBytes = new HashMap<>();
 
   private final Map<String, List<Route>> routesOf = new HashMap<>();
@@ -81,15 +81,16 @@
   /** Routes of the newest acknowledged change: what clients use. */
   private List<Route> inUse = List.of();
 
-  /** Names added or removed by the newest changes, for those who look whether they are in force. */
+  /** Routes added or removed by the newest changes, for probes of whether they are in force. */
   final List<Route> probed = new ArrayList<>();
 
   /**
-   * From sending to the yes: of the first change, which waits for the fleet to found itself, and of
-   * all later ones.
+   * The time from sending to the acknowledgement of the first change, which waits for the fleet to
+   * bootstrap.
    */
   long firstYesMs;
 
+  /** The longest time from sending to the acknowledgement of a later change. */
   long slowestYesMs;
 
   RouteOperators(SimulatedFleet fleet, long waitingTokensMost) {
@@ -127,52 +128,52 @@
     simulation.afterMs(3_000, this::readBack);
   }
 
-  /** One more change on top of what is known to be current. */
+  /** Sends one more change, based on the newest acknowledged one. */
   void change() {
-    alter();
+    alterRoutes();
     send(false);
   }
 
-  /** Two changes on top of the same number at once, at two nodes. */
+  /** Sends two concurrent changes with the same base, to two nodes. */
   void race() {
     long base = current;
-    alter();
+    alterRoutes();
     send(false);
-    alter();
-    long taken = current;
+    alterRoutes();
+    long newestCurrent = current;
     current = base;
     send(false);
-    current = Math.max(taken, base);
+    current = Math.max(newestCurrent, base);
   }
 
   void invalid() {
     send(true);
   }
 
-  /** Orders of either operator at a pace, as long as no more are under way than may be. */
+  /** Sends changes of either operator at an interval, unless too many are in flight. */
   void orders(int count, long everyMs) {
     for (int index = 0; index < count; index++) {
-      simulation.afterMs(index * everyMs, this::orderUnlessBusy);
+      simulation.afterMs(index * everyMs, this::changeUnlessBusy);
     }
   }
 
-  private void orderUnlessBusy() {
-    if (underWay < UNDER_WAY_MOST) {
+  private void changeUnlessBusy() {
+    if (inFlight < MAX_IN_FLIGHT) {
       int operator = simulation.random.nextInt(OPERATORS);
-      alter();
-      begin(order(operator, knownTo[operator], false));
+      alterRoutes();
+      begin(newChange(operator, newestKnownTo[operator], false));
     }
   }
 
-  /** Old orders, whatever became of them, as they were: an operator that has lost track. */
+  /** Sends old changes again, whatever their outcome, as an operator without records does. */
   void resend(int count) {
     for (int index = 0; index < count; index++) {
-      Order old = orders.get(simulation.random.nextInt(orders.size()));
-      trySend(old, simulation.simulatedNowMs(), 0, RESEND_TRIES);
+      Change old = sentChanges.get(simulation.random.nextInt(sentChanges.size()));
+      trySend(old, simulation.simulatedNowMs(), 0, MAX_RESENDS);
     }
   }
 
-  private void alter() {
+  private void alterRoutes() {
     List<Route> all = List.copyOf(routes.values());
     Route moved = all.get(simulation.random.nextInt(all.size()));
     Map<String, Integer> pools =
@@ -182,17 +183,17 @@
           default -> new TreeMap<>(Map.of("alpha", 70, "beta", 30));
         };
     put(new Route(moved.name(), moved.host(), moved.prefix(), moved.type(), pools));
-    int place = changes;
+    int number = changes;
     put(
         new Route(
-            "added-" + place,
+            "added-" + number,
             "h1.example",
-            "/once-1/added-" + place + "/",
+            "/once-1/added-" + number + "/",
             "once",
             Map.of("beta", 1)));
     List<Route> added =
         routes.values().stream().filter(route -> route.name().startsWith("added-")).toList();
-    if (added.size() > ADDED_KEPT) {
+    if (added.size() > MAX_ADDED_ROUTES) {
       Route eldest =
           added.stream()
               .min(
@@ -206,11 +207,11 @@
   }
 
   private void send(boolean invalid) {
-    begin(order(0, current, invalid));
+    begin(newChange(0, current, invalid));
   }
 
   private long nextNumber(long base) {
-    Order last = orders.isEmpty() ? null : orders.get(orders.size() - 1);
+    Change last = sentChanges.isEmpty() ? null : sentChanges.get(sentChanges.size() - 1);
     if (last != null
         && last.buildsOn() == base
         && simulation.random.nextInt(SAME_NUMBER_ONE_IN) == 0) {
@@ -220,12 +221,13 @@
     return newest;
   }
 
-  private Order order(int operator, long base, boolean invalid) {
+  private Change newChange(int operator, long base, boolean invalid) {
     String id = "c" + ++changes;
     long number = nextNumber(base);
-    Order order = new Order(id, operator, number, base, Json.bytes(bundle(number, invalid)));
-    orders.add(order);
-    changeOfBytes.put(new String(order.bytes(), UTF_8), id);
+    Change change =
+        new Change(id, operator, number, base, Json.bytes(configuration(number, invalid)));
+    sentChanges.add(change);
+    changeOfBytes.put(new String(change.bytes(), UTF_8), id);
     routesOf.put(id, List.copyOf(routes.values()));
     simulation.history.add(
         simulation.simulatedNowMs(),
@@ -255,65 +257,65 @@
                         + " "
                         + String.join(",", route.pools().keySet()),
                     number));
-    return order;
+    return change;
   }
 
-  private void begin(Order order) {
-    underWay++;
-    trySend(order, simulation.simulatedNowMs(), 0, Integer.MAX_VALUE);
+  private void begin(Change change) {
+    inFlight++;
+    trySend(change, simulation.simulatedNowMs(), 0, Integer.MAX_VALUE);
   }
 
-  private void trySend(Order order, long begunMs, int tries, int triesMost) {
+  private void trySend(Change change, long begunMs, int tries, int maxTries) {
     long sentMs = simulation.simulatedNowMs();
     call(
-        order,
-        SILENCE_MS * (1 + Math.min(tries, 12) / 3),
+        change,
+        CALL_TIMEOUT_MS * (1 + Math.min(tries, 12) / 3),
         response -> {
           int status = response == null ? 0 : response.status();
           simulation.history.add(
               simulation.simulatedNowMs(),
               Kind.CHANGE_ANSWERED,
-              order.id(),
+              change.id(),
               response == null ? "" : response.errorType(),
               Long.toString(sentMs),
               status);
           boolean clear = status > 0 && status < 500 && status != 408 && status != 429;
-          if (!clear && tries + 1 < triesMost) {
+          if (!clear && tries + 1 < maxTries) {
             simulation.afterMs(
-                PAUSE_MS * Math.min(8, tries + 1),
-                () -> trySend(order, begunMs, tries + 1, triesMost));
+                RETRY_PAUSE_MS * Math.min(8, tries + 1),
+                () -> trySend(change, begunMs, tries + 1, maxTries));
             return;
           }
-          if (triesMost == Integer.MAX_VALUE) {
-            underWay--;
+          if (maxTries == Integer.MAX_VALUE) {
+            inFlight--;
           }
           if (status == 200) {
-            acknowledged(order, begunMs);
+            acknowledged(change, begunMs);
           } else if (clear) {
             refused++;
-            lookForNewest(order.operator());
+            readNewest(change.operator());
           }
         });
   }
 
-  private void acknowledged(Order order, long begunMs) {
+  private void acknowledged(Change change, long begunMs) {
     acknowledged++;
     if (acknowledged == 1) {
       firstYesMs = simulation.simulatedNowMs() - begunMs;
     } else {
       slowestYesMs = Math.max(slowestYesMs, simulation.simulatedNowMs() - begunMs);
     }
-    knownTo[order.operator()] = Math.max(knownTo[order.operator()], order.number());
-    if (order.number() > current) {
-      current = order.number();
-      inUse = routesOf.get(order.id());
+    newestKnownTo[change.operator()] = Math.max(newestKnownTo[change.operator()], change.number());
+    if (change.number() > current) {
+      current = change.number();
+      inUse = routesOf.get(change.id());
     }
     fleet.whenTold.accept("change", (long) acknowledged);
   }
 
-  /** Gives the answer, or null if none comes in time. */
-  private void call(Order order, long patienceMs, Consumer<Response> then) {
-    Passage passage = passage();
+  /** Sends a change to any node; gives the response, or null if none comes in time. */
+  private void call(Change change, long timeoutMs, Consumer<Response> then) {
+    Delivery delivery = delivery();
     boolean[] over = new boolean[1];
     Consumer<Response> once =
         response -> {
@@ -322,22 +324,22 @@
             then.accept(response);
           }
         };
-    if (passage != Passage.WHOLE) {
-      simulation.afterMs(patienceMs, () -> once.accept(null));
+    if (delivery != Delivery.NORMAL) {
+      simulation.afterMs(timeoutMs, () -> once.accept(null));
     }
-    if (passage == Passage.LOST) {
+    if (delivery == Delivery.LOST) {
       return;
     }
-    long delayMs = passage == Passage.LATE ? simulation.random.nextLong(LATE_MS) : 0;
+    long delayMs = delivery == Delivery.DELAYED ? simulation.random.nextLong(MAX_DELAY_MS) : 0;
     Runnable deliver =
         () ->
             fleet.command(
                 fleet.anyCore(),
-                patienceMs,
+                timeoutMs,
                 Operation.SET_CONFIGURATION,
                 "bundle",
-                fleet.signed(order.bytes(), order.buildsOn()),
-                passage == Passage.ANSWER_LOST ? response -> {} : once);
+                fleet.signed(change.bytes(), change.buildsOn()),
+                delivery == Delivery.RESPONSE_LOST ? response -> {} : once);
     if (delayMs > 0) {
       simulation.afterMs(delayMs, deliver);
     } else {
@@ -345,16 +347,16 @@
     }
   }
 
-  private Passage passage() {
+  private Delivery delivery() {
     if (callsLostPercent == 0 || simulation.random.nextInt(100) >= callsLostPercent) {
-      return Passage.WHOLE;
+      return Delivery.NORMAL;
     }
-    return Passage.values()[1 + simulation.random.nextInt(Passage.values().length - 1)];
+    return Delivery.values()[1 + simulation.random.nextInt(Delivery.values().length - 1)];
   }
 
-  private ObjectNode bundle(long number, boolean invalid) {
-    ObjectNode bundle = JSON.createObjectNode().put("number", number);
-    ObjectNode pools = bundle.putObject("pools");
+  private ObjectNode configuration(long number, boolean invalid) {
+    ObjectNode configuration = JSON.createObjectNode().put("number", number);
+    ObjectNode pools = configuration.putObject("pools");
     for (String pool : List.of("alpha", "beta")) {
       pools
           .putObject(pool)
@@ -365,8 +367,8 @@
           .put("connectionsMost", 200)
           .put("keptTokensMost", 20_000);
     }
-    bundle.putArray("rules");
-    ObjectNode limits = bundle.putObject("limits");
+    configuration.putArray("rules");
+    ObjectNode limits = configuration.putObject("limits");
     limits.putObject("classes").putObject("check").put("rank", 0).put("queueMost", 100);
     limits
         .putObject("batch")
@@ -377,21 +379,22 @@
         .put("cancelForLive", true)
         .put("itemExpiryMs", 30_000)
         .putNull("retentionMs");
-    ArrayNode rows = bundle.putArray("routes");
-    routes.values().forEach(route -> row(rows.addObject(), route, invalid));
-    return bundle;
+    ArrayNode routeNodes = configuration.putArray("routes");
+    routes.values().forEach(route -> routeNode(routeNodes.addObject(), route, invalid));
+    return configuration;
   }
 
-  private void row(ObjectNode row, Route route, boolean invalid) {
+  private void routeNode(ObjectNode routeNode, Route route, boolean invalid) {
     boolean batch = route.type().equals("batch");
     boolean streaming = route.type().equals("stream") || route.type().equals("resumable");
-    row.put("name", route.name())
+    routeNode
+        .put("name", route.name())
         .put("host", route.host())
         .put("pathPrefix", route.prefix())
         .put("type", streaming ? "STREAM" : route.type().toUpperCase())
         .put("timeoutMs", TIMEOUT_MS)
         .put("targetMs", TARGET_MS)
-        .put("gapTargetMs", streaming || batch ? GAP_MS : 0)
+        .put("gapTargetMs", streaming || batch ? GAP_TARGET_MS : 0)
         .put("attempts", ATTEMPTS)
         .put("rank", batch ? 5 : 0)
         .put("sticky", streaming || batch)
@@ -399,7 +402,7 @@
         .put("completionTargetMs", batch ? BATCH_TARGET_MS : 0)
         .put("retentionMs", batch ? RETENTION_MS : 0)
         .put("waitingTokensMost", batch ? waitingTokensMost : 0);
-    ArrayNode split = row.putArray("split");
+    ArrayNode split = routeNode.putArray("split");
     route
         .pools()
         .forEach(
@@ -412,16 +415,16 @@
     simulation.afterMs(READ_EVERY_MS, this::readBack);
   }
 
-  /** An operator that was refused builds on what is in force now. */
-  private void lookForNewest(int operator) {
-    read(number -> knownTo[operator] = Math.max(knownTo[operator], number));
+  /** An operator whose change was refused bases the next one on what is in force now. */
+  private void readNewest(int operator) {
+    read(number -> newestKnownTo[operator] = Math.max(newestKnownTo[operator], number));
   }
 
   private void read(Consumer<Long> whenRead) {
     long begunMs = simulation.simulatedNowMs();
     fleet.command(
         fleet.anyCore(),
-        SILENCE_MS,
+        CALL_TIMEOUT_MS,
         Operation.READ_KEY,
         "bundle",
         new byte[] {'{', '}'},
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** What workers are asked to run, and how often. */
+/** What workers are requested to run, and how often. */
 final class WorkerRunRules extends RuleGroup<ProxyTraffic> {
   WorkerRunRules(ProxyTraffic traffic, List<Violation> violations) {
     super(traffic, violations);
   }
 
   /**
-   * Workers run what a client asked, unchanged, at a pool that some change sent before lets it go
-   * to.
+   * Workers run what a client requested, unchanged, in a pool to which some change sent before
+   * routes it.
    */
   void runsAreAsAsked() {
     traffic.runs.values().forEach(this::askedUnchanged);
@@ -62,7 +62,7 @@
   }
 
   /**
-   * A request that may not be repeated runs at most once, and not at all if its refusal promised
+   * A request that must not be repeated runs at most once, and not at all if its refusal guaranteed
    * that.
    */
   private void ranAsPromised(String id, List<Run> ofRequest) {
@@ -77,7 +77,7 @@
     Seen answer = traffic.answers.get(id);
     if (answer != null
         && answer.detail().equals("refused")
-        && ProxyTraffic.PROMISES.contains(answer.number())) {
+        && ProxyTraffic.NOT_RUN.contains(answer.number())) {
       violated(
           Rule.REFUSED_REQUEST_RAN,
           begun.get(0).began().atMs(),
@@ -85,6 +85,10 @@
     }
   }
 
+  /**
+   * A worker that the platform lists as leaving gets nothing after the time to drain. Time in which
+   * the list could not be read does not count.
+   */
   void leavingWorkersGetNothing() {
     Map<String, Long> shownMs = new HashMap<>();
     for (Seen each : traffic.of(Kind.WORKER_LISTED)) {
@@ -92,18 +96,18 @@
         shownMs.putIfAbsent(each.subject(), each.atMs());
       }
     }
-    List<Seen> listTrouble = traffic.of(Kind.LIST_TROUBLE);
+    List<Seen> listFaults = traffic.of(Kind.LIST_TROUBLE);
     long drainMs = traffic.bound("drainMs", 3_000);
     for (Seen each : traffic.of(Kind.RUN_ARRIVED)) {
       Long shown = shownMs.get(each.subject());
       String[] words = each.detail().split(" ");
       if (shown == null
           || each.number() == 421
-          || each.atMs() - shown - troubled(listTrouble, shown, each.atMs()) <= drainMs) {
+          || each.atMs() - shown - faultyMs(listFaults, shown, each.atMs()) <= drainMs) {
         continue;
       }
-      if (traffic.machines.inTouch(words[1], each.atMs())
-          && traffic.machines.inTouch(words[1], shown + drainMs)) {
+      if (traffic.machines.isHealthy(words[1], each.atMs())
+          && traffic.machines.isHealthy(words[1], shown + drainMs)) {
         violated(
             Rule.WORK_TO_LEAVING_WORKER,
             each.atMs(),
@@ -119,10 +123,10 @@
     }
   }
 
-  private static long troubled(List<Seen> listTrouble, long fromMs, long untilMs) {
+  private static long faultyMs(List<Seen> listFaults, long fromMs, long untilMs) {
     long sum = 0;
     long began = -1;
-    for (Seen each : listTrouble) {
+    for (Seen each : listFaults) {
       if (each.detail().equals("began")) {
         began = began < 0 ? each.atMs() : began;
       } else if (began >= 0) {
--- a/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
@@ -60,16 +60,16 @@
  * each rule.
  */
 class ProxyCheckerTest {
-  private static void rejects(Rule rule, Consumer<History> doctoring) {
+  private static void rejects(Rule rule, Consumer<History> modification) {
     History history = sound();
-    doctoring.accept(history);
+    modification.accept(history);
     assertThat(Checker.check(history).stream().map(Checker.Violation::rule).distinct().toList())
         .containsExactly(rule);
   }
 
-  private static void accepts(Consumer<History> doctoring) {
+  private static void accepts(Consumer<History> modification) {
     History history = sound();
-    doctoring.accept(history);
+    modification.accept(history);
     assertThat(Checker.check(history)).isEmpty();
   }
 
--- a/test-fleet/src/test/java/applespindle/testfleet/ProxyHistories.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ProxyHistories.java
@@ -20,7 +20,7 @@
 import applespindle.testfleet.History.Kind;
 import java.util.List;
 
-/** A sound history of opaque requests and batches, and the events to doctor it with. */
+/** A correct history of proxied requests and batches, and the events to modify it with. */
 final class ProxyHistories {
   static final String ONCE = "POST h /once/1 body-1";
   static final String FREE = "POST h /free/2 body-2";
