--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -28,7 +28,7 @@
 
   private final SimulatedFleet fleet;
   private final Simulation simulation;
-  private final Set<String> retriedAsTold = new HashSet<>();
+  private final Set<String> retriedAfterRefusal = new HashSet<>();
   private long lastNumber;
 
   LiveClients(SimulatedFleet fleet) {
@@ -72,12 +72,12 @@
    * Sends a refused request again after the time that its response named; some scenarios expect how
    * many of these are served.
    */
-  private void retryAsTold(String id, int seconds, String trafficClass) {
-    if (fleet.obedient && trafficClass.equals("check") && !retriedAsTold.contains(id)) {
+  private void retryAfterRefusal(String id, int seconds, String trafficClass) {
+    if (fleet.obedient && trafficClass.equals("check") && !retriedAfterRefusal.contains(id)) {
       simulation.afterMs(
           1000.0 * seconds,
           () -> {
-            retriedAsTold.add("l" + (lastNumber + 1));
+            retriedAfterRefusal.add("l" + (lastNumber + 1));
             send(trafficClass, "", 0);
           });
     }
@@ -91,9 +91,11 @@
     long served =
         simulation.history.of(Kind.LIVE_ANSWERED).stream()
             .filter(
-                seen -> retriedAsTold.contains(seen.subject()) && seen.detail().equals("complete"))
+                seen ->
+                    retriedAfterRefusal.contains(seen.subject())
+                        && seen.detail().equals("complete"))
             .count();
-    return retriedAsTold.isEmpty() ? 100 : 100 * served / retriedAsTold.size();
+    return retriedAfterRefusal.isEmpty() ? 100 : 100 * served / retriedAfterRefusal.size();
   }
 
   /** One request at one edge, from its sending to its response or its timeout. */
@@ -156,8 +158,8 @@
     }
 
     @Override
-    public void end(String wholeOutput, String finishReason) {
-      answer.accept(() -> finish(200, "complete", stream ? streamed.toString() : wholeOutput));
+    public void end(String completeOutput, String finishReason) {
+      answer.accept(() -> finish(200, "complete", stream ? streamed.toString() : completeOutput));
     }
 
     @Override
@@ -165,7 +167,7 @@
       if (!cut && response.retryAfterSeconds() > 0) {
         long tookMs = simulation.simulatedNowMs() - sentAt;
         fleet.refusedAfterMs.merge(response.errorType(), tookMs, Math::max);
-        retryAsTold(id, response.retryAfterSeconds(), trafficClass);
+        retryAfterRefusal(id, response.retryAfterSeconds(), trafficClass);
       }
       int status = cut ? 200 : response.status();
       String detail = cut ? "cut" : response.errorType();
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
@@ -130,45 +130,61 @@
         case REQUEST_SENT -> requests.put(each.subject(), each);
         case REQUEST_ANSWERED -> answers.put(each.subject(), each);
         case WORKER_BORN -> poolOfWorker.put(each.subject(), each.detail());
-        case RUN_ARRIVED -> {
-          String[] words = each.detail().split(" ");
-          Run run =
-              new Run(
-                  each.subject(),
-                  words[0],
-                  each.text(),
-                  words[1],
-                  each.atMs(),
-                  begins.get(words[2]),
-                  ends.get(words[2]));
-          runs.put(words[2], run);
-          runsOf.computeIfAbsent(words[0], unseen -> new ArrayList<>()).add(run);
-        }
-        case CHANGE_SENT ->
-            changes.putIfAbsent(
-                each.subject(),
-                new Change(
-                    each.subject(),
-                    each.number(),
-                    each.detail().equals("valid"),
-                    each.text(),
-                    each.atMs(),
-                    new HashMap<>()));
+        case RUN_ARRIVED -> indexRun(each, begins, ends);
+        case CHANGE_SENT -> indexChange(each);
         case CHANGE_ROUTE ->
             changes.get(each.subject()).routes().put(each.detail(), Route.parse(each.text()));
-        case CHANGE_ANSWERED -> {
-          if (each.number() == 200) {
-            acknowledged.add(each.subject());
-            acknowledgedMs.putIfAbsent(changes.get(each.subject()).number(), each.atMs());
-          } else if (DEFINITE_REFUSALS.contains(each.number())) {
-            refusedChanges.add(each.subject());
-          }
-        }
+        case CHANGE_ANSWERED -> indexChangeAnswer(each);
         default -> indexBatch(each);
       }
     }
   }
 
+  /**
+   * Indexes a run.
+   *
+   * @param begins by run
+   * @param ends by run
+   */
+  private void indexRun(Seen arrived, Map<String, Seen> begins, Map<String, Seen> ends) {
+    String[] words = arrived.detail().split(" ");
+    String requestId = words[0];
+    String edge = words[1];
+    String runId = words[2];
+    Run run =
+        new Run(
+            arrived.subject(),
+            requestId,
+            arrived.text(),
+            edge,
+            arrived.atMs(),
+            begins.get(runId),
+            ends.get(runId));
+    runs.put(runId, run);
+    runsOf.computeIfAbsent(requestId, unseen -> new ArrayList<>()).add(run);
+  }
+
+  private void indexChange(Seen sent) {
+    Change change =
+        new Change(
+            sent.subject(),
+            sent.number(),
+            sent.detail().equals("valid"),
+            sent.text(),
+            sent.atMs(),
+            new HashMap<>());
+    changes.putIfAbsent(change.id(), change);
+  }
+
+  private void indexChangeAnswer(Seen answer) {
+    if (answer.number() == 200) {
+      acknowledged.add(answer.subject());
+      acknowledgedMs.putIfAbsent(changes.get(answer.subject()).number(), answer.atMs());
+    } else if (DEFINITE_REFUSALS.contains(answer.number())) {
+      refusedChanges.add(answer.subject());
+    }
+  }
+
   private void indexBatch(Seen each) {
     Batch batch =
         each.kind().name().startsWith("OPAQUE_")
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
@@ -236,30 +236,30 @@
         invalid ? "invalid" : "valid",
         Long.toString(base),
         number);
-    routes
-        .values()
-        .forEach(
-            route ->
-                simulation.history.add(
-                    simulation.simulatedNowMs(),
-                    Kind.CHANGE_ROUTE,
-                    id,
-                    route.name(),
-                    route.host()
-                        + " "
-                        + route.prefix()
-                        + " "
-                        + route.type()
-                        + " "
-                        + ATTEMPTS
-                        + " "
-                        + (route.type().equals("batch") ? waitingTokensMost : 0)
-                        + " "
-                        + String.join(",", route.pools().keySet()),
-                    number));
+    routes.values().forEach(route -> recordRoute(change, route));
     return change;
   }
 
+  private void recordRoute(Change change, Route route) {
+    long maxTokens = route.type().equals("batch") ? waitingTokensMost : 0;
+    String text =
+        String.join(
+            " ",
+            route.host(),
+            route.prefix(),
+            route.type(),
+            Integer.toString(ATTEMPTS),
+            Long.toString(maxTokens),
+            String.join(",", route.pools().keySet()));
+    simulation.history.add(
+        simulation.simulatedNowMs(),
+        Kind.CHANGE_ROUTE,
+        change.id(),
+        route.name(),
+        text,
+        change.number());
+  }
+
   private void begin(Change change) {
     inFlight++;
     trySend(change, simulation.simulatedNowMs(), 0, Integer.MAX_VALUE);
--- a/test-fleet/src/test/java/applespindle/testfleet/LinearizabilityCheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/LinearizabilityCheckerTest.java
@@ -223,11 +223,11 @@
       now += 10;
       sent(now, "c" + change, current, current + 2);
       sent(now, "x" + change, current, current + 2);
-      boolean told = random.nextInt(3) > 0;
-      answered(now, now + 5, "c" + change, told ? 200 : 504);
-      answered(now, now + 6, "x" + change, told ? 412 : 0);
+      boolean acknowledged = random.nextInt(3) > 0;
+      answered(now, now + 5, "c" + change, acknowledged ? 200 : 504);
+      answered(now, now + 6, "x" + change, acknowledged ? 412 : 0);
       current += 2;
-      if (!told) {
+      if (!acknowledged) {
         answered(now + 7, now + 8, "c" + change, 200);
       }
     }
--- a/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
@@ -56,8 +56,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The checker takes a sound history of opaque requests and batches, and rejects a doctored one for
- * each rule.
+ * The checker accepts a correct history of proxied requests and batches, and rejects a modified one
+ * for each rule.
  */
 class ProxyCheckerTest {
   private static void rejects(Rule rule, Consumer<History> modification) {
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void acceptsASoundHistory() {
+  void acceptsACorrectHistory() {
     assertThat(Checker.check(sound())).isEmpty();
   }
 
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void rejectsACutAnswerThatLooksWhole() {
+  void rejectsACutResponseThatLooksComplete() {
     rejects(
         WRONG_OR_CUT_ANSWER,
         history -> {
@@ -349,7 +349,7 @@
   // ---- planned ends and service
 
   @Test
-  void rejectsAnAnswerCutOffByAPoliteEnd() {
+  void rejectsAnAnswerCutOffByAPlannedStop() {
     rejects(
         RESPONSE_LOST,
         history -> {
@@ -413,7 +413,7 @@
   }
 
   @Test
-  void rejectsAnOutputThatIsNotWholeOrNotJoined() {
+  void rejectsAnOutputThatIsNotCompleteOrNotJoined() {
     rejects(RESULT_NOT_WHOLE, history -> withSecond(history, part(ITEM, 1, 3, "r9"), "complete"));
     rejects(
         STREAM_BROKEN,
