--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyTraffic.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What was seen of opaque requests, batches and changes of routes, put together for the rules. */
+/** The events of proxied requests, batches and changes of routes, indexed for the rules. */
 final class ProxyTraffic {
-  /** Statuses that promise that nothing ran. */
-  static final Set<Long> PROMISES = Set.of(408L, 421L, 429L, 503L);
+  /** Statuses that guarantee that nothing ran. */
+  static final Set<Long> NOT_RUN = Set.of(408L, 421L, 429L, 503L);
 
-  /** Statuses after which a change is certainly not in force. */
-  private static final Set<Long> CLEAR_NO = Set.of(400L, 409L, 412L, 413L, 422L);
+  /** Statuses that guarantee that a change is not in force. */
+  private static final Set<Long> DEFINITE_REFUSALS = Set.of(400L, 409L, 412L, 413L, 422L);
 
   /** One run at a worker; began is null while it waits there. */
   record Run(
@@ -40,6 +40,7 @@
       long sentMs,
       Map<String, Route> routes) {}
 
+  /** A route as a change describes it. */
   record Route(
       String host, String prefix, String type, int attempts, long tokensMost, Set<String> pools) {
     static Route parse(String text) {
@@ -54,7 +55,7 @@
     }
   }
 
-  /** One batch and what its client and the workers saw of it. */
+  /** One batch as its client and the workers observed it. */
   static final class Batch {
     final String id;
     String host;
@@ -76,8 +77,8 @@
       return Integer.parseInt(items.get(item).text().split(" ", 2)[0]);
     }
 
-    /** Batches of one place share a route. */
-    String place() {
+    /** Batches with the same key share a route. */
+    String routeKey() {
       return host + " " + path.substring(0, path.lastIndexOf('/') + 1);
     }
 
@@ -87,7 +88,7 @@
   }
 
   final List<Seen> seen;
-  final HealthyMachines touch;
+  final HealthyMachines machines;
   final Map<String, Long> bounds = new HashMap<>();
   final Map<String, Seen> requests = new HashMap<>();
   final Map<String, Seen> answers = new HashMap<>();
@@ -107,19 +108,19 @@
   ProxyTraffic(List<Seen> seen) {
     this.seen = seen;
     of(Kind.BOUND).forEach(each -> bounds.put(each.subject(), each.number()));
-    touch = new HealthyMachines(seen, bound("contactMs", 3_000), bound("losses", 1));
-    learn();
+    machines = new HealthyMachines(seen, bound("contactMs", 3_000), bound("losses", 1));
+    index();
   }
 
-  long bound(String name, long unlessTold) {
-    return bounds.getOrDefault(name, unlessTold);
+  long bound(String name, long defaultValue) {
+    return bounds.getOrDefault(name, defaultValue);
   }
 
   List<Seen> of(Kind kind) {
     return seen.stream().filter(each -> each.kind() == kind).toList();
   }
 
-  private void learn() {
+  private void index() {
     Map<String, Seen> ends = new HashMap<>();
     Map<String, Seen> begins = new HashMap<>();
     of(Kind.RUN_ENDED).forEach(each -> ends.put(each.text(), each));
@@ -129,46 +130,62 @@
         case REQUEST_SENT -> requests.put(each.subject(), each);
         case REQUEST_ANSWERED -> answers.put(each.subject(), each);
         case WORKER_BORN -> poolOfWorker.put(each.subject(), each.detail());
-        case RUN_ARRIVED -> {
-          String[] words = each.detail().split(" ");
-          Run run =
-              new Run(
-                  each.subject(),
-                  words[0],
-                  each.text(),
-                  words[1],
-                  each.atMs(),
-                  begins.get(words[2]),
-                  ends.get(words[2]));
-          runs.put(words[2], run);
-          runsOf.computeIfAbsent(words[0], unseen -> new ArrayList<>()).add(run);
-        }
-        case CHANGE_SENT ->
-            changes.putIfAbsent(
-                each.subject(),
-                new Change(
-                    each.subject(),
-                    each.number(),
-                    each.detail().equals("valid"),
-                    each.text(),
-                    each.atMs(),
-                    new HashMap<>()));
+        case RUN_ARRIVED -> indexRun(each, begins, ends);
+        case CHANGE_SENT -> indexChange(each);
         case CHANGE_ROUTE ->
             changes.get(each.subject()).routes().put(each.detail(), Route.parse(each.text()));
-        case CHANGE_ANSWERED -> {
-          if (each.number() == 200) {
-            acknowledged.add(each.subject());
-            acknowledgedMs.putIfAbsent(changes.get(each.subject()).number(), each.atMs());
-          } else if (CLEAR_NO.contains(each.number())) {
-            refusedChanges.add(each.subject());
-          }
-        }
-        default -> learnBatch(each);
+        case CHANGE_ANSWERED -> indexChangeAnswer(each);
+        default -> indexBatch(each);
       }
     }
   }
 
-  private void learnBatch(Seen each) {
+  /**
+   * Indexes a run.
+   *
+   * @param begins by run
+   * @param ends by run
+   */
+  private void indexRun(Seen arrived, Map<String, Seen> begins, Map<String, Seen> ends) {
+    String[] words = arrived.detail().split(" ");
+    String requestId = words[0];
+    String edge = words[1];
+    String runId = words[2];
+    Run run =
+        new Run(
+            arrived.subject(),
+            requestId,
+            arrived.text(),
+            edge,
+            arrived.atMs(),
+            begins.get(runId),
+            ends.get(runId));
+    runs.put(runId, run);
+    runsOf.computeIfAbsent(requestId, unseen -> new ArrayList<>()).add(run);
+  }
+
+  private void indexChange(Seen sent) {
+    Change change =
+        new Change(
+            sent.subject(),
+            sent.number(),
+            sent.detail().equals("valid"),
+            sent.text(),
+            sent.atMs(),
+            new HashMap<>());
+    changes.putIfAbsent(change.id(), change);
+  }
+
+  private void indexChangeAnswer(Seen answer) {
+    if (answer.number() == 200) {
+      acknowledged.add(answer.subject());
+      acknowledgedMs.putIfAbsent(changes.get(answer.subject()).number(), answer.atMs());
+    } else if (DEFINITE_REFUSALS.contains(answer.number())) {
+      refusedChanges.add(answer.subject());
+    }
+  }
+
+  private void indexBatch(Seen each) {
     Batch batch =
         each.kind().name().startsWith("OPAQUE_")
             ? batches.computeIfAbsent(each.subject(), Batch::new)
@@ -188,7 +205,7 @@
       }
       case OPAQUE_ANSWERED -> {
         batch.openTries--;
-        batch.refusedAtEveryTry &= PROMISES.contains(each.number());
+        batch.refusedAtEveryTry &= NOT_RUN.contains(each.number());
         if (each.number() == 201 && batch.acceptedMs < 0) {
           batch.acceptedMs = each.atMs();
         }
@@ -203,7 +220,7 @@
     }
   }
 
-  /** Neither refused nor beaten: may be in force from the time it was sent. */
+  /** Whether a change may be in force from the time it was sent: it is valid and not refused. */
   boolean mayBeInForce(Change change) {
     return change.valid()
         && (acknowledged.contains(change.id()) || !refusedChanges.contains(change.id()));
@@ -229,8 +246,8 @@
   }
 
   /**
-   * Null if the pieces follow each other, each from a run of just this request, that goes on where
-   * the one before ended.
+   * Checks that the parts of an output follow each other, each from a run of this request that
+   * resumed where the part before ended. Gives null if so, else what is wrong.
    */
   String joined(List<String> texts, String request, String asked, long resumeAfter) {
     long last = resumeAfter;
