--- a/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneActions.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneActions.java
@@ -24,7 +24,8 @@
     switch (words[0]) {
       case "expect-member" -> {
         if (!fleet.memberNames().contains(words[1])) {
-          fleet.earlyFaults.add("expected " + words[1] + " to be a core member: " + action.text());
+          fleet.unmetExpectations.add(
+              "expected " + words[1] + " to be a core member: " + action.text());
         }
       }
       case "expect-members-alive" -> {
@@ -33,7 +34,8 @@
                 .filter(name -> simulation.processes.get(name).alive())
                 .count();
         if (alive != Long.parseLong(words[1])) {
-          fleet.earlyFaults.add("expected " + words[1] + " living core members, were " + alive);
+          fleet.unmetExpectations.add(
+              "expected " + words[1] + " living core members, were " + alive);
         }
       }
       case "add" -> fleet.add(words[1], words[2]);
@@ -51,14 +53,14 @@
     String[] words = action.words();
     switch (words[0]) {
       case "bundle-way" ->
-          fleet.sendBundle(
+          fleet.sendConfiguration(
               Long.parseLong(words[1]),
-              fleet.deployment.bundle(Long.parseLong(words[1]), words[2], words[3]),
+              fleet.deployment.configuration(Long.parseLong(words[1]), words[2], words[3]),
               words.length > 4 ? words[4] : FIRST_NODE);
       case "bundle" ->
-          fleet.sendBundle(
+          fleet.sendConfiguration(
               Long.parseLong(words[1]),
-              fleet.deployment.bundle(Long.parseLong(words[1])),
+              fleet.deployment.configuration(Long.parseLong(words[1])),
               words.length > 2 ? words[2] : FIRST_NODE);
       case "bundle-set" -> sendChangedConfiguration(action);
       case "bundles-collide" -> sendConflictingConfigurations(Long.parseLong(words[1]));
@@ -93,7 +95,7 @@
   private void sendChangedConfiguration(ScenarioAction action) {
     String[] words = action.words();
     long revision = Long.parseLong(words[1]);
-    String configuration = fleet.deployment.bundle(revision);
+    String configuration = fleet.deployment.configuration(revision);
     for (int index = 2; index < words.length; index += 2) {
       String field = words[index];
       String value = words[index + 1];
@@ -108,14 +110,14 @@
             simulation.simulatedNowMs(), Kind.CEILING, "", "", "", Long.parseLong(value));
       }
     }
-    fleet.sendBundle(revision, configuration, FIRST_NODE);
+    fleet.sendConfiguration(revision, configuration, FIRST_NODE);
   }
 
   /** Sends two different configurations of one revision to two nodes. */
   private void sendConflictingConfigurations(long revision) {
-    String configuration = fleet.deployment.bundle(revision);
-    fleet.sendBundle(revision, configuration, FIRST_NODE);
-    fleet.sendBundle(
+    String configuration = fleet.deployment.configuration(revision);
+    fleet.sendConfiguration(revision, configuration, FIRST_NODE);
+    fleet.sendConfiguration(
         revision, configuration.replace("\"queueMost\": 100", "\"queueMost\": 99"), "core-2");
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
@@ -32,14 +32,14 @@
   }
 
   /** Short checks before notes, one pool, and batch work in what live traffic leaves. */
-  public String bundle(long number) {
-    return bundle(number, "", "");
+  public String configuration(long number) {
+    return configuration(number, "", "");
   }
 
   /**
    * The same with one class routed to another pool, so that a bundle's effect shows at the workers.
    */
-  public String bundle(long number, String trafficClass, String pool) {
+  public String configuration(long number, String trafficClass, String pool) {
     return """
     {
       "number": %d,
--- a/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
@@ -25,7 +25,8 @@
       case "feeder" -> busiest("batchRunning");
       case "any-edge" -> fleet.anyEdge();
       case "any-core" ->
-          simulation.processes.get(SimulatedFleet.CORE.get(simulation.random.nextInt(3)));
+          simulation.processes.get(
+              SimulatedFleet.CONTROL_PLANE_NODES.get(simulation.random.nextInt(3)));
       case "any-storage" ->
           simulation.processes.get("storage-" + (1 + simulation.random.nextInt(3)));
       default -> name.startsWith("owner:") ? ownerOf(name.substring(6)) : null;
@@ -33,11 +34,11 @@
   }
 
   private SimulatedProcess ownerOf(String key) {
-    return SimulatedFleet.CORE.stream()
+    return SimulatedFleet.CONTROL_PLANE_NODES.stream()
         .map(simulation.processes::get)
         .filter(core -> core.alive() && core.node().status().path("owned").has(key))
         .findFirst()
-        .orElse(simulation.processes.get(SimulatedFleet.CORE.get(0)));
+        .orElse(simulation.processes.get(SimulatedFleet.CONTROL_PLANE_NODES.get(0)));
   }
 
   private SimulatedProcess busiest(String field) {
--- a/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
@@ -313,7 +313,7 @@
     awaitTrue("the core", mostMs, () -> allAlive() && caller.get(core, "/ready").good());
     awaitTrue(
         "the worker list", mostMs, () -> caller.put(core, "/v1/workers", workerList()).good());
-    awaitTrue("the bundle", mostMs, () -> sendBundle(core, deployment.bundle(1)).good());
+    awaitTrue("the bundle", mostMs, () -> sendBundle(core, deployment.configuration(1)).good());
     awaitTrue(
         "all nodes",
         mostMs,
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -25,7 +25,7 @@
     simulation.history.add(simulation.simulatedNowMs(), Kind.WORKER_POOL, id, pool, "", 0);
     var input = new WorkerInput(id, SimulatedWorkers.address(id), pool, null);
     fleet.command(
-        fleet.liveCore(),
+        fleet.liveControlPlaneNode(),
         Operation.SET_WORKER,
         "worker/" + id,
         ControlPlaneNode.workerRegistration(input),
@@ -38,7 +38,7 @@
 
   void markLeaving(String id) {
     fleet.command(
-        fleet.liveCore(),
+        fleet.liveControlPlaneNode(),
         Operation.SET_WORKER,
         "worker/" + id,
         ControlPlaneNode.workerMark(id, true),
@@ -53,7 +53,7 @@
   }
 
   /** Sends once; a sender that hears nothing certain asks again with the same bytes. */
-  void sendBundle(long number, String content, String coreName) {
+  void sendConfiguration(long number, String content, String coreName) {
     byte[] bytes = content.getBytes(UTF_8);
     simulation.history.add(
         simulation.simulatedNowMs(), Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
@@ -82,19 +82,20 @@
               "",
               status);
           if (status == 200) {
-            fleet.whenTold.accept("bundle", number);
+            fleet.clientEventListener.accept("bundle", number);
           }
           if (status != 200 && status != 409) {
-            simulation.afterMs(700, () -> sendBundle(number, content, fleet.liveCore()));
+            simulation.afterMs(
+                700, () -> sendConfiguration(number, content, fleet.liveControlPlaneNode()));
           }
         });
   }
 
   /** Reads the bundle back at the core, and sees what each ready edge has in force. */
-  void watchBundles() {
+  void observeConfigurations() {
     long begunAt = simulation.simulatedNowMs();
     fleet.command(
-        fleet.liveCore(),
+        fleet.liveControlPlaneNode(),
         Operation.READ_KEY,
         "bundle",
         new byte[] {'{', '}'},
@@ -129,6 +130,6 @@
             }
           });
     }
-    simulation.afterMs(500, this::watchBundles);
+    simulation.afterMs(500, this::observeConfigurations);
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetProgram.java
@@ -189,7 +189,7 @@
       case "bundle" ->
           fleet.rollOut(
               Long.parseLong(words[2]),
-              fleet.deployment.bundle(Long.parseLong(words[2]), words[3], words[4]));
+              fleet.deployment.configuration(Long.parseLong(words[2]), words[3], words[4]));
       case "leaving" -> fleet.markLeaving(words[2]);
       case "dark", "cuts", "garbage", "refuses", "well" -> {
         fleet.history.add(
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetSummary.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetSummary.java
@@ -15,12 +15,12 @@
 
   @Override
   public String toString() {
-    if (fleet.outside != null) {
+    if (fleet.platform != null) {
       return fleet.clients.summary()
           + "; list calls "
-          + fleet.outside.list.calls
+          + fleet.platform.list.calls
           + ", refused "
-          + fleet.outside.list.refusedCalls;
+          + fleet.platform.list.refusedCalls;
     }
     List<Long> batches =
         fleet.senders.stream()
--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -72,7 +72,7 @@
    * some scenarios.
    */
   private void comeBack(String id, int seconds, String trafficClass) {
-    if (fleet.obedient && trafficClass.equals("check") && !cameBack.contains(id)) {
+    if (fleet.clientsRetryWhenRefused && trafficClass.equals("check") && !cameBack.contains(id)) {
       simulation.afterMs(
           1000.0 * seconds,
           () -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ManyChanges.java
@@ -60,7 +60,7 @@
 
   private ManyChanges(Plan plan) {
     this.plan = plan;
-    fleet = SimulatedFleet.withOutside(Deployment.SMALL, plan.seed(), 1, 800, 40, 0);
+    fleet = SimulatedFleet.withPlatform(Deployment.SMALL, plan.seed(), 1, 800, 40, 0);
     simulation = fleet.simulation;
     away = simulation.processes.get(plan.process());
     edge =
@@ -134,7 +134,7 @@
 
   private void comeBack() {
     if (plan.linkBytesPerMs() > 0) {
-      away.narrowLink(plan.linkBytesPerMs());
+      away.limitBandwidth(plan.linkBytesPerMs());
     }
     if (plan.absence() == Absence.DISK_LOST) {
       away.loseDisk();
--- a/test-fleet/src/main/java/applespindle/testfleet/NetworkActions.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/NetworkActions.java
@@ -51,7 +51,7 @@
   private void stallLinksToEdges(SimulatedProcess target) {
     simulation.processes.keySet().stream()
         .filter(name -> name.startsWith("edge") && !name.equals(target.name))
-        .forEach(name -> simulation.holdLink(target.name, name));
+        .forEach(name -> simulation.stallLink(target.name, name));
   }
 
   /** Only the processes named after the target can still reach it. */
--- a/test-fleet/src/main/java/applespindle/testfleet/ProcessActions.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProcessActions.java
@@ -85,7 +85,7 @@
           process.start();
           simulation.afterMs(pauseMs, () -> stopInTurn(rest, pauseMs));
         };
-    process.stopPolitely(
+    process.stopGracefully(
         SimulatedPlatform.GRACE_MS, () -> simulation.afterMs(RESTART_DELAY_MS, restart));
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
@@ -503,7 +503,7 @@
               accepted = true;
               acceptedMs = simulation.simulatedNowMs();
               simulation.submissions.answered(batch.id(), edge);
-              fleet.whenTold.accept(
+              fleet.clientEventListener.accept(
                   "taken", (long) batches.stream().filter(client -> client.accepted).count());
               read();
             } else if (tries < SUBMIT_TRIES && (status == 0 || status == 429 || status >= 500)) {
@@ -631,7 +631,7 @@
             history.add(
                 simulation.simulatedNowMs(), Kind.OPAQUE_END_ANSWERED, batch.id(), "", "", status);
             if (status == 200) {
-              fleet.whenTold.accept("stopped", 1L);
+              fleet.clientEventListener.accept("stopped", 1L);
             } else if (!closing) {
               simulation.afterMs(300, this::tryEnd);
             }
--- a/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RealTraffic.java
@@ -218,7 +218,9 @@
               "",
               "",
               "",
-              tree(fleet.deployment.bundle(1)).at("/limits/batch/waitingItemsMost").asLong());
+              tree(fleet.deployment.configuration(1))
+                  .at("/limits/batch/waitingItemsMost")
+                  .asLong());
           lookForReadyEdges();
           eventloop.delay(
               READY_MS,
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
@@ -308,7 +308,7 @@
       current = order.number();
       inUse = routesOf.get(order.id());
     }
-    fleet.whenTold.accept("change", (long) acknowledged);
+    fleet.clientEventListener.accept("change", (long) acknowledged);
   }
 
   /** Gives the answer, or null if none comes in time. */
@@ -332,7 +332,7 @@
     Runnable deliver =
         () ->
             fleet.command(
-                fleet.anyCore(),
+                fleet.anyControlPlaneNode(),
                 patienceMs,
                 Operation.SET_CONFIGURATION,
                 "bundle",
@@ -420,7 +420,7 @@
   private void read(Consumer<Long> whenRead) {
     long begunMs = simulation.simulatedNowMs();
     fleet.command(
-        fleet.anyCore(),
+        fleet.anyControlPlaneNode(),
         SILENCE_MS,
         Operation.READ_KEY,
         "bundle",
--- a/test-fleet/src/main/java/applespindle/testfleet/Scenario.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Scenario.java
@@ -92,7 +92,7 @@
     for (Violation violation : Checker.check(simulation.history)) {
       faults.add(violation.rule() + " at " + violation.atMs() + ": " + violation.what());
     }
-    faults.addAll(fleet.earlyFaults);
+    faults.addAll(fleet.unmetExpectations);
     faults.addAll(ScenarioExpectations.unmet(fleet, settings.expected));
     return new Outcome(
         faults, simulation.history, simulation.steps(), simulation.messages(), fleet);
@@ -105,7 +105,7 @@
   private SimulatedFleet createFleet(long seed) {
     return !hasPlatform()
         ? new SimulatedFleet(settings.deployment, seed)
-        : SimulatedFleet.withOutside(
+        : SimulatedFleet.withPlatform(
             settings.deployment,
             seed,
             settings.platformLosses,
@@ -117,13 +117,14 @@
   private void start(SimulatedFleet fleet) {
     fleet.spares = settings.spares;
     fleet.submitTries = settings.submitTries;
-    fleet.obedient = settings.obedient;
+    fleet.clientsRetryWhenRefused = settings.obedient;
     fleet.edgeLinks(settings.edgeLinkMbits);
     fleet.edgeProcessors(settings.edgeProcessorShare);
     fleet.largerEdges(settings.largerEdges, settings.largerEdgeShare, settings.largerEdgeMbits);
     fleet.start();
     if (settings.watchToMs > 0) {
-      fleet.watch = new ControlPlaneProbe(fleet, settings.watchFromMs, settings.watchToMs);
+      fleet.controlPlaneProbe =
+          new ControlPlaneProbe(fleet, settings.watchFromMs, settings.watchToMs);
     }
   }
 
@@ -151,7 +152,7 @@
     ScenarioActions actions = new ScenarioActions(fleet);
     settings.timed.forEach(
         action -> fleet.simulation.atMs(action.atMs(), () -> actions.perform(action)));
-    fleet.whenTold =
+    fleet.clientEventListener =
         (event, number) ->
             settings.triggered.stream()
                 .filter(each -> each.event().equals(event) && each.number() == number)
--- a/test-fleet/src/main/java/applespindle/testfleet/ScenarioExpectations.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ScenarioExpectations.java
@@ -69,7 +69,8 @@
               bound);
       case "removed-least" -> atLeast("removed batches", fleet.removedBatches(), bound);
       case "came-back-served-least" ->
-          atLeast("percent of senders served when they came back", fleet.cameBackPercent(), bound);
+          atLeast(
+              "percent of senders served when they came back", fleet.servedOnRetryPercent(), bound);
       default -> {
         return false;
       }
@@ -105,13 +106,17 @@
           atMost("the slowest later change, in ms", fleet.operators.slowestYesMs, bound);
       case "core-gap-ms" ->
           atMost(
-              "the longest time without service of " + fleet.watch.longestGapKey + ", in ms",
-              fleet.watch.longestGapMs,
+              "the longest time without service of "
+                  + fleet.controlPlaneProbe.longestGapKey
+                  + ", in ms",
+              fleet.controlPlaneProbe.longestGapMs,
               bound);
-      case "core-terms" -> atMost("terms used", fleet.watch.terms, bound);
+      case "core-terms" -> atMost("terms used", fleet.controlPlaneProbe.terms, bound);
       case "core-answer-ms" ->
           atMost(
-              "the slowest answer of the control plane, in ms", fleet.watch.slowestAnswerMs, bound);
+              "the slowest answer of the control plane, in ms",
+              fleet.controlPlaneProbe.slowestAnswerMs,
+              bound);
       default -> {
         return false;
       }
@@ -135,7 +140,7 @@
               fleet.clients.batches.stream().filter(client -> client.accepted).count(),
               bound);
       case "list-calls-most" ->
-          atMost("calls to the list of workers", fleet.outside.list.calls, bound);
+          atMost("calls to the list of workers", fleet.platform.list.calls, bound);
       default -> {
         return false;
       }
@@ -152,7 +157,7 @@
       case "reduced-shards" ->
           exactly(
               "shards with reduced redundancy",
-              fleet.coreStatus().path("shardsWithReducedRedundancy").asLong(-1),
+              fleet.controlPlaneStatus().path("shardsWithReducedRedundancy").asLong(-1),
               bound);
       case "storage-refused" -> exactly("refused storage marks", fleet.storageRefusals, bound);
       case "live-share" -> checkShareOfLiveRequests(bound);
@@ -172,7 +177,7 @@
 
   private void checkShardChanges(double bound) {
     long sum = 0;
-    for (JsonNode shard : fleet.coreStatus().path("shards")) {
+    for (JsonNode shard : fleet.controlPlaneStatus().path("shards")) {
       sum += shard.path("number").asLong();
     }
     if (sum > bound) {
@@ -242,7 +247,7 @@
   /** -1 if no live storage node has that name. */
   private long shardsOn(String node) {
     long shards = -1;
-    for (JsonNode each : fleet.coreStatus().path("storage")) {
+    for (JsonNode each : fleet.controlPlaneStatus().path("storage")) {
       if (each.path("name").asText().equals(node) && each.path("live").asBoolean()) {
         shards = each.path("shards").asLong();
       }
@@ -252,7 +257,7 @@
 
   private long membersNamed(String node) {
     long members = 0;
-    for (JsonNode each : fleet.coreStatus().at("/roster/members")) {
+    for (JsonNode each : fleet.controlPlaneStatus().at("/roster/members")) {
       members += each.path("name").asText().equals(node) ? 1 : 0;
     }
     return members;
--- a/test-fleet/src/main/java/applespindle/testfleet/ScenarioProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ScenarioProgram.java
@@ -40,8 +40,8 @@
             outcome.messages(),
             (System.nanoTime() - begun) / 1_000_000);
         System.out.println("    " + outcome.fleet().summary());
-        if (outcome.fleet().watch != null) {
-          System.out.println("    " + outcome.fleet().watch.summary());
+        if (outcome.fleet().controlPlaneProbe != null) {
+          System.out.println("    " + outcome.fleet().controlPlaneProbe.summary());
         }
         outcome.faults().stream().limit(10).forEach(fault -> System.out.println("    " + fault));
         if (!outcome.faults().isEmpty()) {
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -27,7 +27,7 @@
 
 /** One deployment in the simulator, with its senders, its operators and its platform. */
 final class SimulatedFleet {
-  static final List<String> CORE = List.of("core-1", "core-2", "core-3");
+  static final List<String> CONTROL_PLANE_NODES = List.of("core-1", "core-2", "core-3");
   static final int SUBMIT_TRIES = 6;
   static final long SENDER_PATIENCE_MS = 8_000;
 
@@ -98,7 +98,7 @@
       if (status == 201) {
         batch = id;
         acceptedAtMs = simulation.simulatedNowMs();
-        whenTold.accept("accepted", ++acceptances);
+        clientEventListener.accept("accepted", ++acceptances);
         poll();
       } else if (tries < submitTries) {
         simulation.afterMs(
@@ -192,7 +192,7 @@
                 simulation.simulatedNowMs(), Kind.END_ANSWERED, key, "", "", status);
             if (status == 200) {
               ended = true;
-              whenTold.accept("ended", ++ends);
+              clientEventListener.accept("ended", ++ends);
             } else if (!over) {
               simulation.afterMs(500, this::end);
             }
@@ -211,12 +211,12 @@
    * Told the moment a sender hears yes: of an acceptance or an end (how many so far), or of a
    * bundle (its number).
    */
-  BiConsumer<String, Long> whenTold = (event, number) -> {};
+  BiConsumer<String, Long> clientEventListener = (event, number) -> {};
 
   /** When not empty, callers use these edges whether the platform finds them ready or not. */
-  List<SimulatedProcess> callersAt = List.of();
+  List<SimulatedProcess> fixedEdges = List.of();
 
-  boolean obedient;
+  boolean clientsRetryWhenRefused;
 
   /** By fault type, the longest time from sending a live request to its refusal. */
   final Map<String, Long> refusedAfterMs = new TreeMap<>();
@@ -240,19 +240,19 @@
    * The platform round the fleet, its operators and its clients; null where the fleet runs the
    * product's own way.
    */
-  SimulatedPlatform outside;
+  SimulatedPlatform platform;
 
   RouteOperators operators;
   ProxyClients clients;
 
   /** Expectations of a scenario that did not hold at their time. */
-  final List<String> earlyFaults = new ArrayList<>();
+  final List<String> unmetExpectations = new ArrayList<>();
 
   /** Callers of the core, where the scenario has them. */
-  ControlPlaneProbe watch;
+  ControlPlaneProbe controlPlaneProbe;
 
   /** With opaque workers, listed outside, and nodes that bear so many losses at once. */
-  static SimulatedFleet withOutside(
+  static SimulatedFleet withPlatform(
       Deployment deployment,
       long seed,
       int losses,
@@ -260,22 +260,22 @@
       double listCallsPerS,
       long waitingTokensMost) {
     SimulatedFleet fleet = new SimulatedFleet(deployment, seed);
-    for (int more = CORE.size() + 1; more <= 2 * losses + 1; more++) {
+    for (int more = CONTROL_PLANE_NODES.size() + 1; more <= 2 * losses + 1; more++) {
       fleet.addWithDisk("core-" + more, "core", more - 1);
       fleet.addWithDisk("storage-" + more, "storage", more - 1);
     }
-    fleet.outside = new SimulatedPlatform(fleet.simulation, losses, lagMs, listCallsPerS);
-    fleet.simulation.platform = fleet.outside;
+    fleet.platform = new SimulatedPlatform(fleet.simulation, losses, lagMs, listCallsPerS);
+    fleet.simulation.platform = fleet.platform;
     fleet.operators = new RouteOperators(fleet, waitingTokensMost);
     fleet.clients = new ProxyClients(fleet, fleet.operators);
     for (int index = 0; index < deployment.workers; index++) {
-      fleet.outside.join(index % 2 == 0 ? "alpha" : "beta", "zone-" + index % 3);
+      fleet.platform.join(index % 2 == 0 ? "alpha" : "beta", "zone-" + index % 3);
     }
     return fleet;
   }
 
   private void addWithDisk(String name, String role, int zone) {
-    all.add(simulation.add(name, "zone-" + zone % 3, role, CORE, true));
+    all.add(simulation.add(name, "zone-" + zone % 3, role, CONTROL_PLANE_NODES, true));
   }
 
   SimulatedFleet(Deployment deployment, long seed) {
@@ -285,12 +285,13 @@
     operator = new FleetOperator(this);
     faultTargets = new FaultTargets(this);
     for (int zone = 0; zone < 3; zone++) {
-      addWithDisk(CORE.get(zone), "core", zone);
+      addWithDisk(CONTROL_PLANE_NODES.get(zone), "core", zone);
       addWithDisk("storage-" + (zone + 1), "storage", zone);
     }
     for (int index = 0; index < deployment.edges; index++) {
       SimulatedProcess edge =
-          simulation.add("edge-" + (index + 1), "zone-" + index % 3, "edge", CORE, false);
+          simulation.add(
+              "edge-" + (index + 1), "zone-" + index % 3, "edge", CONTROL_PLANE_NODES, false);
       edges.add(edge);
       all.add(edge);
     }
@@ -301,10 +302,10 @@
 
   void start() {
     all.forEach(process -> simulation.atMs(simulation.random.nextInt(300), process::start));
-    if (outside != null) {
-      outside.tell();
+    if (platform != null) {
+      platform.recordBounds();
       operators.start();
-      simulation.atMs(3_000, this::lookForReadyEdges);
+      simulation.atMs(3_000, this::refreshReadyEdges);
       return;
     }
     simulation.atMs(
@@ -314,16 +315,17 @@
                 .map(worker -> worker.id)
                 .sorted()
                 .forEach(operator::listWorker));
-    simulation.atMs(1_500, () -> operator.sendBundle(1, deployment.bundle(1), "core-1"));
-    simulation.atMs(2_000, operator::watchBundles);
-    simulation.atMs(3_000, this::lookForReadyEdges);
+    simulation.atMs(
+        1_500, () -> operator.sendConfiguration(1, deployment.configuration(1), "core-1"));
+    simulation.atMs(2_000, operator::observeConfigurations);
+    simulation.atMs(3_000, this::refreshReadyEdges);
     simulation.history.add(
         0,
         Kind.CEILING,
         "",
         "",
         "",
-        Simulation.tree(deployment.bundle(1).getBytes(UTF_8))
+        Simulation.tree(deployment.configuration(1).getBytes(UTF_8))
             .at("/limits/batch/waitingItemsMost")
             .asLong());
   }
@@ -353,7 +355,7 @@
 
   /** Callers reach an edge that was ready when the platform last looked; any edge if none was. */
   SimulatedProcess anyEdge() {
-    List<SimulatedProcess> choice = callersAt.isEmpty() ? readyOrAll() : callersAt;
+    List<SimulatedProcess> choice = fixedEdges.isEmpty() ? readyOrAll() : fixedEdges;
     return choice.get(simulation.random.nextInt(choice.size()));
   }
 
@@ -362,7 +364,7 @@
     return readyEdges.isEmpty() ? edges : readyEdges;
   }
 
-  private void lookForReadyEdges() {
+  private void refreshReadyEdges() {
     List<SimulatedProcess> ready = new ArrayList<>();
     for (SimulatedProcess edge : edges) {
       waitFor(
@@ -379,7 +381,7 @@
         READY_MS,
         () -> {
           readyEdges = ready;
-          lookForReadyEdges();
+          refreshReadyEdges();
         });
   }
 
@@ -423,7 +425,7 @@
   }
 
   /** Any process that serves operators, whether it lives or not. */
-  SimulatedProcess anyCore() {
+  SimulatedProcess anyControlPlaneNode() {
     List<SimulatedProcess> cores =
         simulation.processes.values().stream()
             .filter(process -> process.role.equals("core") && !process.destroyed)
@@ -452,20 +454,22 @@
   }
 
   /** Any core node that is up; the first if none is. */
-  String liveCore() {
+  String liveControlPlaneNode() {
     List<String> live =
-        CORE.stream()
+        CONTROL_PLANE_NODES.stream()
             .filter(
                 name ->
                     simulation.processes.get(name).alive()
                         && !simulation.processes.get(name).frozen())
             .toList();
-    return live.isEmpty() ? CORE.get(0) : live.get(simulation.random.nextInt(live.size()));
+    return live.isEmpty()
+        ? CONTROL_PLANE_NODES.get(0)
+        : live.get(simulation.random.nextInt(live.size()));
   }
 
   /** Sends a configuration once; asks again with the same bytes while nothing certain is heard. */
-  void sendBundle(long number, String content, String coreName) {
-    operator.sendBundle(number, content, coreName);
+  void sendConfiguration(long number, String content, String coreName) {
+    operator.sendConfiguration(number, content, coreName);
   }
 
   void markLeaving(String workerId) {
@@ -479,7 +483,7 @@
   /** A new machine joins, in the zone and role its name tells. */
   void add(String name, String zone) {
     boolean edge = name.startsWith("edge");
-    SimulatedProcess process = simulation.add(name, zone, roleOf(name), CORE, !edge);
+    SimulatedProcess process = simulation.add(name, zone, roleOf(name), CONTROL_PLANE_NODES, !edge);
     all.add(process);
     if (edge) {
       edges.add(process);
@@ -488,7 +492,7 @@
   }
 
   void markStorage(String name, String state) {
-    String core = liveCore();
+    String core = liveControlPlaneNode();
     String id = ((ControlPlaneNode) simulation.processes.get(core).node()).storageId(name);
     command(
         core,
@@ -504,7 +508,7 @@
         });
   }
 
-  JsonNode coreStatus() {
+  JsonNode controlPlaneStatus() {
     return simulation.processes.values().stream()
         .filter(process -> process.role.equals("core") && process.alive())
         .map(process -> process.node())
@@ -517,7 +521,9 @@
   /** The names of the core's members as its processes know them now. */
   List<String> memberNames() {
     List<String> names = new ArrayList<>();
-    coreStatus().at("/roster/members").forEach(member -> names.add(member.path("name").asText()));
+    controlPlaneStatus()
+        .at("/roster/members")
+        .forEach(member -> names.add(member.path("name").asText()));
     return names;
   }
 
@@ -531,7 +537,7 @@
   /**
    * Percent of the clients that came back when told to and were served then; 100 if none had to.
    */
-  long cameBackPercent() {
+  long servedOnRetryPercent() {
     return liveClients.cameBackPercent();
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
@@ -16,14 +16,14 @@
   private static final double OVERSHOOT = 0.1;
   private static final long DISK_BYTES = 64L << 20;
   private static final double LINK_MEGABITS = 1_000;
-  private static final long FOUNDED_BY_MS = 1_000;
+  private static final long BOOTSTRAP_UNTIL_MS = 1_000;
   private static final int ADDRESSES_KEPT_MS = 2_000;
 
   final Simulation simulation;
   final int losses;
   final ProxyWorkers workers;
   final WorkerListing list;
-  private int born;
+  private int joinedWorkers;
 
   SimulatedPlatform(Simulation simulation, int losses, long lagMs, double callsPerS) {
     this.simulation = simulation;
@@ -31,13 +31,13 @@
     this.workers = new ProxyWorkers(simulation);
     this.list = new WorkerListing(simulation, lagMs, callsPerS);
     simulation.settings = bounds();
-    simulation.foundedByMs = FOUNDED_BY_MS;
+    simulation.bootstrapUntilMs = BOOTSTRAP_UNTIL_MS;
     simulation.workerList =
         (reader, token, whenRead, whenFaulty) -> list.read(token, whenRead, whenFaulty);
   }
 
   /** Says to the history what the deployment tells its processes. */
-  void tell() {
+  void recordBounds() {
     bound("losses", losses);
     bound("contactMs", 3_000);
     bound("drainMs", DRAIN_MS);
@@ -78,7 +78,7 @@
 
   ProxyWorkers.Worker join(String pool, String zone) {
     String address = list.freeAddress();
-    ProxyWorkers.Worker worker = workers.add("i-" + ++born, address, pool, zone);
+    ProxyWorkers.Worker worker = workers.add("i-" + ++joinedWorkers, address, pool, zone);
     list.put(worker, "ready", 0);
     return worker;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcess.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcess.java
@@ -188,7 +188,7 @@
     }
     boolean bootstraps =
         (incarnation == 1 || simulation.bootstrapStays)
-            && simulation.simulatedNowMs() < simulation.foundedByMs;
+            && simulation.simulatedNowMs() < simulation.bootstrapUntilMs;
     return simulation.settings.atNode(disk != null, bootstraps);
   }
 
@@ -232,7 +232,7 @@
   /**
    * The process is asked to stop: it ends when it is done, and is killed after the grace period.
    */
-  void stopPolitely(long graceMs, Runnable whenEnded) {
+  void stopGracefully(long graceMs, Runnable whenEnded) {
     int stopped = incarnation;
     markStopping();
     Runnable end =
@@ -294,7 +294,7 @@
   }
 
   /** Limits the bandwidth of the machine; 0 removes the limit. */
-  void narrowLink(long bytesPerMs) {
+  void limitBandwidth(long bytesPerMs) {
     recordFault(bytesPerMs > 0, "slow");
     link.bytesPerMs(bytesPerMs);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcessor.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcessor.java
@@ -71,7 +71,7 @@
   private int largePasses;
 
   /** Rises when the process dies. */
-  private int life;
+  private int incarnation;
 
   SimulatedProcessor(Simulation simulation, Consumer<Runnable> unlessFrozen) {
     this.simulation = simulation;
@@ -130,7 +130,7 @@
 
   /** The process died: what waited is lost, and its next life begins cold. */
   void restart() {
-    life++;
+    incarnation++;
     waiting.clear();
     outputs.clear();
     busy = false;
@@ -138,7 +138,7 @@
   }
 
   private void runNext() {
-    int inLife = life;
+    int inLife = incarnation;
     busy = true;
     usedNs = EVENT_NS;
     JsonSizeObserver.observe(this::json, waiting.poll());
@@ -148,7 +148,7 @@
   }
 
   private void finish(int inLife) {
-    if (life != inLife) {
+    if (incarnation != inLife) {
       return;
     }
     busy = false;
--- a/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Simulation.java
@@ -45,9 +45,9 @@
   NodeSettings settings = NodeSettings.DEFAULT;
 
   /** Processes first started before this bootstrap the control plane. */
-  long foundedByMs = 10_000;
+  long bootstrapUntilMs = 10_000;
 
-  /** Whether a later start before foundedByMs bootstraps too, as its settings stayed. */
+  /** Whether a later start before bootstrapUntilMs bootstraps too, as its settings stayed. */
   boolean bootstrapStays;
 
   WorkerListSource workerList =
@@ -140,7 +140,7 @@
    * What is sent from one to the other arrives only once the links are healed, as over a stalled
    * connection.
    */
-  public void holdLink(String from, String to) {
+  public void stallLink(String from, String to) {
     network.stall(from, to);
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/TrafficActions.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/TrafficActions.java
@@ -31,7 +31,7 @@
     String[] words = action.words();
     switch (words[0]) {
       case "callers" ->
-          fleet.callersAt = Arrays.stream(words).skip(1).map(simulation.processes::get).toList();
+          fleet.fixedEdges = Arrays.stream(words).skip(1).map(simulation.processes::get).toList();
       case "end-batch" -> endLastBatch();
       case "crowd-batch" ->
           submitCrowd(
@@ -67,16 +67,16 @@
               .forEach(worker -> worker.become(Condition.valueOf(words[2].toUpperCase())));
       case "worker-says-leaving" -> simulation.workers.get(words[1]).leaving = true;
       case "list-becomes" ->
-          fleet.outside.list.become(WorkerListing.Condition.valueOf(words[1].toUpperCase()));
+          fleet.platform.list.become(WorkerListing.Condition.valueOf(words[1].toUpperCase()));
       case "opaque-worker" ->
           proxiedWorkers(words[1])
               .forEach(
                   worker -> worker.become(ProxyWorkers.Condition.valueOf(words[2].toUpperCase())));
-      case "opaque-worker-leaves" -> proxiedWorkers(words[1]).forEach(fleet.outside::leave);
+      case "opaque-worker-leaves" -> proxiedWorkers(words[1]).forEach(fleet.platform::leave);
       case "opaque-worker-crashes" ->
           proxiedWorkers(words[1])
-              .forEach(worker -> fleet.outside.crash(worker, CRASHED_LISTED_MS));
-      case "opaque-worker-joins" -> fleet.outside.join(words[1], words[2]);
+              .forEach(worker -> fleet.platform.crash(worker, CRASHED_LISTED_MS));
+      case "opaque-worker-joins" -> fleet.platform.join(words[1], words[2]);
       default -> {
         return false;
       }
@@ -104,7 +104,7 @@
   /** Proxied workers by id, by pool, or for the words "any" and "every". */
   private List<ProxyWorkers.Worker> proxiedWorkers(String word) {
     List<ProxyWorkers.Worker> present =
-        fleet.outside.workers.present().stream().filter(worker -> !worker.leaving).toList();
+        fleet.platform.workers.present().stream().filter(worker -> !worker.leaving).toList();
     if (word.equals("any")) {
       return List.of(present.get(simulation.random.nextInt(present.size())));
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
@@ -44,8 +44,8 @@
 
   private final LinkedList<String> freed = new LinkedList<>();
   private int addresses;
-  private double room;
-  private long roomAtMs;
+  private double availableCalls;
+  private long availableAtMs;
   int calls;
   int refusedCalls;
 
@@ -53,7 +53,7 @@
     this.simulation = simulation;
     this.lagMs = lagMs;
     this.callsPerS = callsPerS;
-    this.room = callsPerS;
+    this.availableCalls = callsPerS;
     shown.put(0L, List.of());
   }
 
@@ -144,12 +144,12 @@
 
   private boolean takesCall() {
     long now = simulation.simulatedNowMs();
-    room = Math.min(callsPerS, room + (now - roomAtMs) * callsPerS / 1000);
-    roomAtMs = now;
-    if (room < 1) {
+    availableCalls = Math.min(callsPerS, availableCalls + (now - availableAtMs) * callsPerS / 1000);
+    availableAtMs = now;
+    if (availableCalls < 1) {
       return false;
     }
-    room--;
+    availableCalls--;
     return true;
   }
 
--- a/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
@@ -160,10 +160,11 @@
         "$.limits",
         "$.pools",
         "$.rules");
-    Result conflict = fleet.sendBundle(core, fleet.deployment.bundle(1).replace("100", "101"));
+    Result conflict =
+        fleet.sendBundle(core, fleet.deployment.configuration(1).replace("100", "101"));
     refuses(conflict, 409, "BundleConflict");
     assertThat(conflict.body().at("/detail/numberInForce").asLong()).isEqualTo(1);
-    assertThat(fleet.sendBundle(core, fleet.deployment.bundle(1)).status()).isEqualTo(200);
+    assertThat(fleet.sendBundle(core, fleet.deployment.configuration(1)).status()).isEqualTo(200);
   }
 
   @Test
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -68,7 +68,7 @@
     }
 
     private SimulatedResponse sendWhole(long number) {
-      byte[] bytes = Deployment.AUTHORITY.bundle(number).strip().getBytes(UTF_8);
+      byte[] bytes = Deployment.AUTHORITY.configuration(number).strip().getBytes(UTF_8);
       return command(
           0,
           Operation.SET_CONFIGURATION,
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
@@ -14,12 +14,12 @@
   private static final long PATIENCE_MS = 3_000;
   private static final byte[] NOTHING = {'{', '}'};
   private final SimulatedFleet fleet =
-      SimulatedFleet.withOutside(Deployment.SMALL, 1, 1, 800, 40, 0);
+      SimulatedFleet.withPlatform(Deployment.SMALL, 1, 1, 800, 40, 0);
   private final Simulation simulation = fleet.simulation;
 
   private AtomicReference<Response> send(SimulatedProcess core, long number, long buildsOn) {
     AtomicReference<Response> answer = new AtomicReference<>();
-    byte[] bytes = Deployment.SMALL.bundle(number).getBytes(UTF_8);
+    byte[] bytes = Deployment.SMALL.configuration(number).getBytes(UTF_8);
     fleet.command(
         core,
         PATIENCE_MS,
@@ -48,7 +48,7 @@
   /** Sends until it is acknowledged or another is in force; that one's number. */
   private long settle(long number, long buildsOn) {
     for (int tries = 0; tries < 10; tries++) {
-      AtomicReference<Response> answer = send(fleet.anyCore(), number, buildsOn);
+      AtomicReference<Response> answer = send(fleet.anyControlPlaneNode(), number, buildsOn);
       run(PATIENCE_MS);
       if (answer.get() != null && answer.get().isSuccess()) {
         return number;
@@ -76,7 +76,7 @@
       AtomicReference<Response> early = read(leader);
       AtomicReference<Response> order = new AtomicReference<>();
       long base = inForce;
-      byte[] bytes = Deployment.SMALL.bundle(sent).getBytes(UTF_8);
+      byte[] bytes = Deployment.SMALL.configuration(sent).getBytes(UTF_8);
       simulation.afterMs(
           orderAfterMs,
           () ->
--- a/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
@@ -15,17 +15,17 @@
   private static final int FORGOTTEN = 5;
   private static final long PATIENCE_MS = 3_000;
   private final SimulatedFleet fleet =
-      SimulatedFleet.withOutside(Deployment.SMALL, 1, 1, 800, 40, 0);
+      SimulatedFleet.withPlatform(Deployment.SMALL, 1, 1, 800, 40, 0);
   private final Simulation simulation = fleet.simulation;
 
   private static String content(long number, String pool) {
-    return Deployment.SMALL.bundle(number).replace("\"main\"", "\"" + pool + "\"");
+    return Deployment.SMALL.configuration(number).replace("\"main\"", "\"" + pool + "\"");
   }
 
   private Response send(long number, long buildsOn, String pool) {
     AtomicReference<Response> answer = new AtomicReference<>();
     fleet.command(
-        fleet.anyCore(),
+        fleet.anyControlPlaneNode(),
         PATIENCE_MS,
         Operation.SET_CONFIGURATION,
         "bundle",
--- a/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -153,7 +153,7 @@
   }
 
   private static String bundle(long number, String pool) {
-    return Deployment.AUTHORITY.bundle(number).replace("\"main\"", "\"" + pool + "\"");
+    return Deployment.AUTHORITY.configuration(number).replace("\"main\"", "\"" + pool + "\"");
   }
 
   // ---- founding
--- a/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
@@ -66,7 +66,7 @@
           "sticky": false, "resumable": false, "split": [{"pool": "main", "weight": 1}],
           "completionTargetMs": 20000, "retentionMs": 60000, "waitingTokensMost": 0}]}
         """;
-    String rules = Deployment.AUTHORITY.bundle(number).strip();
+    String rules = Deployment.AUTHORITY.configuration(number).strip();
     String content = rules.substring(0, rules.length() - 1) + routes;
     SimulatedResponse answer = new SimulatedResponse();
     simulation.call(
@@ -116,7 +116,7 @@
     for (int index = 0; index < LARGE_EDGES; index++) {
       process("large-" + index).link.megabits(70);
     }
-    process("small").stopPolitely(GRACE_MS, () -> {});
+    process("small").stopGracefully(GRACE_MS, () -> {});
     simulation.runUntil(simulation.simulatedNowMs() + 2_290);
     SimulatedResponse answer = submit("small", "c1", LARGE_BODY_BYTES);
     simulation.runUntil(simulation.simulatedNowMs() + GRACE_MS);
