--- a/test-fleet/src/main/java/applespindle/testfleet/CrashPoints.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/CrashPoints.java
@@ -11,15 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * Kills at the worst instant, swept instead of drawn: for each kind of message, each of some
- * counts, and each of the four instants about it (before and after its sending, before and after
- * its taking in), one run of a scenario in which the process falls right then, by kill or by power
- * loss, and comes back 3 s later. Usage: FILE SEED [COUNT...].
+ * A systematic search for crashes at the worst step of a protocol. For each kind of message, each
+ * of some counts and each of the four positions (before and after it is sent, before and after it
+ * is received) a scenario runs once, in which the process dies at that step, by kill or by loss of
+ * power, and starts again 3 s later. Usage: FILE SEED [COUNT...].
  */
 public final class CrashPoints {
-  /**
-   * Steps of replication, of news and what confirms it, of dispatch, of copying and set changes.
-   */
+  /** Steps of replication, the change feed, dispatch, copying of shards and set changes. */
   static final List<String> KINDS =
       List.of(
           "KeyPromise",
@@ -54,7 +52,7 @@
           "AskResponse");
 
   private static final long FROM_MS = 14_900;
-  private static final long BACK_AFTER_MS = 3_000;
+  private static final long RESTART_AFTER_MS = 3_000;
 
   record Case(String kind, int number, Position position, boolean powerLoss) {
     Scenario.Outcome run(Scenario scenario, long seed) {
@@ -64,7 +62,13 @@
           fleet ->
               fleet.simulation.crashPoint =
                   new CrashPoint(
-                      fleet.simulation, kind, number, position, powerLoss, FROM_MS, BACK_AFTER_MS));
+                      fleet.simulation,
+                      kind,
+                      number,
+                      position,
+                      powerLoss,
+                      FROM_MS,
+                      RESTART_AFTER_MS));
     }
 
     @Override
@@ -105,11 +109,11 @@
         .forEach(
             each -> {
               Scenario.Outcome outcome = each.run(scenario, seed);
-              boolean fell = outcome.fleet().simulation.crashPoint.crashed() != null;
+              boolean crashed = outcome.fleet().simulation.crashPoint.crashed() != null;
               synchronized (broken) {
                 int[] counts = byKind.computeIfAbsent(each.kind(), unseen -> new int[3]);
                 counts[0]++;
-                counts[1] += fell ? 1 : 0;
+                counts[1] += crashed ? 1 : 0;
                 counts[2] += outcome.faults().isEmpty() ? 0 : 1;
                 if (!outcome.faults().isEmpty()) {
                   broken.add(each + ": " + outcome.faults().get(0));
--- a/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Finds the process that a fault of a scenario is to strike. */
+/** Finds the process that is the target of a fault. */
 final class FaultTargets {
   private final SimulatedFleet fleet;
   private final Simulation simulation;
@@ -14,7 +14,7 @@
     this.simulation = fleet.simulation;
   }
 
-  /** A process by name or by what it does at this moment. */
+  /** A process by name or by its present work; null if there is none. */
   SimulatedProcess named(String name) {
     SimulatedProcess named = simulation.processes.get(name);
     if (named != null) {
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -19,7 +19,7 @@
     this.simulation = fleet.simulation;
   }
 
-  /** Lists a worker, and lists it again while nothing certain is heard. */
+  /** Registers a worker; retries while the outcome is unknown. */
   void listWorker(String id) {
     String pool = fleet.spares.contains(id) ? "spare" : "main";
     simulation.history.add(simulation.simulatedNowMs(), Kind.WORKER_POOL, id, pool, "", 0);
@@ -52,23 +52,23 @@
         });
   }
 
-  /** Sends once; a sender that hears nothing certain asks again with the same bytes. */
-  void sendConfiguration(long number, String content, String coreName) {
+  /** Sends a configuration; retries with the same bytes while the outcome is unknown. */
+  void sendConfiguration(long revision, String content, String controlPlaneNode) {
     byte[] bytes = content.getBytes(UTF_8);
     simulation.history.add(
-        simulation.simulatedNowMs(), Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
+        simulation.simulatedNowMs(), Kind.BUNDLE_SENT, Long.toString(revision), "", "", revision);
     Deployment.pools(content)
         .forEach(
             (trafficClass, pool) ->
                 simulation.history.add(
                     simulation.simulatedNowMs(),
                     Kind.BUNDLE_WAY,
-                    Long.toString(number),
+                    Long.toString(revision),
                     trafficClass,
                     pool,
-                    number));
+                    revision));
     fleet.command(
-        coreName,
+        controlPlaneNode,
         Operation.SET_CONFIGURATION,
         "bundle",
         fleet.signed(bytes, null),
@@ -77,21 +77,21 @@
           simulation.history.add(
               simulation.simulatedNowMs(),
               Kind.BUNDLE_ANSWERED,
-              Long.toString(number),
+              Long.toString(revision),
               response == null ? "" : response.errorType(),
               "",
               status);
           if (status == 200) {
-            fleet.clientEventListener.accept("bundle", number);
+            fleet.clientEventListener.accept("bundle", revision);
           }
           if (status != 200 && status != 409) {
             simulation.afterMs(
-                700, () -> sendConfiguration(number, content, fleet.liveControlPlaneNode()));
+                700, () -> sendConfiguration(revision, content, fleet.liveControlPlaneNode()));
           }
         });
   }
 
-  /** Reads the bundle back at the core, and sees what each ready edge has in force. */
+  /** Reads the configuration back and notes the one that each ready edge applies, repeatedly. */
   void observeConfigurations() {
     long begunAt = simulation.simulatedNowMs();
     fleet.command(
@@ -113,7 +113,7 @@
     for (SimulatedProcess edge : fleet.edges) {
       fleet.waitFor(
           edge,
-          SimulatedFleet.SENDER_PATIENCE_MS,
+          SimulatedFleet.CLIENT_TIMEOUT_MS,
           (Consumer<JsonNode> then) -> {
             boolean ready = edge.node().notReadyBecause().isEmpty();
             then.accept(ready ? edge.node().status() : null);
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -25,11 +25,11 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** One deployment in the simulator, with its senders, its operators and its platform. */
+/** One simulated deployment with its clients, its operators and its platform. */
 final class SimulatedFleet {
   static final List<String> CONTROL_PLANE_NODES = List.of("core-1", "core-2", "core-3");
   static final int SUBMIT_TRIES = 6;
-  static final long SENDER_PATIENCE_MS = 8_000;
+  static final long CLIENT_TIMEOUT_MS = 8_000;
 
   /** More families than one worker's cache holds, fewer than all caches together. */
   static final int FAMILIES = 200;
@@ -41,7 +41,7 @@
       "In the usual form of the office, with greeting, place and hour of the event. ".repeat(4);
   private static final Signing.Keys KEYS = Signing.generate();
 
-  /** One batch as its sender knows it. */
+  /** One batch as its client knows it. */
   final class Sender {
     final String key;
     final byte[] body;
@@ -77,13 +77,13 @@
       SimulatedProcess edge = anyEdge();
       waitFor(
           edge,
-          SENDER_PATIENCE_MS,
+          CLIENT_TIMEOUT_MS,
           (Consumer<Response> then) ->
               ((EdgeNode) edge.node()).submit("sender", key, BatchInput.read(body).value(), then),
           this::submitted);
     }
 
-    /** Null: the connection broke, or patience ended. */
+    /** Handles a response; null if the connection broke or the client timed out. */
     private void submitted(Response response) {
       int status = response == null ? 0 : response.status();
       String id =
@@ -117,7 +117,7 @@
       long after = next;
       waitFor(
           edge,
-          SENDER_PATIENCE_MS,
+          CLIENT_TIMEOUT_MS,
           (Consumer<Response> then) ->
               ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
           response -> polled(response));
@@ -159,7 +159,7 @@
       SimulatedProcess edge = anyEdge();
       waitFor(
           edge,
-          SENDER_PATIENCE_MS,
+          CLIENT_TIMEOUT_MS,
           (Consumer<Response> then) ->
               ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
           response -> {
@@ -184,7 +184,7 @@
       SimulatedProcess edge = anyEdge();
       waitFor(
           edge,
-          SENDER_PATIENCE_MS,
+          CLIENT_TIMEOUT_MS,
           (Consumer<Response> then) -> ((EdgeNode) edge.node()).endBatch(batch, then),
           response -> {
             int status = response == null ? 0 : response.status();
@@ -208,14 +208,15 @@
   private List<SimulatedProcess> readyEdges = List.of();
 
   /**
-   * Told the moment a sender hears yes: of an acceptance or an end (how many so far), or of a
-   * bundle (its number).
+   * Notified the moment a client receives a success: of an acceptance or an end (how many so far),
+   * or of a configuration (its revision).
    */
   BiConsumer<String, Long> clientEventListener = (event, number) -> {};
 
-  /** When not empty, callers use these edges whether the platform finds them ready or not. */
+  /** If not empty, clients call these edges whether the platform finds them ready or not. */
   List<SimulatedProcess> fixedEdges = List.of();
 
+  /** Clients whose checks are refused retry after the delay they are given. */
   boolean clientsRetryWhenRefused;
 
   /** By fault type, the longest time from sending a live request to its refusal. */
@@ -237,21 +238,21 @@
   final List<Long> noteLatencies = new ArrayList<>();
 
   /**
-   * The platform round the fleet, its operators and its clients; null where the fleet runs the
-   * product's own way.
+   * The platform on which the fleet runs, its operators and its clients; all null if the fleet runs
+   * without a platform.
    */
   SimulatedPlatform platform;
 
   RouteOperators operators;
   ProxyClients clients;
 
-  /** Expectations of a scenario that did not hold at their time. */
+  /** A sentence for each timed expectation of a scenario that was not met. */
   final List<String> unmetExpectations = new ArrayList<>();
 
-  /** Callers of the core, where the scenario has them. */
+  /** Measures the control plane; null if the scenario does not ask for it. */
   ControlPlaneProbe controlPlaneProbe;
 
-  /** With opaque workers, listed outside, and nodes that bear so many losses at once. */
+  /** A fleet on a platform with proxied workers, whose nodes tolerate so many losses at once. */
   static SimulatedFleet withPlatform(
       Deployment deployment,
       long seed,
@@ -330,17 +331,17 @@
             .asLong());
   }
 
-  /** Of every edge, each way; 0: as much as comes. */
+  /** Sets the bandwidth of every edge, each way; 0: unlimited. */
   void edgeLinks(double mbits) {
     edges.forEach(edge -> edge.link.megabits(mbits));
   }
 
-  /** Share of a processor that every edge has; 0: nothing that an edge does takes time. */
+  /** Sets the share of a core that every edge has; 0: the work of an edge takes no time. */
   void edgeProcessors(double share) {
     edges.forEach(edge -> edge.processor.share(share));
   }
 
-  /** The last so many edges have a processor and a link of their own kind. */
+  /** Sets another share of a core and another bandwidth for the last so many edges. */
   void largerEdges(int count, double share, double mbits) {
     edges
         .subList(edges.size() - count, edges.size())
@@ -351,15 +352,15 @@
             });
   }
 
-  // ---- callers
+  // ---- calls
 
-  /** Callers reach an edge that was ready when the platform last looked; any edge if none was. */
+  /** A random edge that was ready when the platform last asked; any edge if none was. */
   SimulatedProcess anyEdge() {
     List<SimulatedProcess> choice = fixedEdges.isEmpty() ? readyOrAll() : fixedEdges;
     return choice.get(simulation.random.nextInt(choice.size()));
   }
 
-  /** Nodes that receive clients. */
+  /** Edges that receive requests of clients. */
   List<SimulatedProcess> readyOrAll() {
     return readyEdges.isEmpty() ? edges : readyEdges;
   }
@@ -385,8 +386,9 @@
         });
   }
 
+  /** Calls a process; a broken connection or the timeout gives null. */
   <T> void waitFor(
-      SimulatedProcess process, long patienceMs, Consumer<Consumer<T>> question, Consumer<T> then) {
+      SimulatedProcess process, long timeoutMs, Consumer<Consumer<T>> question, Consumer<T> then) {
     boolean[] done = new boolean[1];
     simulation.call(
         process,
@@ -410,7 +412,7 @@
           }
         });
     simulation.afterMs(
-        patienceMs,
+        timeoutMs,
         () -> {
           if (!done[0]) {
             done[0] = true;
@@ -420,11 +422,16 @@
   }
 
   void command(
-      String coreName, Operation operation, String key, Object body, Consumer<Response> then) {
-    command(simulation.processes.get(coreName), SENDER_PATIENCE_MS, operation, key, body, then);
+      String controlPlaneNode,
+      Operation operation,
+      String key,
+      Object body,
+      Consumer<Response> then) {
+    command(
+        simulation.processes.get(controlPlaneNode), CLIENT_TIMEOUT_MS, operation, key, body, then);
   }
 
-  /** Any process that serves operators, whether it lives or not. */
+  /** A random control plane node, whether it is alive or not. */
   SimulatedProcess anyControlPlaneNode() {
     List<SimulatedProcess> cores =
         simulation.processes.values().stream()
@@ -440,20 +447,20 @@
 
   void command(
       SimulatedProcess core,
-      long patienceMs,
+      long timeoutMs,
       Operation operation,
       String key,
       Object body,
       Consumer<Response> then) {
     waitFor(
         core,
-        patienceMs,
+        timeoutMs,
         (Consumer<Response> answer) ->
             ((ControlPlaneNode) core.node()).command(operation, key, body, answer),
         then);
   }
 
-  /** Any core node that is up; the first if none is. */
+  /** A random control plane node that is alive and not frozen; the first one if none is. */
   String liveControlPlaneNode() {
     List<String> live =
         CONTROL_PLANE_NODES.stream()
@@ -467,9 +474,9 @@
         : live.get(simulation.random.nextInt(live.size()));
   }
 
-  /** Sends a configuration once; asks again with the same bytes while nothing certain is heard. */
-  void sendConfiguration(long number, String content, String coreName) {
-    operator.sendConfiguration(number, content, coreName);
+  /** Sends a configuration; retries with the same bytes while the outcome is unknown. */
+  void sendConfiguration(long revision, String content, String controlPlaneNode) {
+    operator.sendConfiguration(revision, content, controlPlaneNode);
   }
 
   void markLeaving(String workerId) {
@@ -480,7 +487,7 @@
     return Stream.of("edge", "core").filter(name::startsWith).findFirst().orElse("storage");
   }
 
-  /** A new machine joins, in the zone and role its name tells. */
+  /** Adds and starts a machine in a zone; its name begins with its role. */
   void add(String name, String zone) {
     boolean edge = name.startsWith("edge");
     SimulatedProcess process = simulation.add(name, zone, roleOf(name), CONTROL_PLANE_NODES, !edge);
@@ -518,7 +525,7 @@
         .orElse(JSON.nullNode());
   }
 
-  /** The names of the core's members as its processes know them now. */
+  /** The names of the members of the control plane, as its nodes know them now. */
   List<String> memberNames() {
     List<String> names = new ArrayList<>();
     controlPlaneStatus()
@@ -529,19 +536,17 @@
 
   // ---- traffic
 
-  /** Requests a second, as a stream with random gaps. */
+  /** Schedules live requests of a class, so many a second with random gaps. */
   void live(String trafficClass, double perSecond, long fromMs, long untilMs) {
     liveClients.live(trafficClass, perSecond, fromMs, untilMs);
   }
 
-  /**
-   * Percent of the clients that came back when told to and were served then; 100 if none had to.
-   */
+  /** Percent of the clients that retried after a refusal and were served; 100 if none had to. */
   long servedOnRetryPercent() {
     return liveClients.cameBackPercent();
   }
 
-  /** Prompts come in families that share a long beginning, as the brief's do. */
+  /** Prompts of one family share a long prefix, which a worker can cache. */
   static String familyPrompt(int family, String id) {
     return ("Case file " + family + ". " + SHARED).substring(0, FAMILY_CHARS) + "Ruling " + id;
   }
@@ -573,7 +578,7 @@
     return new FleetSummary(this).cacheHitPercent();
   }
 
-  /** Batches of which a majority of the storage nodes knows that they were removed. */
+  /** How many removed batches a majority of the storage nodes knows of. */
   long removedBatches() {
     return simulation.processes.values().stream()
         .filter(process -> process.role.equals("storage") && process.alive())
@@ -591,7 +596,7 @@
         : sorted.get(Math.min(sorted.size() - 1, sorted.size() * percent / 100));
   }
 
-  /** A process by name or by what it does at this moment. */
+  /** A process by name or by its present work; null if there is none. */
   SimulatedProcess target(String name) {
     return faultTargets.named(name);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
@@ -4,8 +4,8 @@
 import applespindle.testfleet.History.Kind;
 
 /**
- * The platform round a simulated fleet: its bounds, its workers of opaque requests and its list of
- * them.
+ * The platform on which a simulated fleet runs: the settings it gives to nodes, its workers of
+ * proxied requests and its list of them.
  */
 final class SimulatedPlatform {
   static final long DRAIN_MS = 3_000;
@@ -23,6 +23,8 @@
   final int losses;
   final ProxyWorkers workers;
   final WorkerListing list;
+
+  /** Also the number in the id of the last worker that joined. */
   private int joinedWorkers;
 
   SimulatedPlatform(Simulation simulation, int losses, long lagMs, double callsPerS) {
@@ -30,13 +32,13 @@
     this.losses = losses;
     this.workers = new ProxyWorkers(simulation);
     this.list = new WorkerListing(simulation, lagMs, callsPerS);
-    simulation.settings = bounds();
+    simulation.settings = nodeSettings();
     simulation.bootstrapUntilMs = BOOTSTRAP_UNTIL_MS;
     simulation.workerList =
         (reader, token, whenRead, whenFaulty) -> list.read(token, whenRead, whenFaulty);
   }
 
-  /** Says to the history what the deployment tells its processes. */
+  /** Notes the bounds of the deployment in the history, from which the checker reads them. */
   void recordBounds() {
     bound("losses", losses);
     bound("contactMs", 3_000);
@@ -58,7 +60,7 @@
     simulation.history.add(simulation.simulatedNowMs(), Kind.BOUND, name, "", "", value);
   }
 
-  private NodeSettings bounds() {
+  private NodeSettings nodeSettings() {
     return new NodeSettings(
         losses,
         true,
@@ -83,7 +85,7 @@
     return worker;
   }
 
-  /** Shown as leaving first, serves on for the time to drain and a little longer, and is gone. */
+  /** Lists a worker as leaving; it ends a little after the time that draining may take. */
   void leave(ProxyWorkers.Worker worker) {
     if (worker.leaving || worker.over) {
       return;
@@ -93,7 +95,7 @@
     simulation.afterMs(list.lagMs + DRAIN_MS + 500, () -> end(worker, 0));
   }
 
-  /** Dies at once and stays on the list for a while. */
+  /** Ends a worker at once; it stays on the list for a while. */
   void crash(ProxyWorkers.Worker worker, long listedOnMs) {
     end(worker, listedOnMs);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcessor.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedProcessor.java
@@ -8,11 +8,11 @@
 
 /**
  * The processor of one simulated process: a share of a core, on which one event runs after the
- * other. An event sees and changes its node at the moment it begins; what it put out leaves, and
- * the next event begins, once the processor time that the event took has passed. Without a share
+ * other. An event sees and changes its node at the moment it begins; its output leaves, and the
+ * next event begins, once the processor time that the event took has passed. Without a share
  * nothing takes time.
  *
- * <p>The rates are those of handing in a batch in a fresh process with the data plane's flags in
+ * <p>The rates are those of submitting a batch in a fresh process with the data plane's flags in
  * deploy/system.toml and an archive of its classes: seven passes of JSON over the body, one digest,
  * five frames. Measured as processor time of all threads, so with compiling and collecting, on a
  * busy machine. 60 items, a body of 104 kB, five processes: the first time 274 to 307 ms, the
@@ -62,9 +62,15 @@
   /** Runs a task now, or once the process wakes if it is frozen. */
   private final Consumer<Runnable> unlessFrozen;
 
+  /** 0: nothing takes time, and no field below is used. */
   private double share;
+
+  /** In the order of arrival; only filled while busy. */
   private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+
+  /** Output of the present event; empty unless busy. */
   private final List<Runnable> outputs = new ArrayList<>();
+
   private boolean busy;
   private long usedNs;
   private long totalNs;
@@ -87,7 +93,7 @@
     return share > 0;
   }
 
-  /** Processor time used so far, in all lives of the process. */
+  /** Processor time used so far, over all incarnations of the process. */
   long totalNs() {
     return totalNs;
   }
@@ -104,7 +110,7 @@
     }
   }
 
-  /** What the present event puts out: leaves when the event is done. */
+  /** Sends output of the present event once the event is done. */
   void output(Runnable leaving) {
     if (busy) {
       outputs.add(leaving);
@@ -128,7 +134,7 @@
     usedNs += bytes * FRAME_NS_PER_BYTE;
   }
 
-  /** The process died: what waited is lost, and its next life begins cold. */
+  /** The process died: waiting events are lost, and its next incarnation begins cold. */
   void restart() {
     incarnation++;
     waiting.clear();
@@ -138,17 +144,17 @@
   }
 
   private void runNext() {
-    int inLife = incarnation;
+    int started = incarnation;
     busy = true;
     usedNs = EVENT_NS;
     JsonSizeObserver.observe(this::json, waiting.poll());
     totalNs += usedNs;
     long doneUs = simulation.nowUs() + (long) (usedNs / share / 1_000);
-    simulation.at(doneUs, () -> unlessFrozen.accept(() -> finish(inLife)));
+    simulation.at(doneUs, () -> unlessFrozen.accept(() -> finish(started)));
   }
 
-  private void finish(int inLife) {
-    if (incarnation != inLife) {
+  private void finish(int ofIncarnation) {
+    if (incarnation != ofIncarnation) {
       return;
     }
     busy = false;
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedWorkers.java
@@ -18,10 +18,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/**
- * Workers on simulated time, with the same output and pace as the stand-ins, and with faults at
- * will.
- */
+/** Workers on simulated time, with the output and pace of the emulated ones, and with faults. */
 public final class SimulatedWorkers {
   /** The fault a worker is in. */
   public enum Condition {
@@ -82,7 +79,7 @@
     private final String item;
     private final int tokens;
     private final long expiresAtMs;
-    private long heardAtMs;
+    private long lastProgressMs;
     private int position;
     private boolean over;
 
@@ -94,7 +91,7 @@
       this.prompt = body.path("prompt").asText();
       this.item = body.path("applespindle_item").asText("");
       this.tokens = body.path("max_tokens").asInt(EmulatedOutput.TOKENS_UNLESS_TOLD);
-      this.heardAtMs = simulation.simulatedNowMs();
+      this.lastProgressMs = simulation.simulatedNowMs();
       this.expiresAtMs = simulation.simulatedNowMs() + call.expiryMs();
     }
 
@@ -169,7 +166,7 @@
         fail(new ApiError.MalformedWorkerResponse(worker.id));
         return;
       }
-      heardAtMs = simulation.simulatedNowMs();
+      lastProgressMs = simulation.simulatedNowMs();
       if (position == tokens) {
         worker.running.remove(this);
         over = true;
@@ -183,7 +180,7 @@
       next(pace.tokenMs());
     }
 
-    /** The caller's side: silence and expiry end a run, as the real client does. */
+    /** Ends a run that stalls or expires, as the real client of a worker does. */
     private void watch() {
       simulation.afterMs(
           WorkerConstants.LOAD_POLL_INTERVAL_MS,
@@ -192,7 +189,7 @@
               return;
             }
             long now = simulation.simulatedNowMs();
-            if (now - heardAtMs > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
+            if (now - lastProgressMs > LiveRequestConstants.STREAM_SILENCE_TIMEOUT_MS
                 || now > expiresAtMs) {
               worker.running.remove(this);
               fail(new ApiError.WorkerTimeout(worker.id));
--- a/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SubmissionStages.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * When each stage of handing in an opaque batch was reached, by batch and edge, as seen in the
- * messages of the edges: for the reader of a scenario that failed because acceptances were late.
+ * When each stage of the submission of a proxied batch was reached, by batch and edge, as seen in
+ * the messages of the edges. It explains scenarios that fail because batches are accepted late.
  */
 final class SubmissionStages {
   /** In the order in which a batch goes through them. */
@@ -52,20 +52,20 @@
   /** By the client's id of a batch; in the order of the tries. */
   private final Map<String, List<Visit>> visits = new LinkedHashMap<>();
 
-  /** By edge, the batch that its present event hands in. */
+  /** By edge, the batch that its present event submits. */
   private final Map<String, String> arriving = new HashMap<>();
 
-  /** By the id of its record, without the prefix. */
+  /** By the id of its record without the prefix, the id that the client gave to the batch. */
   private final Map<String, String> clientIds = new HashMap<>();
 
-  /** By edge and correlation of the question for room. */
+  /** By edge and correlation of a capacity request, the batch that waits for its response. */
   private final Map<String, String> roomAsked = new HashMap<>();
 
   SubmissionStages(Simulation simulation) {
     this.simulation = simulation;
   }
 
-  /** The client begins a try. */
+  /** The client begins an attempt. */
   void tried(String clientId, SimulatedProcess edge) {
     visits.computeIfAbsent(clientId, unseen -> new ArrayList<>()).add(new Visit(edge.name));
     reach(clientId, edge, Stage.TRIED);
@@ -77,7 +77,7 @@
     reach(clientId, edge, Stage.ARRIVED);
   }
 
-  /** The client hears yes. */
+  /** The client receives the acceptance. */
   void answered(String clientId, SimulatedProcess edge) {
     reach(clientId, edge, Stage.ANSWERED);
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerListing.java
@@ -13,10 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * The list of workers that is kept outside: it lags, comes in pages, takes so many calls a second,
- * and has its troubles.
+ * The list of workers that the simulated platform keeps: it lags, is read in pages, limits the rate
+ * of calls and can be faulty.
  */
 final class WorkerListing {
+  /** The fault of the list, if any. */
   enum Condition {
     WELL,
     DOWN,
@@ -39,7 +40,7 @@
   private Condition condition = Condition.WELL;
   private final Map<String, ListedWorker> present = new LinkedHashMap<>();
 
-  /** By time, the whole list from then on. */
+  /** By time, the complete list that is shown from then on; never empty. */
   private final TreeMap<Long, List<ListedWorker>> shown = new TreeMap<>();
 
   private final LinkedList<String> freed = new LinkedList<>();
@@ -58,13 +59,13 @@
   }
 
   void become(Condition next) {
-    boolean troubled = next != Condition.WELL;
-    if (troubled != (condition != Condition.WELL)) {
+    boolean faulty = next != Condition.WELL;
+    if (faulty != (condition != Condition.WELL)) {
       simulation.history.add(
           simulation.simulatedNowMs(),
           Kind.LIST_TROUBLE,
           "",
-          troubled ? "began" : "ended",
+          faulty ? "began" : "ended",
           next.toString(),
           0);
     }
@@ -75,7 +76,7 @@
     return freed.isEmpty() ? "10.128.0." + ++addresses + ":8080" : freed.poll();
   }
 
-  /** An address of a worker that has ended goes to the next that joins. */
+  /** Reuses the address of an ended worker for the next one that joins. */
   void free(String address) {
     freed.add(address);
   }
@@ -154,7 +155,7 @@
   }
 
   /**
-   * Each page is of the list as it is shown at that moment; a worker may so be missed or seen twice
+   * Each page is of the list as it is shown at that moment, so a worker may be missed or seen twice
    * between pages.
    */
   private WorkerListPage page(String pageToken) {
