--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchExperiment.java
@@ -30,45 +30,56 @@
 import java.util.function.Consumer;
 
 /**
- * One day of a {@link DispatchShape} on simulated time with the real nodes: how many requests are
- * in time, and what those that are not met. The load is the same for the same seed, whatever the
- * nodes do.
+ * Runs the traffic of a {@link DispatchShape} on simulated time with the real nodes and counts the
+ * requests that meet their targets, and what delayed the others. The load is the same for the same
+ * seed, whatever the nodes do.
  */
 final class DispatchExperiment {
   static final long TRAFFIC_FROM_MS = 12_000;
-  private static final double AIM_MS = 300;
-  private static final double GAP_MS = 200;
-  private static final double LOT_AIM_MS = 8_000;
+  private static final double FIRST_EVENT_TARGET_MS = 300;
+  private static final double GAP_TARGET_MS = 200;
+  private static final double BATCH_TARGET_MS = 8_000;
   private static final int STREAM_TIMEOUT_MS = 2_000;
   private static final String POOL = "main";
   private static final String HOST = "h.example";
-  private static final long KEPT_TOKENS = 305_000;
-  private static final int TOKENS_AN_EVENT = 19;
+  private static final long CACHED_TOKENS = 305_000;
+  private static final int TOKENS_PER_EVENT = 19;
 
-  /** Trouble of a day: from when to when, beside the traffic's begin. */
-  record Trouble(Kind kind, long fromMs, long untilMs, double size) {
+  /** A fault of the workers or a burst of load, in time since the beginning of the traffic. */
+  record Fault(Kind kind, long fromMs, long untilMs, double size) {
     enum Kind {
       DARK,
       BURST,
-      LOT_BURST
+      BATCH_BURST
     }
   }
 
   private final DispatchShape shape;
   private final long trafficMs;
-  private final List<Trouble> troubles;
+  private final List<Fault> faults;
   private final Simulation simulation;
+
+  /** Draws the load only, so that it does not depend on what the nodes draw. */
   private final SplittableRandom load;
+
+  /** Filled while the simulation runs. */
   private final DispatchResult result = new DispatchResult();
+
+  /** By zone. */
   private final List<List<SimulatedProcess>> edges = new ArrayList<>();
+
+  /** By zone and client, the edge that the client always calls. */
   private final List<List<SimulatedProcess>> edgeOfClient = new ArrayList<>();
+
+  /** By id, when the batch of an item was submitted. */
   private final Map<String, Long> itemSentMs = new HashMap<>();
+
   private long ids;
 
-  DispatchExperiment(DispatchShape shape, long trafficMs, List<Trouble> troubles, long seed) {
+  DispatchExperiment(DispatchShape shape, long trafficMs, List<Fault> faults, long seed) {
     this.shape = shape;
     this.trafficMs = trafficMs;
-    this.troubles = troubles;
+    this.faults = faults;
     this.simulation = new Simulation(seed, Map.of(), Deployment.AUTHORITY.pace);
     this.load = new SplittableRandom(seed);
   }
@@ -80,14 +91,14 @@
     simulation.runUntil(TRAFFIC_FROM_MS);
     long messagesBefore = simulation.messages();
     for (int zone = 0; zone < shape.zones(); zone++) {
-      traffic(zone, "check", shape.checksPerS() * shape.weights().get(zone));
-      traffic(zone, "note", shape.notesPerS() * shape.weights().get(zone));
+      scheduleTraffic(zone, "check", shape.checksPerS() * shape.weights().get(zone));
+      scheduleTraffic(zone, "note", shape.notesPerS() * shape.weights().get(zone));
     }
-    lots();
-    troubles.forEach(this::schedule);
+    scheduleBatches();
+    faults.forEach(this::schedule);
     simulation.runUntil(TRAFFIC_FROM_MS + trafficMs);
     result.peerMessages = simulation.messages() - messagesBefore;
-    simulation.runUntil(TRAFFIC_FROM_MS + trafficMs + (long) LOT_AIM_MS);
+    simulation.runUntil(TRAFFIC_FROM_MS + trafficMs + (long) BATCH_TARGET_MS);
     result.readTokens = simulation.platform.workers.readTokens;
     result.promptTokens = simulation.platform.workers.promptedTokens;
     return result;
@@ -99,7 +110,7 @@
     simulation.platform = new SimulatedPlatform(simulation, 2, 800, 210);
     simulation.platform.workers.engine = shape.engine();
     simulation.platform.workers.paces = shape.paces();
-    simulation.platform.workers.watcher = this::seen;
+    simulation.platform.workers.watcher = this::observeAtWorker;
     List<String> seeds = List.of("core-0", "core-1", "core-2");
     List<SimulatedProcess> all = new ArrayList<>();
     for (int index = 0; index < 5; index++) {
@@ -130,8 +141,8 @@
   }
 
   private void configure() {
-    ObjectNode bundle = Json.JSON.createObjectNode().put("number", 1);
-    bundle
+    ObjectNode configuration = Json.JSON.createObjectNode().put("number", 1);
+    configuration
         .putObject("pools")
         .putObject(POOL)
         .put("prefixBlockChars", 64)
@@ -139,9 +150,9 @@
         .put("loadFactor", 1.5)
         .put("slots", shape.engine().slots())
         .put("connectionsMost", 510)
-        .put("keptTokensMost", KEPT_TOKENS);
-    bundle.putArray("rules");
-    ObjectNode limits = bundle.putObject("limits");
+        .put("keptTokensMost", CACHED_TOKENS);
+    configuration.putArray("rules");
+    ObjectNode limits = configuration.putObject("limits");
     limits.putObject("classes").putObject("live").put("rank", 0).put("queueMost", 0);
     limits
         .putObject("batch")
@@ -152,10 +163,10 @@
         .put("cancelForLive", true)
         .put("itemExpiryMs", 3_600_000)
         .putNull("retentionMs");
-    ArrayNode routes = bundle.putArray("routes");
+    ArrayNode routes = configuration.putArray("routes");
     route(routes, "stream", "STREAM", 1, 0, 0);
     route(routes, "resumable", "STREAM", 2, 0, 0);
-    route(routes, "batch", "BATCH", 3, 2, (long) LOT_AIM_MS);
+    route(routes, "batch", "BATCH", 3, 2, (long) BATCH_TARGET_MS);
     call(
         simulation.processes.get("core-0"),
         (Consumer<Response> then) ->
@@ -163,7 +174,7 @@
                 .command(
                     Operation.SET_CONFIGURATION,
                     "bundle",
-                    new SignedConfiguration(0, Json.bytes(bundle), "", new byte[0], 0L),
+                    new SignedConfiguration(0, Json.bytes(configuration), "", new byte[0], 0L),
                     then),
         response -> {
           if (!response.isSuccess()) {
@@ -182,8 +193,8 @@
             .put("pathPrefix", "/" + name + "/")
             .put("type", type)
             .put("timeoutMs", completionMs > 0 ? 8_000 : STREAM_TIMEOUT_MS)
-            .put("targetMs", (int) AIM_MS)
-            .put("gapTargetMs", (int) GAP_MS)
+            .put("targetMs", (int) FIRST_EVENT_TARGET_MS)
+            .put("gapTargetMs", (int) GAP_TARGET_MS)
             .put("attempts", attempts)
             .put("rank", rank)
             .put("sticky", true)
@@ -210,47 +221,47 @@
         });
   }
 
-  // ---- troubles
+  // ---- faults
 
-  private void schedule(Trouble trouble) {
-    if (trouble.kind() != Trouble.Kind.DARK) {
+  private void schedule(Fault fault) {
+    if (fault.kind() != Fault.Kind.DARK) {
       return;
     }
     List<Worker> hit =
         simulation.platform.workers.present().stream()
-            .filter(worker -> load.nextDouble() < trouble.size())
+            .filter(worker -> load.nextDouble() < fault.size())
             .toList();
     simulation.atMs(
-        TRAFFIC_FROM_MS + trouble.fromMs(),
+        TRAFFIC_FROM_MS + fault.fromMs(),
         () -> hit.forEach(worker -> worker.become(ProxyWorkers.Condition.DARK)));
     simulation.atMs(
-        TRAFFIC_FROM_MS + trouble.untilMs(),
+        TRAFFIC_FROM_MS + fault.untilMs(),
         () -> hit.forEach(worker -> worker.become(ProxyWorkers.Condition.WELL)));
   }
 
   private double burst(String kind) {
     long now = simulation.simulatedNowMs() - TRAFFIC_FROM_MS;
-    Trouble.Kind wanted = kind.equals("lot") ? Trouble.Kind.LOT_BURST : Trouble.Kind.BURST;
+    Fault.Kind wanted = kind.equals("batch") ? Fault.Kind.BATCH_BURST : Fault.Kind.BURST;
     if (kind.equals("note")) {
       return 1;
     }
-    return troubles.stream()
+    return faults.stream()
         .filter(each -> each.kind() == wanted)
         .filter(each -> now >= each.fromMs() && now < each.untilMs())
-        .mapToDouble(Trouble::size)
+        .mapToDouble(Fault::size)
         .findFirst()
         .orElse(1);
   }
 
   // ---- live requests
 
-  private void traffic(int zone, String kind, double perS) {
+  private void scheduleTraffic(int zone, String kind, double perS) {
     double phase = load.nextDouble();
     SplittableRandom own = load.split();
-    simulation.atMs(TRAFFIC_FROM_MS, () -> next(zone, kind, perS, phase, own));
+    simulation.atMs(TRAFFIC_FROM_MS, () -> sendNext(zone, kind, perS, phase, own));
   }
 
-  private void next(int zone, String kind, double perS, double phase, SplittableRandom own) {
+  private void sendNext(int zone, String kind, double perS, double phase, SplittableRandom own) {
     if (simulation.simulatedNowMs() >= TRAFFIC_FROM_MS + trafficMs) {
       return;
     }
@@ -265,7 +276,8 @@
       new LiveRequest(zone, kind, own).send();
     }
     simulation.afterMs(
-        -Math.log(1 - own.nextDouble()) * 1_000 / rate, () -> next(zone, kind, perS, phase, own));
+        -Math.log(1 - own.nextDouble()) * 1_000 / rate,
+        () -> sendNext(zone, kind, perS, phase, own));
   }
 
   private static int spread(SplittableRandom random, double mean, double sigma, int most) {
@@ -291,7 +303,7 @@
       this.edge = choice.get(own.nextInt(choice.size()));
       String id = "q" + ++ids;
       int events = check ? spread(own, 1.5, 0.9, 6) : spread(own, 9, 0.7, 31);
-      this.tokens = TOKENS_AN_EVENT * events;
+      this.tokens = TOKENS_PER_EVENT * events;
       List<PromptPart> prompt =
           List.of(
               new PromptPart((check ? "c" : "n") + own.nextInt(check ? 16 : 40), check ? 341 : 210),
@@ -341,9 +353,9 @@
       if (first) {
         first = false;
         kind.firstMs.add(nowMs - sentMs);
-        late = nowMs - sentMs > AIM_MS;
+        late = nowMs - sentMs > FIRST_EVENT_TARGET_MS;
       } else {
-        late |= nowMs - lastMs > GAP_MS;
+        late |= nowMs - lastMs > GAP_TARGET_MS;
       }
       lastMs = nowMs;
     }
@@ -366,12 +378,12 @@
 
     private void over(boolean inTime) {
       kind.inTime += inTime ? 1 : 0;
-      result.window((long) ((sentMs - TRAFFIC_FROM_MS) / 2_000), inTime);
+      result.countInWindow((long) ((sentMs - TRAFFIC_FROM_MS) / 2_000), inTime);
     }
   }
 
-  /** What a live request meets at its worker, beside the least loaded of all at that moment. */
-  private void seen(Worker worker, String edgeZone, ProxiedRequest request) {
+  /** Counts a live request that reaches a worker, and whether it waits while another is idle. */
+  private void observeAtWorker(Worker worker, String edgeZone, ProxiedRequest request) {
     if (request.target().startsWith("/batch/")) {
       return;
     }
@@ -391,24 +403,24 @@
     result.liveWaitedWhileOthersIdle += idle ? 1 : 0;
   }
 
-  // ---- lots
+  // ---- batches
 
-  private void lots() {
+  private void scheduleBatches() {
     SplittableRandom own = load.split();
-    simulation.atMs(TRAFFIC_FROM_MS, () -> nextLot(own));
+    simulation.atMs(TRAFFIC_FROM_MS, () -> submitNextBatch(own));
   }
 
-  private void nextLot(SplittableRandom own) {
+  private void submitNextBatch(SplittableRandom own) {
     if (simulation.simulatedNowMs() >= TRAFFIC_FROM_MS + trafficMs) {
       return;
     }
-    String lot = "b" + ++ids;
+    String batchId = "b" + ++ids;
     List<ProxiedBatch.Item> rows = new ArrayList<>();
-    int items = spread(own, shape.lotItems(), 0.5, 150);
+    int items = spread(own, shape.batchItems(), 0.5, 150);
     for (int index = 0; index < items; index++) {
-      rows.add(item(lot + "-" + index, own));
+      rows.add(item(batchId + "-" + index, own));
     }
-    ProxiedBatch batch = new ProxiedBatch(lot, HOST, "/batch/" + lot, rows);
+    ProxiedBatch batch = new ProxiedBatch(batchId, HOST, "/batch/" + batchId, rows);
     List<SimulatedProcess> zone = edges.get(own.nextInt(shape.zones()));
     SimulatedProcess edge = zone.get(own.nextInt(zone.size()));
     result.items += items;
@@ -417,12 +429,12 @@
         then -> ((EdgeNode) edge.node()).submitProxiedBatch(BatchSubmission.of(batch), then),
         response -> {});
     simulation.afterMs(
-        -Math.log(1 - own.nextDouble()) * 1_000 / (shape.lotsPerS() * burst("lot")),
-        () -> nextLot(own));
+        -Math.log(1 - own.nextDouble()) * 1_000 / (shape.batchesPerS() * burst("batch")),
+        () -> submitNextBatch(own));
   }
 
   private ProxiedBatch.Item item(String id, SplittableRandom own) {
-    int tokens = TOKENS_AN_EVENT * spread(own, 35, 0.5, 77);
+    int tokens = TOKENS_PER_EVENT * spread(own, 35, 0.5, 77);
     List<PromptPart> prompt =
         List.of(
             new PromptPart("i" + own.nextInt(30), 432),
@@ -431,7 +443,7 @@
     simulation.platform.workers.whenDone.put(
         id,
         () -> {
-          boolean inTime = simulation.simulatedNowMs() - itemSentMs.get(id) <= LOT_AIM_MS;
+          boolean inTime = simulation.simulatedNowMs() - itemSentMs.get(id) <= BATCH_TARGET_MS;
           result.itemsInTime += inTime ? 1 : 0;
         });
     return new ProxiedBatch.Item(
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchResult.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchResult.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What one run of a {@link DispatchExperiment} came to. */
+/** Counts and latencies of one run of a {@link DispatchExperiment}. */
 final class DispatchResult {
-  /** The requests of one kind, and when their first events came. */
+  /** The requests of one kind and the latencies of their first events. */
   static final class Kind {
     int asked;
     int inTime;
     int refused;
     final List<Double> firstMs = new ArrayList<>();
 
-    double part() {
+    double share() {
       return asked == 0 ? 0 : inTime / (double) asked;
     }
 
@@ -32,7 +32,7 @@
   int items;
   int itemsInTime;
 
-  /** Live requests that found so many running and waiting at their worker, 8 or more as 8. */
+  /** Live requests that reached a worker; the fields below count some of them. */
   int live;
 
   int liveOtherZone;
@@ -43,19 +43,19 @@
   long readTokens;
   long promptTokens;
 
-  double itemsPart() {
+  double itemsShare() {
     return items == 0 ? 0 : itemsInTime / (double) items;
   }
 
-  /** Of one second's live requests, as {asked, in time}. */
+  /** By window of 2 s, the live requests that were sent and those that were in time. */
   final List<int[]> windows = new ArrayList<>();
 
-  void window(long second, boolean inTime) {
-    while (windows.size() <= second) {
+  void countInWindow(long window, boolean inTime) {
+    while (windows.size() <= window) {
       windows.add(new int[2]);
     }
-    windows.get((int) second)[0]++;
-    windows.get((int) second)[1] += inTime ? 1 : 0;
+    windows.get((int) window)[0]++;
+    windows.get((int) window)[1] += inTime ? 1 : 0;
   }
 
   double worstWindow() {
@@ -75,9 +75,9 @@
     return String.format(
         Locale.ROOT,
         "%.3f  %.3f  %.3f | %.2f  | %4.0f %4.0f | %d | %.2f %.3f %.3f %.3f | %.2f %.0f",
-        checks.part(),
-        notes.part(),
-        itemsPart(),
+        checks.share(),
+        notes.share(),
+        itemsShare(),
         worstWindow(),
         checks.percentileMs(0.5),
         checks.percentileMs(0.99),
--- a/test-fleet/src/main/java/applespindle/testfleet/DispatchShape.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/DispatchShape.java
@@ -11,9 +11,9 @@
  * @param clients connections in each zone; each stays with one edge
  * @param checksPerS short streams of all zones together, by the zones' weights
  * @param notesPerS longer streams of all zones together
- * @param lotsPerS batches of all zones together
- * @param swing part by which the traffic of a zone rises and falls
- * @param clump mean number of requests that come at the same moment
+ * @param batchesPerS batches of all zones together
+ * @param swing share by which the traffic of a zone rises and falls
+ * @param clump mean number of requests that arrive at the same moment
  */
 record DispatchShape(
     List<Integer> edges,
@@ -24,14 +24,14 @@
     List<Double> paces,
     double checksPerS,
     double notesPerS,
-    double lotsPerS,
-    int lotItems,
+    double batchesPerS,
+    int batchItems,
     double swing,
     double wavePeriodMs,
     double clump) {
 
   /**
-   * Many small edges before workers of few slots that tell no load and admit in order of arrival.
+   * Many small edges, and workers of few slots that report no load and admit in order of arrival.
    */
   static final DispatchShape MANY_EDGES =
       new DispatchShape(
@@ -49,7 +49,7 @@
           11_000,
           3);
 
-  /** Few larger edges before workers of many slots that tell their load and know ranks. */
+  /** Few larger edges, and workers of many slots that report their load and know ranks. */
   static final DispatchShape FEW_EDGES =
       new DispatchShape(
           List.of(3, 3, 3),
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetSummary.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetSummary.java
@@ -3,7 +3,7 @@
 import applespindle.testfleet.History.Kind;
 import java.util.List;
 
-/** The figures of one simulated fleet as a line; times are simulated milliseconds. */
+/** Measures of one simulated fleet as a line; times are simulated milliseconds. */
 final class FleetSummary {
   private final SimulatedFleet fleet;
   private final Simulation simulation;
--- a/test-fleet/src/main/java/applespindle/testfleet/ReplayProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ReplayProgram.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Judges a recorded outside history by the never-rules. Exit status: 0 sound, 1 a rule was broken,
- * 2 not readable.
+ * Checks a recorded history by the rules of {@link Checker}. Exit status: 0 no violation, 1 a rule
+ * was violated, 2 the file can not be read.
  */
 public final class ReplayProgram {
   public static void main(String[] arguments) {
