--- a/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/HealthyMachines.java
@@ -10,22 +10,25 @@
 import java.util.TreeMap;
 
 /**
- * Which machines are bound by time limits at a moment: those without trouble for a while, before a
- * settled core. Read from what was done to the fleet, never from what a node says of itself.
+ * The machines that must keep time limits at a moment: those without a fault for a while, as long
+ * as the control plane is settled. Derived from the faults that were injected, never from what a
+ * node reports about itself.
  */
 final class HealthyMachines {
-  private static final Set<String> CORE_ROLES = Set.of("core", "storage");
+  private static final Set<String> DURABLE_ROLES = Set.of("core", "storage");
 
   /**
-   * A core is settled though a minority of it is down or frozen; any other open trouble unsettles
-   * it.
+   * The control plane stays settled while a minority of its nodes has these faults; any other open
+   * fault unsettles it.
    */
-  private static final Set<String> BORNE = Set.of("down", "frozen");
+  private static final Set<String> TOLERATED_FAULTS = Set.of("down", "frozen");
 
-  /** By process, the times at which its trouble changed, with what was then open. */
+  /** By process and time of a change, the faults that are open from then on. */
   private final Map<String, TreeMap<Long, Set<String>>> open = new HashMap<>();
 
-  private final TreeMap<Long, Boolean> coreSettled = new TreeMap<>();
+  /** By time of a change, whether the control plane is settled from then on. */
+  private final TreeMap<Long, Boolean> settledAt = new TreeMap<>();
+
   private final long contactMs;
 
   HealthyMachines(List<Seen> seen, long contactMs, long losses) {
@@ -46,27 +49,29 @@
         now.remove(words[1]);
       }
       ofProcess.put(each.atMs(), now);
-      if (CORE_ROLES.contains(each.text())) {
+      if (DURABLE_ROLES.contains(each.text())) {
         core.put(each.subject(), now);
-        boolean borne = core.values().stream().allMatch(BORNE::containsAll);
+        boolean tolerated = core.values().stream().allMatch(TOLERATED_FAULTS::containsAll);
         long down = core.entrySet().stream().filter(entry -> !entry.getValue().isEmpty()).count();
-        coreSettled.put(each.atMs(), borne && down <= losses);
+        settledAt.put(each.atMs(), tolerated && down <= losses);
       }
     }
   }
 
-  boolean inTouch(String process, long atMs) {
+  /** Whether a process has had no fault for contactMs and the control plane is settled. */
+  boolean connected(String process, long atMs) {
     TreeMap<Long, Set<String>> ofProcess = open.get(process);
-    return settled(atMs) && (ofProcess == null || calm(ofProcess, atMs));
+    return settled(atMs) && (ofProcess == null || withoutFaultFor(ofProcess, atMs));
   }
 
+  /** Whether the control plane has been settled for contactMs. */
   boolean settled(long atMs) {
-    Map.Entry<Long, Boolean> last = coreSettled.floorEntry(atMs);
+    Map.Entry<Long, Boolean> last = settledAt.floorEntry(atMs);
     return last == null || last.getValue() && last.getKey() + contactMs < atMs;
   }
 
-  /** No trouble of any kind on the process from contactMs before a time until another. */
-  boolean untroubled(String process, long fromMs, long untilMs, Set<String> planned) {
+  /** Whether a process had only planned faults from contactMs before a time until another. */
+  boolean withoutFault(String process, long fromMs, long untilMs, Set<String> planned) {
     TreeMap<Long, Set<String>> ofProcess = open.getOrDefault(process, new TreeMap<>());
     Map.Entry<Long, Set<String>> before = ofProcess.floorEntry(fromMs - contactMs);
     return (before == null || planned.containsAll(before.getValue()))
@@ -74,8 +79,8 @@
             .allMatch(planned::containsAll);
   }
 
-  /** Whether a life of the process ended or began between two times. */
-  boolean oneLife(String process, long fromMs, long untilMs) {
+  /** Whether no incarnation of the process ended or began between two times. */
+  boolean sameIncarnation(String process, long fromMs, long untilMs) {
     TreeMap<Long, Set<String>> ofProcess = open.getOrDefault(process, new TreeMap<>());
     return ofProcess.subMap(fromMs, true, untilMs, true).values().stream()
             .noneMatch(now -> now.contains("down"))
@@ -83,7 +88,7 @@
             || !ofProcess.floorEntry(fromMs).getValue().contains("down"));
   }
 
-  private boolean calm(TreeMap<Long, Set<String>> ofProcess, long atMs) {
+  private boolean withoutFaultFor(TreeMap<Long, Set<String>> ofProcess, long atMs) {
     Map.Entry<Long, Set<String>> last = ofProcess.floorEntry(atMs);
     return last == null || last.getValue().isEmpty() && last.getKey() + contactMs < atMs;
   }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchRules.java
@@ -36,8 +36,8 @@
       for (String item : batch.items.keySet()) {
         for (Run run : traffic.runsOf.getOrDefault(item, List.of())) {
           if (run.arrivedMs() > batch.endedMs + traffic.bound("cancelMs", 3_000)
-              && traffic.touch.inTouch(run.edge(), run.arrivedMs())
-              && traffic.touch.inTouch(
+              && traffic.touch.connected(run.edge(), run.arrivedMs())
+              && traffic.touch.connected(
                   run.edge(), batch.endedMs + traffic.bound("cancelMs", 3_000))) {
             violated(
                 Rule.RAN_AFTER_END, run.arrivedMs(), batch.id + " " + item + " from " + run.edge());
@@ -95,8 +95,8 @@
     long from = Long.parseLong(words[0]);
     long begunMs = Long.parseLong(words[3]);
     boolean inTouch =
-        traffic.touch.inTouch(each.detail(), begunMs)
-            && traffic.touch.inTouch(each.detail(), each.atMs());
+        traffic.touch.connected(each.detail(), begunMs)
+            && traffic.touch.connected(each.detail(), each.atMs());
     boolean kept =
         each.atMs() < batch.firstSentMs + traffic.bound("keepBatchesMs", 120_000)
             || batch.results.size() < batch.items.size();
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedResponseRules.java
@@ -154,7 +154,7 @@
           && traffic.touch.settled(request.atMs())
           && traffic.touch.settled(answer.atMs())
           && doneInTime(ofRequest, stops.get(edge), answer)
-          && traffic.touch.untroubled(
+          && traffic.touch.withoutFault(
               edge, request.atMs(), answer.atMs(), Set.of("stopping", "down"))) {
         violated(
             Rule.RESPONSE_LOST,
@@ -188,7 +188,7 @@
       String edge = ProxyTraffic.edgeOf(traffic.requests.get(each.subject()));
       boolean good =
           each.detail().equals("complete")
-              || !traffic.touch.inTouch(edge, each.atMs())
+              || !traffic.touch.connected(edge, each.atMs())
               || each.number() == 404
               || !traffic.acknowledgedSince(each.atMs());
       if (good) {
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteChangeRules.java
@@ -149,7 +149,7 @@
       boolean wrong =
           pool != null
               ? traffic.everAllowed(asked, pool, atMs)
-              : traffic.acknowledgedBefore(sentMs) > 0 && traffic.touch.inTouch(edge, sentMs);
+              : traffic.acknowledgedBefore(sentMs) > 0 && traffic.touch.connected(edge, sentMs);
       if (wrong) {
         violated(Rule.BUNDLE_NOT_IN_FORCE, atMs, what + ", which nothing in force allowed");
       }
@@ -158,8 +158,8 @@
     long newest = fitting[fitting.length - 1];
     long inForce = traffic.acknowledgedBefore(sentMs - traffic.bound("applyMs", 2_000));
     if (newest < inForce
-        && traffic.touch.inTouch(edge, sentMs)
-        && traffic.touch.inTouch(edge, atMs)) {
+        && traffic.touch.connected(edge, sentMs)
+        && traffic.touch.connected(edge, atMs)) {
       violated(
           Rule.BUNDLE_NOT_IN_FORCE,
           atMs,
@@ -170,7 +170,7 @@
       if (newest < before[0]
           && sentMs > before[1] + traffic.bound("downgradeMs", 250)
           && request != null
-          && traffic.touch.oneLife(edge, before[1], sentMs)) {
+          && traffic.touch.sameIncarnation(edge, before[1], sentMs)) {
         violated(
             Rule.BUNDLE_NOT_IN_FORCE,
             atMs,
--- a/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/WorkerRunRules.java
@@ -102,8 +102,8 @@
           || each.atMs() - shown - troubled(listTrouble, shown, each.atMs()) <= drainMs) {
         continue;
       }
-      if (traffic.touch.inTouch(words[1], each.atMs())
-          && traffic.touch.inTouch(words[1], shown + drainMs)) {
+      if (traffic.touch.connected(words[1], each.atMs())
+          && traffic.touch.connected(words[1], shown + drainMs)) {
         violated(
             Rule.WORK_TO_LEAVING_WORKER,
             each.atMs(),
