--- a/test-fleet/src/main/java/applespindle/testfleet/ScenarioExpectations.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ScenarioExpectations.java
@@ -91,7 +91,7 @@
     }
   }
 
-  private static long durationMs(SimulatedFleet.Sender sender) {
+  private static long durationMs(BatchClient sender) {
     return sender.finishedAtMs < 0 ? Long.MAX_VALUE : sender.finishedAtMs - sender.acceptedAtMs;
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -4,10 +4,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.api.Response;
-import applespindle.corelogic.batch.BatchInput;
-import applespindle.corelogic.batch.BatchKeys;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
-import applespindle.corelogic.edge.EdgeNode;
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.protocol.Operation;
@@ -15,7 +12,6 @@
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
@@ -35,174 +31,15 @@
   static final int FAMILIES = 200;
 
   private static final int FAMILY_CHARS = 320;
-  private static final long POLL_MS = 400;
+  static final long POLL_MS = 400;
   private static final long READY_MS = 500;
-  private static final String SHARED =
+  static final String SHARED =
       "In the usual form of the office, with greeting, place and hour of the event. ".repeat(4);
   private static final Signing.Keys KEYS = Signing.generate();
 
-  /** One batch as its client knows it. */
-  final class Sender {
-    final String key;
-    final byte[] body;
-    final int items;
-    final long dueMs;
-    String batch = "";
-    long acceptedAtMs = -1;
-    long finishedAtMs = -1;
-    boolean endAsked;
-    boolean ended;
-    int tries;
-    long next;
-    boolean over;
-
-    Sender(String key, int items, int tokens, long dueMs) {
-      this.key = key;
-      this.items = items;
-      this.dueMs = dueMs;
-      ObjectNode input = JSON.createObjectNode().put("due_in_ms", dueMs);
-      var rows = input.putArray("items");
-      for (int index = 0; index < items; index++) {
-        String prompt = SHARED + "Guest " + key + "/" + index;
-        rows.addObject().put("id", "i" + index).put("prompt", prompt).put("max_tokens", tokens);
-        simulation.history.add(
-            simulation.simulatedNowMs(), Kind.ITEM, key, "i" + index, prompt, tokens);
-      }
-      body = applespindle.corelogic.common.Json.bytes(input);
-    }
-
-    void submit() {
-      tries++;
-      simulation.history.add(simulation.simulatedNowMs(), Kind.SUBMIT_SENT, key, "", "", items);
-      SimulatedProcess edge = anyEdge();
-      waitFor(
-          edge,
-          CLIENT_TIMEOUT_MS,
-          (Consumer<Response> then) ->
-              ((EdgeNode) edge.node()).submit("sender", key, BatchInput.read(body).value(), then),
-          this::submitted);
-    }
-
-    /** Handles a response; null if the connection broke or the client timed out. */
-    private void submitted(Response response) {
-      int status = response == null ? 0 : response.status();
-      String id =
-          status == 201 ? response.body().path("batch").asText() : BatchKeys.batchId("sender", key);
-      simulation.history.add(
-          simulation.simulatedNowMs(),
-          Kind.SUBMIT_ANSWERED,
-          key,
-          response == null ? "" : response.errorType(),
-          id,
-          status);
-      if (status == 201) {
-        batch = id;
-        acceptedAtMs = simulation.simulatedNowMs();
-        clientEventListener.accept("accepted", ++acceptances);
-        poll();
-      } else if (tries < submitTries) {
-        simulation.afterMs(
-            response == null ? 500 : 1000.0 * Math.max(1, response.retryAfterSeconds()),
-            this::submit);
-      } else {
-        over = true;
-      }
-    }
-
-    void poll() {
-      if (over) {
-        return;
-      }
-      SimulatedProcess edge = anyEdge();
-      long after = next;
-      waitFor(
-          edge,
-          CLIENT_TIMEOUT_MS,
-          (Consumer<Response> then) ->
-              ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
-          response -> polled(response));
-    }
-
-    private void polled(Response response) {
-      long now = simulation.simulatedNowMs();
-      if (response != null) {
-        JsonNode page = response.body();
-        String state = response.isSuccess() ? page.path("state").asText() : response.errorType();
-        simulation.history.add(
-            now, Kind.BATCH_READ, key, state, page.path("recorded").asText("0"), response.status());
-        if (response.isSuccess()) {
-          for (JsonNode row : page.path("results")) {
-            simulation.history.add(
-                now,
-                Kind.RESULT_READ,
-                key,
-                row.path("id").asText() + "|" + row.path("type").asText(),
-                row.path("output").asText(""),
-                row.path("n").asLong());
-          }
-          next = page.path("next").asLong();
-          if (state.equals("finished") && finishedAtMs < 0) {
-            finishedAtMs = now;
-          }
-          if (state.equals("ended") || state.equals("finished") && next >= items) {
-            over = true;
-            // Reads once more from the start: nothing that was read may have changed.
-            reread(0);
-            return;
-          }
-        }
-      }
-      simulation.afterMs(POLL_MS, this::poll);
-    }
-
-    private void reread(long after) {
-      SimulatedProcess edge = anyEdge();
-      waitFor(
-          edge,
-          CLIENT_TIMEOUT_MS,
-          (Consumer<Response> then) ->
-              ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
-          response -> {
-            if (response == null || !response.isSuccess()) {
-              return;
-            }
-            for (JsonNode row : response.body().path("results")) {
-              simulation.history.add(
-                  simulation.simulatedNowMs(),
-                  Kind.RESULT_READ,
-                  key,
-                  row.path("id").asText() + "|" + row.path("type").asText(),
-                  row.path("output").asText(""),
-                  row.path("n").asLong());
-            }
-          });
-    }
-
-    void end() {
-      endAsked = true;
-      simulation.history.add(simulation.simulatedNowMs(), Kind.END_ASKED, key, "", "", 0);
-      SimulatedProcess edge = anyEdge();
-      waitFor(
-          edge,
-          CLIENT_TIMEOUT_MS,
-          (Consumer<Response> then) -> ((EdgeNode) edge.node()).endBatch(batch, then),
-          response -> {
-            int status = response == null ? 0 : response.status();
-            simulation.history.add(
-                simulation.simulatedNowMs(), Kind.END_ANSWERED, key, "", "", status);
-            if (status == 200) {
-              ended = true;
-              clientEventListener.accept("ended", ++ends);
-            } else if (!over) {
-              simulation.afterMs(500, this::end);
-            }
-          });
-    }
-  }
-
   final Simulation simulation;
   final Deployment deployment;
-  final List<Sender> senders = new ArrayList<>();
+  final List<BatchClient> senders = new ArrayList<>();
   final List<SimulatedProcess> edges = new ArrayList<>();
   private final List<SimulatedProcess> all = new ArrayList<>();
   private List<SimulatedProcess> readyEdges = List.of();
@@ -557,9 +394,20 @@
     }
   }
 
-  Sender submitOne() {
-    Sender sender =
-        new Sender(
+  /** A client was notified that its batch was accepted. */
+  void batchAccepted() {
+    clientEventListener.accept("accepted", ++acceptances);
+  }
+
+  /** A client was notified that its batch was ended. */
+  void batchEnded() {
+    clientEventListener.accept("ended", ++ends);
+  }
+
+  BatchClient submitOne() {
+    BatchClient sender =
+        new BatchClient(
+            this,
             "batch-" + ++batchNumber,
             deployment.batchItems,
             deployment.batchTokens,
--- a/test-fleet/src/main/java/applespindle/testfleet/TrafficActions.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/TrafficActions.java
@@ -1,6 +1,5 @@
 package applespindle.testfleet;
 
-import applespindle.testfleet.SimulatedFleet.Sender;
 import applespindle.testfleet.SimulatedWorkers.Condition;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -87,7 +86,7 @@
   /** A client ends the batch that was submitted last of those that still run. */
   private void endLastBatch() {
     for (int index = fleet.senders.size() - 1; index >= 0; index--) {
-      Sender sender = fleet.senders.get(index);
+      BatchClient sender = fleet.senders.get(index);
       if (!sender.batch.isEmpty() && !sender.over && !sender.endAsked) {
         sender.end();
         return;
