--- a/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ControlPlaneProbe.java
@@ -2,7 +2,6 @@
 
 import applespindle.corelogic.controlplane.ControlPlaneNode;
 import applespindle.corelogic.protocol.Operation;
-import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.Map;
@@ -67,7 +66,7 @@
   /** By key, the highest term that any owner knows. */
   private Map<String, Long> terms() {
     Map<String, Long> terms = new TreeMap<>();
-    for (Process node : controlPlaneNodes()) {
+    for (SimulatedProcess node : controlPlaneNodes()) {
       if (node.alive()) {
         JsonNode owned = node.node().status().path("owned");
         owned
@@ -79,7 +78,7 @@
     return terms;
   }
 
-  private List<Process> controlPlaneNodes() {
+  private List<SimulatedProcess> controlPlaneNodes() {
     return simulation.processes.values().stream()
         .filter(process -> process.node() instanceof ControlPlaneNode)
         .toList();
@@ -89,13 +88,13 @@
     if (simulation.simulatedNowMs() >= toMs + AFTER_MS) {
       return;
     }
-    for (Process node : controlPlaneNodes()) {
+    for (SimulatedProcess node : controlPlaneNodes()) {
       servedAtMs.keySet().forEach(key -> read(node, key));
     }
     simulation.afterMs(INTERVAL_MS, this::sendReads);
   }
 
-  private void read(Process node, String key) {
+  private void read(SimulatedProcess node, String key) {
     long begunMs = simulation.simulatedNowMs();
     boolean judged =
         begunMs >= fromMs + DETECTION_MS && begunMs < toMs - DETECTION_MS && !node.frozen();
--- a/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Deployment.java
@@ -38,15 +38,15 @@
   /**
    * A configuration with one pool, where checks rank before notes and live requests before batches.
    */
-  public String bundle(long number) {
-    return bundle(number, "", "");
+  public String configuration(long number) {
+    return configuration(number, "", "");
   }
 
   /**
    * The same with one class routed to another pool, so that the workers show which configuration is
    * in force.
    */
-  public String bundle(long number, String trafficClass, String pool) {
+  public String configuration(long number, String trafficClass, String pool) {
     return """
     {
       "number": %d,
--- a/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FaultTargets.java
@@ -2,10 +2,9 @@
 
 import static applespindle.corelogic.common.Json.JSON;
 
-import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Finds the process that a fault of a scenario is to strike. */
+/** Finds the process that is the target of a fault. */
 final class FaultTargets {
   private final SimulatedFleet fleet;
   private final Simulation simulation;
@@ -15,9 +14,9 @@
     this.simulation = fleet.simulation;
   }
 
-  /** A process by name or by what it does at this moment. */
-  Process named(String name) {
-    Process named = simulation.processes.get(name);
+  /** A process by name or by its present work; null if there is none. */
+  SimulatedProcess named(String name) {
+    SimulatedProcess named = simulation.processes.get(name);
     if (named != null) {
       return named;
     }
@@ -26,25 +25,26 @@
       case "feeder" -> busiest("batchRunning");
       case "any-edge" -> fleet.anyEdge();
       case "any-core" ->
-          simulation.processes.get(SimulatedFleet.CORE.get(simulation.random.nextInt(3)));
+          simulation.processes.get(
+              SimulatedFleet.CONTROL_PLANE_NODES.get(simulation.random.nextInt(3)));
       case "any-storage" ->
           simulation.processes.get("storage-" + (1 + simulation.random.nextInt(3)));
       default -> name.startsWith("owner:") ? ownerOf(name.substring(6)) : null;
     };
   }
 
-  private Process ownerOf(String key) {
-    return SimulatedFleet.CORE.stream()
+  private SimulatedProcess ownerOf(String key) {
+    return SimulatedFleet.CONTROL_PLANE_NODES.stream()
         .map(simulation.processes::get)
         .filter(core -> core.alive() && core.node().status().path("owned").has(key))
         .findFirst()
-        .orElse(simulation.processes.get(SimulatedFleet.CORE.get(0)));
+        .orElse(simulation.processes.get(SimulatedFleet.CONTROL_PLANE_NODES.get(0)));
   }
 
-  private Process busiest(String field) {
-    Process busiest = fleet.edges.get(0);
+  private SimulatedProcess busiest(String field) {
+    SimulatedProcess busiest = fleet.edges.get(0);
     long most = -1;
-    for (Process edge : fleet.edges) {
+    for (SimulatedProcess edge : fleet.edges) {
       JsonNode value = edge.alive() ? edge.node().status().path(field) : JSON.nullNode();
       long open = 0;
       for (JsonNode each : value) {
--- a/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/Fleet.java
@@ -320,7 +320,9 @@
         mostMs,
         () -> caller.put(controlPlane, "/v1/workers", workerList()).good());
     awaitTrue(
-        "the bundle", mostMs, () -> sendConfiguration(controlPlane, deployment.bundle(1)).good());
+        "the bundle",
+        mostMs,
+        () -> sendConfiguration(controlPlane, deployment.configuration(1)).good());
     awaitTrue(
         "all nodes",
         mostMs,
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetOperator.java
@@ -6,7 +6,6 @@
 import applespindle.corelogic.metadata.WorkerInput;
 import applespindle.corelogic.protocol.Operation;
 import applespindle.testfleet.History.Kind;
-import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 
@@ -20,13 +19,13 @@
     this.simulation = fleet.simulation;
   }
 
-  /** Lists a worker, and lists it again while nothing certain is heard. */
+  /** Registers a worker; retries while the outcome is unknown. */
   void listWorker(String id) {
     String pool = fleet.spares.contains(id) ? "spare" : "main";
     simulation.history.add(simulation.simulatedNowMs(), Kind.WORKER_POOL, id, pool, "", 0);
     var input = new WorkerInput(id, SimulatedWorkers.address(id), pool, null);
     fleet.command(
-        fleet.liveCore(),
+        fleet.liveControlPlaneNode(),
         Operation.SET_WORKER,
         "worker/" + id,
         ControlPlaneNode.workerRegistration(input),
@@ -39,7 +38,7 @@
 
   void markLeaving(String id) {
     fleet.command(
-        fleet.liveCore(),
+        fleet.liveControlPlaneNode(),
         Operation.SET_WORKER,
         "worker/" + id,
         ControlPlaneNode.workerMark(id, true),
@@ -53,23 +52,23 @@
         });
   }
 
-  /** Sends once; a sender that hears nothing certain asks again with the same bytes. */
-  void sendBundle(long number, String content, String coreName) {
+  /** Sends a configuration; retries with the same bytes while the outcome is unknown. */
+  void sendConfiguration(long revision, String content, String controlPlaneNode) {
     byte[] bytes = content.getBytes(UTF_8);
     simulation.history.add(
-        simulation.simulatedNowMs(), Kind.BUNDLE_SENT, Long.toString(number), "", "", number);
+        simulation.simulatedNowMs(), Kind.BUNDLE_SENT, Long.toString(revision), "", "", revision);
     Deployment.pools(content)
         .forEach(
             (trafficClass, pool) ->
                 simulation.history.add(
                     simulation.simulatedNowMs(),
                     Kind.BUNDLE_WAY,
-                    Long.toString(number),
+                    Long.toString(revision),
                     trafficClass,
                     pool,
-                    number));
+                    revision));
     fleet.command(
-        coreName,
+        controlPlaneNode,
         Operation.SET_CONFIGURATION,
         "bundle",
         fleet.signed(bytes, null),
@@ -78,24 +77,25 @@
           simulation.history.add(
               simulation.simulatedNowMs(),
               Kind.BUNDLE_ANSWERED,
-              Long.toString(number),
+              Long.toString(revision),
               response == null ? "" : response.errorType(),
               "",
               status);
           if (status == 200) {
-            fleet.whenTold.accept("bundle", number);
+            fleet.clientEventListener.accept("bundle", revision);
           }
           if (status != 200 && status != 409) {
-            simulation.afterMs(700, () -> sendBundle(number, content, fleet.liveCore()));
+            simulation.afterMs(
+                700, () -> sendConfiguration(revision, content, fleet.liveControlPlaneNode()));
           }
         });
   }
 
-  /** Reads the bundle back at the core, and sees what each ready edge has in force. */
-  void watchBundles() {
+  /** Reads the configuration back and notes the one that each ready edge applies, repeatedly. */
+  void observeConfigurations() {
     long begunAt = simulation.simulatedNowMs();
     fleet.command(
-        fleet.liveCore(),
+        fleet.liveControlPlaneNode(),
         Operation.READ_KEY,
         "bundle",
         new byte[] {'{', '}'},
@@ -110,10 +110,10 @@
                 response.body().path("number").asLong());
           }
         });
-    for (Process edge : fleet.edges) {
+    for (SimulatedProcess edge : fleet.edges) {
       fleet.waitFor(
           edge,
-          SimulatedFleet.SENDER_PATIENCE_MS,
+          SimulatedFleet.CLIENT_TIMEOUT_MS,
           (Consumer<JsonNode> then) -> {
             boolean ready = edge.node().notReadyReason().isEmpty();
             then.accept(ready ? edge.node().status() : null);
@@ -130,6 +130,6 @@
             }
           });
     }
-    simulation.afterMs(500, this::watchBundles);
+    simulation.afterMs(500, this::observeConfigurations);
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/FleetSummary.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/FleetSummary.java
@@ -3,7 +3,7 @@
 import applespindle.testfleet.History.Kind;
 import java.util.List;
 
-/** The figures of one simulated fleet as a line; times are simulated milliseconds. */
+/** Measures of one simulated fleet as a line; times are simulated milliseconds. */
 final class FleetSummary {
   private final SimulatedFleet fleet;
   private final Simulation simulation;
@@ -15,12 +15,12 @@
 
   @Override
   public String toString() {
-    if (fleet.outside != null) {
+    if (fleet.platform != null) {
       return fleet.clients.summary()
           + "; list calls "
-          + fleet.outside.list.calls
+          + fleet.platform.list.calls
           + ", refused "
-          + fleet.outside.list.refusedCalls;
+          + fleet.platform.list.refusedCalls;
     }
     List<Long> batches =
         fleet.senders.stream()
--- a/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/LiveClients.java
@@ -9,7 +9,6 @@
 import applespindle.corelogic.live.RequestHandle;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
-import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashSet;
 import java.util.Map;
@@ -73,7 +72,9 @@
    * many of these are served.
    */
   private void retryAfterRefusal(String id, int seconds, String trafficClass) {
-    if (fleet.obedient && trafficClass.equals("check") && !retriedAfterRefusal.contains(id)) {
+    if (fleet.clientsRetryWhenRefused
+        && trafficClass.equals("check")
+        && !retriedAfterRefusal.contains(id)) {
       simulation.afterMs(
           1000.0 * seconds,
           () -> {
@@ -107,7 +108,7 @@
     private final int tokens;
     private final String prompt;
     private final boolean stream;
-    private final Process edge;
+    private final SimulatedProcess edge;
     private final long sentAt;
     private final StringBuilder streamed = new StringBuilder();
     private RequestHandle handle;
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchClient.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchClient.java
@@ -11,7 +11,6 @@
 import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.RouteOperators.Route;
-import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -121,7 +120,7 @@
 
   void submit() {
     submissions++;
-    Process edge = fleet.anyEdge();
+    SimulatedProcess edge = fleet.anyEdge();
     simulation.history.add(
         simulation.simulatedNowMs(),
         Kind.OPAQUE_SENT,
@@ -138,13 +137,13 @@
   }
 
   /** The platform reads the body before the node gets the batch from it. */
-  private void arriveAt(Process edge, Consumer<Response> then) {
+  private void arriveAt(SimulatedProcess edge, Consumer<Response> then) {
     edge.processor.json(bodyBytes);
     simulation.submissions.arrived(batch.id(), edge);
     ((EdgeNode) edge.node()).submitProxiedBatch(BatchSubmission.of(batch), then);
   }
 
-  private void submissionAnswered(Process edge, Response response) {
+  private void submissionAnswered(SimulatedProcess edge, Response response) {
     int status = response == null ? 0 : response.status();
     simulation.history.add(
         simulation.simulatedNowMs(),
@@ -158,7 +157,7 @@
       accepted = true;
       acceptedMs = simulation.simulatedNowMs();
       simulation.submissions.answered(batch.id(), edge);
-      fleet.whenTold.accept("taken", clients.acceptedBatches());
+      fleet.clientEventListener.accept("taken", clients.acceptedBatches());
       readOn();
     } else if (submissions < MAX_SUBMISSIONS && mayRetry) {
       double pauseMs =
@@ -203,7 +202,7 @@
   }
 
   private void sendEnd() {
-    Process edge = fleet.anyEdge();
+    SimulatedProcess edge = fleet.anyEdge();
     fleet.waitFor(
         edge,
         READ_TIMEOUT_MS,
@@ -216,7 +215,7 @@
     simulation.history.add(
         simulation.simulatedNowMs(), Kind.OPAQUE_END_ANSWERED, batch.id(), "", "", status);
     if (status == 200) {
-      fleet.whenTold.accept("stopped", 1L);
+      fleet.clientEventListener.accept("stopped", 1L);
     } else if (!closing) {
       simulation.afterMs(RETRY_PAUSE_MS, this::sendEnd);
     }
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchReader.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedBatchReader.java
@@ -6,7 +6,6 @@
 import applespindle.corelogic.batch.ProxiedBatch;
 import applespindle.corelogic.edge.EdgeNode;
 import applespindle.testfleet.History.Kind;
-import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Base64;
 import java.util.HashSet;
@@ -51,7 +50,7 @@
 
   /** Reads a page of results at any node; gives the next position or FAILED. */
   void readPage(long from, long holdMs, LongConsumer then) {
-    Process edge = fleet.anyEdge();
+    SimulatedProcess edge = fleet.anyEdge();
     long begunMs = simulation.simulatedNowMs();
     fleet.waitFor(
         edge,
@@ -111,7 +110,7 @@
 
   /** Reads the body of an item at any node; gives the status, 0 for no response. */
   void readBody(String itemId, IntConsumer then) {
-    Process edge = fleet.anyEdge();
+    SimulatedProcess edge = fleet.anyEdge();
     fleet.waitFor(
         edge,
         ProxiedBatchClient.READ_TIMEOUT_MS,
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedRequestAttempt.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedRequestAttempt.java
@@ -13,7 +13,6 @@
 import applespindle.corelogic.live.RequestHandle;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
-import applespindle.testfleet.Simulation.Process;
 import java.util.function.Consumer;
 
 /** One attempt of a client's request at one node, with the response as far as it arrived. */
@@ -42,7 +41,7 @@
   private final ProxyClients clients;
   private final Simulation simulation;
   private final ProxiedRequestClient client;
-  private final Process edge;
+  private final SimulatedProcess edge;
   private final String id;
   private final StringBuilder text = new StringBuilder();
   private RequestHandle handle;
@@ -56,7 +55,7 @@
   /** Null while the attempt goes on. */
   private Outcome outcome;
 
-  ProxiedRequestAttempt(ProxyClients clients, ProxiedRequestClient client, Process edge) {
+  ProxiedRequestAttempt(ProxyClients clients, ProxiedRequestClient client, SimulatedProcess edge) {
     this.clients = clients;
     this.simulation = clients.simulation;
     this.client = client;
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxiedRequestClient.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxiedRequestClient.java
@@ -6,7 +6,6 @@
 import applespindle.corelogic.environment.ProxiedRequest.Header;
 import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
 import applespindle.testfleet.RouteOperators.Route;
-import applespindle.testfleet.Simulation.Process;
 import java.util.List;
 import java.util.Set;
 
@@ -60,11 +59,11 @@
   }
 
   /** Sends the request to a node; null for any. */
-  void attempt(Process chosen) {
+  void attempt(SimulatedProcess chosen) {
     if (attempts++ == 0) {
       clients.servedOf.computeIfAbsent(route.type(), unseen -> new int[2])[0]++;
     }
-    Process edge = chosen != null ? chosen : clients.fleet.anyEdge();
+    SimulatedProcess edge = chosen != null ? chosen : clients.fleet.anyEdge();
     new ProxiedRequestAttempt(clients, this, edge).send();
   }
 
--- a/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/ProxyClients.java
@@ -2,7 +2,6 @@
 
 import applespindle.corelogic.environment.ProxiedRequest.PromptPart;
 import applespindle.testfleet.RouteOperators.Route;
-import applespindle.testfleet.Simulation.Process;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -69,7 +68,7 @@
 
   /** Sends one request on each route just added or removed to each node, without a retry. */
   void probeRoutes() {
-    for (Process edge : fleet.readyOrAll()) {
+    for (SimulatedProcess edge : fleet.readyOrAll()) {
       for (Route route : List.copyOf(operators.probed)) {
         ProxiedRequestClient.probe(this, route).attempt(edge);
       }
--- a/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RouteOperators.java
@@ -310,7 +310,7 @@
       current = change.number();
       inUse = routesOf.get(change.id());
     }
-    fleet.whenTold.accept("change", (long) acknowledged);
+    fleet.clientEventListener.accept("change", (long) acknowledged);
   }
 
   /** Sends a change to any node; gives the response, or null if none comes in time. */
@@ -334,7 +334,7 @@
     Runnable deliver =
         () ->
             fleet.command(
-                fleet.anyCore(),
+                fleet.anyControlPlaneNode(),
                 timeoutMs,
                 Operation.SET_CONFIGURATION,
                 "bundle",
@@ -423,7 +423,7 @@
   private void read(Consumer<Long> whenRead) {
     long begunMs = simulation.simulatedNowMs();
     fleet.command(
-        fleet.anyCore(),
+        fleet.anyControlPlaneNode(),
         CALL_TIMEOUT_MS,
         Operation.READ_KEY,
         "bundle",
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedFleet.java
@@ -4,19 +4,14 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import applespindle.corelogic.api.Response;
-import applespindle.corelogic.batch.BatchInput;
-import applespindle.corelogic.batch.BatchKeys;
 import applespindle.corelogic.controlplane.ControlPlaneNode;
-import applespindle.corelogic.edge.EdgeNode;
 import applespindle.corelogic.metadata.SignedConfiguration;
 import applespindle.corelogic.metadata.StorageNodeState;
 import applespindle.corelogic.protocol.Operation;
 import applespindle.operatortool.Signing;
 import applespindle.testfleet.History.Kind;
 import applespindle.testfleet.Simulation.Caller;
-import applespindle.testfleet.Simulation.Process;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
@@ -26,198 +21,40 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** One deployment in the simulator, with its senders, its operators and its platform. */
+/** One simulated deployment with its clients, its operators and its platform. */
 final class SimulatedFleet {
-  static final List<String> CORE = List.of("core-1", "core-2", "core-3");
+  static final List<String> CONTROL_PLANE_NODES = List.of("core-1", "core-2", "core-3");
   static final int SUBMIT_TRIES = 6;
-  static final long SENDER_PATIENCE_MS = 8_000;
+  static final long CLIENT_TIMEOUT_MS = 8_000;
 
   /** More families than one worker's cache holds, fewer than all caches together. */
   static final int FAMILIES = 200;
 
   private static final int FAMILY_CHARS = 320;
-  private static final long POLL_MS = 400;
+  static final long POLL_MS = 400;
   private static final long READY_MS = 500;
-  private static final String SHARED =
+  static final String SHARED =
       "In the usual form of the office, with greeting, place and hour of the event. ".repeat(4);
   private static final Signing.Keys KEYS = Signing.generate();
 
-  /** One batch as its sender knows it. */
-  final class Sender {
-    final String key;
-    final byte[] body;
-    final int items;
-    final long dueMs;
-    String batch = "";
-    long acceptedAtMs = -1;
-    long finishedAtMs = -1;
-    boolean endAsked;
-    boolean ended;
-    int tries;
-    long next;
-    boolean over;
-
-    Sender(String key, int items, int tokens, long dueMs) {
-      this.key = key;
-      this.items = items;
-      this.dueMs = dueMs;
-      ObjectNode input = JSON.createObjectNode().put("due_in_ms", dueMs);
-      var rows = input.putArray("items");
-      for (int index = 0; index < items; index++) {
-        String prompt = SHARED + "Guest " + key + "/" + index;
-        rows.addObject().put("id", "i" + index).put("prompt", prompt).put("max_tokens", tokens);
-        simulation.history.add(
-            simulation.simulatedNowMs(), Kind.ITEM, key, "i" + index, prompt, tokens);
-      }
-      body = applespindle.corelogic.common.Json.bytes(input);
-    }
-
-    void submit() {
-      tries++;
-      simulation.history.add(simulation.simulatedNowMs(), Kind.SUBMIT_SENT, key, "", "", items);
-      Process edge = anyEdge();
-      waitFor(
-          edge,
-          SENDER_PATIENCE_MS,
-          (Consumer<Response> then) ->
-              ((EdgeNode) edge.node()).submit("sender", key, BatchInput.read(body).value(), then),
-          this::submitted);
-    }
-
-    /** Null: the connection broke, or patience ended. */
-    private void submitted(Response response) {
-      int status = response == null ? 0 : response.status();
-      String id =
-          status == 201 ? response.body().path("batch").asText() : BatchKeys.batchId("sender", key);
-      simulation.history.add(
-          simulation.simulatedNowMs(),
-          Kind.SUBMIT_ANSWERED,
-          key,
-          response == null ? "" : response.errorType(),
-          id,
-          status);
-      if (status == 201) {
-        batch = id;
-        acceptedAtMs = simulation.simulatedNowMs();
-        whenTold.accept("accepted", ++acceptances);
-        poll();
-      } else if (tries < submitTries) {
-        simulation.afterMs(
-            response == null ? 500 : 1000.0 * Math.max(1, response.retryAfterSeconds()),
-            this::submit);
-      } else {
-        over = true;
-      }
-    }
-
-    void poll() {
-      if (over) {
-        return;
-      }
-      Process edge = anyEdge();
-      long after = next;
-      waitFor(
-          edge,
-          SENDER_PATIENCE_MS,
-          (Consumer<Response> then) ->
-              ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
-          response -> polled(response));
-    }
-
-    private void polled(Response response) {
-      long now = simulation.simulatedNowMs();
-      if (response != null) {
-        JsonNode page = response.body();
-        String state = response.isSuccess() ? page.path("state").asText() : response.errorType();
-        simulation.history.add(
-            now, Kind.BATCH_READ, key, state, page.path("recorded").asText("0"), response.status());
-        if (response.isSuccess()) {
-          for (JsonNode row : page.path("results")) {
-            simulation.history.add(
-                now,
-                Kind.RESULT_READ,
-                key,
-                row.path("id").asText() + "|" + row.path("type").asText(),
-                row.path("output").asText(""),
-                row.path("n").asLong());
-          }
-          next = page.path("next").asLong();
-          if (state.equals("finished") && finishedAtMs < 0) {
-            finishedAtMs = now;
-          }
-          if (state.equals("ended") || state.equals("finished") && next >= items) {
-            over = true;
-            // Reads once more from the start: nothing that was read may have changed.
-            reread(0);
-            return;
-          }
-        }
-      }
-      simulation.afterMs(POLL_MS, this::poll);
-    }
-
-    private void reread(long after) {
-      Process edge = anyEdge();
-      waitFor(
-          edge,
-          SENDER_PATIENCE_MS,
-          (Consumer<Response> then) ->
-              ((EdgeNode) edge.node()).readResults(batch, after, 100, then),
-          response -> {
-            if (response == null || !response.isSuccess()) {
-              return;
-            }
-            for (JsonNode row : response.body().path("results")) {
-              simulation.history.add(
-                  simulation.simulatedNowMs(),
-                  Kind.RESULT_READ,
-                  key,
-                  row.path("id").asText() + "|" + row.path("type").asText(),
-                  row.path("output").asText(""),
-                  row.path("n").asLong());
-            }
-          });
-    }
-
-    void end() {
-      endAsked = true;
-      simulation.history.add(simulation.simulatedNowMs(), Kind.END_ASKED, key, "", "", 0);
-      Process edge = anyEdge();
-      waitFor(
-          edge,
-          SENDER_PATIENCE_MS,
-          (Consumer<Response> then) -> ((EdgeNode) edge.node()).endBatch(batch, then),
-          response -> {
-            int status = response == null ? 0 : response.status();
-            simulation.history.add(
-                simulation.simulatedNowMs(), Kind.END_ANSWERED, key, "", "", status);
-            if (status == 200) {
-              ended = true;
-              whenTold.accept("ended", ++ends);
-            } else if (!over) {
-              simulation.afterMs(500, this::end);
-            }
-          });
-    }
-  }
-
   final Simulation simulation;
   final Deployment deployment;
-  final List<Sender> senders = new ArrayList<>();
-  final List<Process> edges = new ArrayList<>();
-  private final List<Process> all = new ArrayList<>();
-  private List<Process> readyEdges = List.of();
+  final List<BatchClient> senders = new ArrayList<>();
+  final List<SimulatedProcess> edges = new ArrayList<>();
+  private final List<SimulatedProcess> all = new ArrayList<>();
+  private List<SimulatedProcess> readyEdges = List.of();
 
   /**
-   * Told the moment a sender hears yes: of an acceptance or an end (how many so far), or of a
-   * bundle (its number).
+   * Notified the moment a client receives a success: of an acceptance or an end (how many so far),
+   * or of a configuration (its revision).
    */
-  BiConsumer<String, Long> whenTold = (event, number) -> {};
+  BiConsumer<String, Long> clientEventListener = (event, number) -> {};
 
-  /** When not empty, callers use these edges whether the platform finds them ready or not. */
-  List<Process> callersAt = List.of();
+  /** If not empty, clients call these edges whether the platform finds them ready or not. */
+  List<SimulatedProcess> fixedEdges = List.of();
 
-  boolean obedient;
+  /** Clients whose checks are refused retry after the delay they are given. */
+  boolean clientsRetryWhenRefused;
 
   /** By fault type, the longest time from sending a live request to its refusal. */
   final Map<String, Long> refusedAfterMs = new TreeMap<>();
@@ -238,22 +75,22 @@
   final List<Long> noteLatencies = new ArrayList<>();
 
   /**
-   * The platform round the fleet, its operators and its clients; null where the fleet runs the
-   * product's own way.
+   * The platform on which the fleet runs, its operators and its clients; all null if the fleet runs
+   * without a platform.
    */
-  SimulatedPlatform outside;
+  SimulatedPlatform platform;
 
   RouteOperators operators;
   ProxyClients clients;
 
-  /** Expectations of a scenario that did not hold at their time. */
-  final List<String> earlyFaults = new ArrayList<>();
+  /** A sentence for each timed expectation of a scenario that was not met. */
+  final List<String> unmetExpectations = new ArrayList<>();
 
-  /** Callers of the core, where the scenario has them. */
-  ControlPlaneProbe watch;
+  /** Measures the control plane; null if the scenario does not ask for it. */
+  ControlPlaneProbe controlPlaneProbe;
 
-  /** With opaque workers, listed outside, and nodes that bear so many losses at once. */
-  static SimulatedFleet withOutside(
+  /** A fleet on a platform with proxied workers, whose nodes tolerate so many losses at once. */
+  static SimulatedFleet withPlatform(
       Deployment deployment,
       long seed,
       int losses,
@@ -261,22 +98,22 @@
       double listCallsPerS,
       long waitingTokensMost) {
     SimulatedFleet fleet = new SimulatedFleet(deployment, seed);
-    for (int more = CORE.size() + 1; more <= 2 * losses + 1; more++) {
+    for (int more = CONTROL_PLANE_NODES.size() + 1; more <= 2 * losses + 1; more++) {
       fleet.addWithDisk("core-" + more, "core", more - 1);
       fleet.addWithDisk("storage-" + more, "storage", more - 1);
     }
-    fleet.outside = new SimulatedPlatform(fleet.simulation, losses, lagMs, listCallsPerS);
-    fleet.simulation.outside = fleet.outside;
+    fleet.platform = new SimulatedPlatform(fleet.simulation, losses, lagMs, listCallsPerS);
+    fleet.simulation.platform = fleet.platform;
     fleet.operators = new RouteOperators(fleet, waitingTokensMost);
     fleet.clients = new ProxyClients(fleet, fleet.operators);
     for (int index = 0; index < deployment.workers; index++) {
-      fleet.outside.join(index % 2 == 0 ? "alpha" : "beta", "zone-" + index % 3);
+      fleet.platform.join(index % 2 == 0 ? "alpha" : "beta", "zone-" + index % 3);
     }
     return fleet;
   }
 
   private void addWithDisk(String name, String role, int zone) {
-    all.add(simulation.add(name, "zone-" + zone % 3, role, CORE, true));
+    all.add(simulation.add(name, "zone-" + zone % 3, role, CONTROL_PLANE_NODES, true));
   }
 
   SimulatedFleet(Deployment deployment, long seed) {
@@ -286,12 +123,13 @@
     operator = new FleetOperator(this);
     faultTargets = new FaultTargets(this);
     for (int zone = 0; zone < 3; zone++) {
-      addWithDisk(CORE.get(zone), "core", zone);
+      addWithDisk(CONTROL_PLANE_NODES.get(zone), "core", zone);
       addWithDisk("storage-" + (zone + 1), "storage", zone);
     }
     for (int index = 0; index < deployment.edges; index++) {
-      Process edge =
-          simulation.add("edge-" + (index + 1), "zone-" + index % 3, "edge", CORE, false);
+      SimulatedProcess edge =
+          simulation.add(
+              "edge-" + (index + 1), "zone-" + index % 3, "edge", CONTROL_PLANE_NODES, false);
       edges.add(edge);
       all.add(edge);
     }
@@ -302,10 +140,10 @@
 
   void start() {
     all.forEach(process -> simulation.atMs(simulation.random.nextInt(300), process::start));
-    if (outside != null) {
-      outside.tell();
+    if (platform != null) {
+      platform.recordBounds();
       operators.start();
-      simulation.atMs(3_000, this::lookForReadyEdges);
+      simulation.atMs(3_000, this::refreshReadyEdges);
       return;
     }
     simulation.atMs(
@@ -315,57 +153,58 @@
                 .map(worker -> worker.id)
                 .sorted()
                 .forEach(operator::listWorker));
-    simulation.atMs(1_500, () -> operator.sendBundle(1, deployment.bundle(1), "core-1"));
-    simulation.atMs(2_000, operator::watchBundles);
-    simulation.atMs(3_000, this::lookForReadyEdges);
+    simulation.atMs(
+        1_500, () -> operator.sendConfiguration(1, deployment.configuration(1), "core-1"));
+    simulation.atMs(2_000, operator::observeConfigurations);
+    simulation.atMs(3_000, this::refreshReadyEdges);
     simulation.history.add(
         0,
         Kind.CEILING,
         "",
         "",
         "",
-        Simulation.tree(deployment.bundle(1).getBytes(UTF_8))
+        Simulation.tree(deployment.configuration(1).getBytes(UTF_8))
             .at("/limits/batch/waitingItemsMost")
             .asLong());
   }
 
-  /** Of every edge, each way; 0: as much as comes. */
+  /** Sets the bandwidth of every edge, each way; 0: unlimited. */
   void edgeLinks(double mbits) {
-    edges.forEach(edge -> edge.linkMbits(mbits));
+    edges.forEach(edge -> edge.link.megabits(mbits));
   }
 
-  /** Share of a processor that every edge has; 0: nothing that an edge does takes time. */
+  /** Sets the share of a core that every edge has; 0: the work of an edge takes no time. */
   void edgeProcessors(double share) {
     edges.forEach(edge -> edge.processor.share(share));
   }
 
-  /** The last so many edges have a processor and a link of their own kind. */
+  /** Sets another share of a core and another bandwidth for the last so many edges. */
   void largerEdges(int count, double share, double mbits) {
     edges
         .subList(edges.size() - count, edges.size())
         .forEach(
             edge -> {
               edge.processor.share(share);
-              edge.linkMbits(mbits);
+              edge.link.megabits(mbits);
             });
   }
 
-  // ---- callers
+  // ---- calls
 
-  /** Callers reach an edge that was ready when the platform last looked; any edge if none was. */
-  Process anyEdge() {
-    List<Process> choice = callersAt.isEmpty() ? readyOrAll() : callersAt;
+  /** A random edge that was ready when the platform last asked; any edge if none was. */
+  SimulatedProcess anyEdge() {
+    List<SimulatedProcess> choice = fixedEdges.isEmpty() ? readyOrAll() : fixedEdges;
     return choice.get(simulation.random.nextInt(choice.size()));
   }
 
-  /** Nodes that receive clients. */
-  List<Process> readyOrAll() {
+  /** Edges that receive requests of clients. */
+  List<SimulatedProcess> readyOrAll() {
     return readyEdges.isEmpty() ? edges : readyEdges;
   }
 
-  private void lookForReadyEdges() {
-    List<Process> ready = new ArrayList<>();
-    for (Process edge : edges) {
+  private void refreshReadyEdges() {
+    List<SimulatedProcess> ready = new ArrayList<>();
+    for (SimulatedProcess edge : edges) {
       waitFor(
           edge,
           READY_MS,
@@ -380,12 +219,13 @@
         READY_MS,
         () -> {
           readyEdges = ready;
-          lookForReadyEdges();
+          refreshReadyEdges();
         });
   }
 
+  /** Calls a process; a broken connection or the timeout gives null. */
   <T> void waitFor(
-      Process process, long patienceMs, Consumer<Consumer<T>> question, Consumer<T> then) {
+      SimulatedProcess process, long timeoutMs, Consumer<Consumer<T>> question, Consumer<T> then) {
     boolean[] done = new boolean[1];
     simulation.call(
         process,
@@ -409,7 +249,7 @@
           }
         });
     simulation.afterMs(
-        patienceMs,
+        timeoutMs,
         () -> {
           if (!done[0]) {
             done[0] = true;
@@ -419,13 +259,18 @@
   }
 
   void command(
-      String coreName, Operation operation, String key, Object body, Consumer<Response> then) {
-    command(simulation.processes.get(coreName), SENDER_PATIENCE_MS, operation, key, body, then);
+      String controlPlaneNode,
+      Operation operation,
+      String key,
+      Object body,
+      Consumer<Response> then) {
+    command(
+        simulation.processes.get(controlPlaneNode), CLIENT_TIMEOUT_MS, operation, key, body, then);
   }
 
-  /** Any process that serves operators, whether it lives or not. */
-  Process anyCore() {
-    List<Process> cores =
+  /** A random control plane node, whether it is alive or not. */
+  SimulatedProcess anyControlPlaneNode() {
+    List<SimulatedProcess> cores =
         simulation.processes.values().stream()
             .filter(process -> process.role.equals("core") && !process.destroyed)
             .toList();
@@ -438,35 +283,37 @@
   }
 
   void command(
-      Process core,
-      long patienceMs,
+      SimulatedProcess core,
+      long timeoutMs,
       Operation operation,
       String key,
       Object body,
       Consumer<Response> then) {
     waitFor(
         core,
-        patienceMs,
+        timeoutMs,
         (Consumer<Response> answer) ->
             ((ControlPlaneNode) core.node()).command(operation, key, body, answer),
         then);
   }
 
-  /** Any core node that is up; the first if none is. */
-  String liveCore() {
+  /** A random control plane node that is alive and not frozen; the first one if none is. */
+  String liveControlPlaneNode() {
     List<String> live =
-        CORE.stream()
+        CONTROL_PLANE_NODES.stream()
             .filter(
                 name ->
                     simulation.processes.get(name).alive()
                         && !simulation.processes.get(name).frozen())
             .toList();
-    return live.isEmpty() ? CORE.get(0) : live.get(simulation.random.nextInt(live.size()));
+    return live.isEmpty()
+        ? CONTROL_PLANE_NODES.get(0)
+        : live.get(simulation.random.nextInt(live.size()));
   }
 
-  /** Sends a configuration once; asks again with the same bytes while nothing certain is heard. */
-  void sendBundle(long number, String content, String coreName) {
-    operator.sendBundle(number, content, coreName);
+  /** Sends a configuration; retries with the same bytes while the outcome is unknown. */
+  void sendConfiguration(long revision, String content, String controlPlaneNode) {
+    operator.sendConfiguration(revision, content, controlPlaneNode);
   }
 
   void markLeaving(String workerId) {
@@ -477,10 +324,10 @@
     return Stream.of("edge", "core").filter(name::startsWith).findFirst().orElse("storage");
   }
 
-  /** A new machine joins, in the zone and role its name tells. */
+  /** Adds and starts a machine in a zone; its name begins with its role. */
   void add(String name, String zone) {
     boolean edge = name.startsWith("edge");
-    Process process = simulation.add(name, zone, roleOf(name), CORE, !edge);
+    SimulatedProcess process = simulation.add(name, zone, roleOf(name), CONTROL_PLANE_NODES, !edge);
     all.add(process);
     if (edge) {
       edges.add(process);
@@ -489,7 +336,7 @@
   }
 
   void markStorage(String name, String state) {
-    String core = liveCore();
+    String core = liveControlPlaneNode();
     String id = ((ControlPlaneNode) simulation.processes.get(core).node()).storageId(name);
     command(
         core,
@@ -505,7 +352,7 @@
         });
   }
 
-  JsonNode coreStatus() {
+  JsonNode controlPlaneStatus() {
     return simulation.processes.values().stream()
         .filter(process -> process.role.equals("core") && process.alive())
         .map(process -> process.node())
@@ -515,28 +362,28 @@
         .orElse(JSON.nullNode());
   }
 
-  /** The names of the core's members as its processes know them now. */
+  /** The names of the members of the control plane, as its nodes know them now. */
   List<String> memberNames() {
     List<String> names = new ArrayList<>();
-    coreStatus().at("/roster/members").forEach(member -> names.add(member.path("name").asText()));
+    controlPlaneStatus()
+        .at("/roster/members")
+        .forEach(member -> names.add(member.path("name").asText()));
     return names;
   }
 
   // ---- traffic
 
-  /** Requests a second, as a stream with random gaps. */
+  /** Schedules live requests of a class, so many a second with random gaps. */
   void live(String trafficClass, double perSecond, long fromMs, long untilMs) {
     liveClients.live(trafficClass, perSecond, fromMs, untilMs);
   }
 
-  /**
-   * Percent of the clients that came back when told to and were served then; 100 if none had to.
-   */
-  long cameBackPercent() {
+  /** Percent of the clients that retried after a refusal and were served; 100 if none had to. */
+  long servedOnRetryPercent() {
     return liveClients.cameBackPercent();
   }
 
-  /** Prompts come in families that share a long beginning, as the brief's do. */
+  /** Prompts of one family share a long prefix, which a worker can cache. */
   static String familyPrompt(int family, String id) {
     return ("Case file " + family + ". " + SHARED).substring(0, FAMILY_CHARS) + "Ruling " + id;
   }
@@ -547,9 +394,20 @@
     }
   }
 
-  Sender submitOne() {
-    Sender sender =
-        new Sender(
+  /** A client was notified that its batch was accepted. */
+  void batchAccepted() {
+    clientEventListener.accept("accepted", ++acceptances);
+  }
+
+  /** A client was notified that its batch was ended. */
+  void batchEnded() {
+    clientEventListener.accept("ended", ++ends);
+  }
+
+  BatchClient submitOne() {
+    BatchClient sender =
+        new BatchClient(
+            this,
             "batch-" + ++batchNumber,
             deployment.batchItems,
             deployment.batchTokens,
@@ -568,7 +426,7 @@
     return new FleetSummary(this).cacheHitPercent();
   }
 
-  /** Batches of which a majority of the storage nodes knows that they were removed. */
+  /** How many removed batches a majority of the storage nodes knows of. */
   long removedBatches() {
     return simulation.processes.values().stream()
         .filter(process -> process.role.equals("storage") && process.alive())
@@ -586,8 +444,8 @@
         : sorted.get(Math.min(sorted.size() - 1, sorted.size() * percent / 100));
   }
 
-  /** A process by name or by what it does at this moment. */
-  Process target(String name) {
+  /** A process by name or by its present work; null if there is none. */
+  SimulatedProcess target(String name) {
     return faultTargets.named(name);
   }
 }
--- a/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/SimulatedPlatform.java
@@ -4,8 +4,8 @@
 import applespindle.testfleet.History.Kind;
 
 /**
- * The platform round a simulated fleet: its bounds, its workers of opaque requests and its list of
- * them.
+ * The platform on which a simulated fleet runs: the settings it gives to nodes, its workers of
+ * proxied requests and its list of them.
  */
 final class SimulatedPlatform {
   static final long DRAIN_MS = 3_000;
@@ -16,28 +16,30 @@
   private static final double OVERSHOOT = 0.1;
   private static final long DISK_BYTES = 64L << 20;
   private static final double LINK_MEGABITS = 1_000;
-  private static final long FOUNDED_BY_MS = 1_000;
+  private static final long BOOTSTRAP_UNTIL_MS = 1_000;
   private static final int ADDRESSES_KEPT_MS = 2_000;
 
   final Simulation simulation;
   final int losses;
   final ProxyWorkers workers;
   final WorkerListing list;
-  private int born;
+
+  /** Also the number in the id of the last worker that joined. */
+  private int joinedWorkers;
 
   SimulatedPlatform(Simulation simulation, int losses, long lagMs, double callsPerS) {
     this.simulation = simulation;
     this.losses = losses;
     this.workers = new ProxyWorkers(simulation);
     this.list = new WorkerListing(simulation, lagMs, callsPerS);
-    simulation.settings = bounds();
-    simulation.foundedByMs = FOUNDED_BY_MS;
-    simulation.outsideList =
+    simulation.settings = nodeSettings();
+    simulation.bootstrapUntilMs = BOOTSTRAP_UNTIL_MS;
+    simulation.workerList =
         (reader, token, whenRead, whenFaulty) -> list.read(token, whenRead, whenFaulty);
   }
 
-  /** Says to the history what the deployment tells its processes. */
-  void tell() {
+  /** Notes the bounds of the deployment in the history, from which the checker reads them. */
+  void recordBounds() {
     bound("losses", losses);
     bound("contactMs", 3_000);
     bound("drainMs", DRAIN_MS);
@@ -58,7 +60,7 @@
     simulation.history.add(simulation.simulatedNowMs(), Kind.BOUND, name, "", "", value);
   }
 
-  private NodeSettings bounds() {
+  private NodeSettings nodeSettings() {
     return new NodeSettings(
         losses,
         true,
@@ -78,12 +80,12 @@
 
   ProxyWorkers.Worker join(String pool, String zone) {
     String address = list.freeAddress();
-    ProxyWorkers.Worker worker = workers.add("i-" + ++born, address, pool, zone);
+    ProxyWorkers.Worker worker = workers.add("i-" + ++joinedWorkers, address, pool, zone);
     list.put(worker, "ready", 0);
     return worker;
   }
 
-  /** Shown as leaving first, serves on for the time to drain and a little longer, and is gone. */
+  /** Lists a worker as leaving; it ends a little after the time that draining may take. */
   void leave(ProxyWorkers.Worker worker) {
     if (worker.leaving || worker.over) {
       return;
@@ -93,7 +95,7 @@
     simulation.afterMs(list.lagMs + DRAIN_MS + 500, () -> end(worker, 0));
   }
 
-  /** Dies at once and stays on the list for a while. */
+  /** Ends a worker at once; it stays on the list for a while. */
   void crash(ProxyWorkers.Worker worker, long listedOnMs) {
     end(worker, listedOnMs);
   }
--- a/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
@@ -161,10 +161,11 @@
         "$.pools",
         "$.rules");
     Result conflict =
-        fleet.sendConfiguration(core, fleet.deployment.bundle(1).replace("100", "101"));
+        fleet.sendConfiguration(core, fleet.deployment.configuration(1).replace("100", "101"));
     refuses(conflict, 409, "BundleConflict");
     assertThat(conflict.body().at("/detail/numberInForce").asLong()).isEqualTo(1);
-    assertThat(fleet.sendConfiguration(core, fleet.deployment.bundle(1)).status()).isEqualTo(200);
+    assertThat(fleet.sendConfiguration(core, fleet.deployment.configuration(1)).status())
+        .isEqualTo(200);
   }
 
   @Test
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
@@ -6,7 +6,6 @@
 
 import applespindle.corelogic.api.Response;
 import applespindle.corelogic.protocol.Operation;
-import applespindle.testfleet.Simulation.Process;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
@@ -15,12 +14,12 @@
   private static final long PATIENCE_MS = 3_000;
   private static final byte[] NOTHING = {'{', '}'};
   private final SimulatedFleet fleet =
-      SimulatedFleet.withOutside(Deployment.SMALL, 1, 1, 800, 40, 0);
+      SimulatedFleet.withPlatform(Deployment.SMALL, 1, 1, 800, 40, 0);
   private final Simulation simulation = fleet.simulation;
 
-  private AtomicReference<Response> send(Process core, long number, long buildsOn) {
+  private AtomicReference<Response> send(SimulatedProcess core, long number, long buildsOn) {
     AtomicReference<Response> answer = new AtomicReference<>();
-    byte[] bytes = Deployment.SMALL.bundle(number).getBytes(UTF_8);
+    byte[] bytes = Deployment.SMALL.configuration(number).getBytes(UTF_8);
     fleet.command(
         core,
         PATIENCE_MS,
@@ -31,7 +30,7 @@
     return answer;
   }
 
-  private AtomicReference<Response> read(Process core) {
+  private AtomicReference<Response> read(SimulatedProcess core) {
     AtomicReference<Response> answer = new AtomicReference<>();
     fleet.command(core, PATIENCE_MS, Operation.READ_KEY, "bundle", NOTHING, answer::set);
     return answer;
@@ -49,7 +48,7 @@
   /** Sends until it is acknowledged or another is in force; that one's number. */
   private long settle(long number, long buildsOn) {
     for (int tries = 0; tries < 10; tries++) {
-      AtomicReference<Response> answer = send(fleet.anyCore(), number, buildsOn);
+      AtomicReference<Response> answer = send(fleet.anyControlPlaneNode(), number, buildsOn);
       run(PATIENCE_MS);
       if (answer.get() != null && answer.get().isSuccess()) {
         return number;
@@ -65,19 +64,19 @@
    */
   @Test
   void aReadNeverAnswersWhatMayYetVanish() {
-    simulation.processes.values().forEach(Process::start);
+    simulation.processes.values().forEach(SimulatedProcess::start);
     run(8_000);
     long inForce = settle(1, 0);
     int cutBeforeCommit = 0;
     for (int step = 0; step < 40; step++) {
       double orderAfterMs = 1.2 + 0.1 * (step % 8);
       double cutAfterMs = orderAfterMs + 1.0 + 0.2 * (step / 8);
-      Process leader = fleet.target("owner:bundle");
+      SimulatedProcess leader = fleet.target("owner:bundle");
       long sent = inForce + 2;
       AtomicReference<Response> early = read(leader);
       AtomicReference<Response> order = new AtomicReference<>();
       long base = inForce;
-      byte[] bytes = Deployment.SMALL.bundle(sent).getBytes(UTF_8);
+      byte[] bytes = Deployment.SMALL.configuration(sent).getBytes(UTF_8);
       simulation.afterMs(
           orderAfterMs,
           () ->
@@ -90,7 +89,7 @@
                   order::set));
       simulation.afterMs(cutAfterMs, () -> simulation.isolate(leader.name));
       run(6_000);
-      Process other =
+      SimulatedProcess other =
           simulation.processes.values().stream()
               .filter(process -> process.role.equals("core") && process != leader)
               .findFirst()
--- a/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/RevisionMemoryTest.java
@@ -15,17 +15,17 @@
   private static final int FORGOTTEN = 5;
   private static final long PATIENCE_MS = 3_000;
   private final SimulatedFleet fleet =
-      SimulatedFleet.withOutside(Deployment.SMALL, 1, 1, 800, 40, 0);
+      SimulatedFleet.withPlatform(Deployment.SMALL, 1, 1, 800, 40, 0);
   private final Simulation simulation = fleet.simulation;
 
   private static String content(long number, String pool) {
-    return Deployment.SMALL.bundle(number).replace("\"main\"", "\"" + pool + "\"");
+    return Deployment.SMALL.configuration(number).replace("\"main\"", "\"" + pool + "\"");
   }
 
   private Response send(long number, long buildsOn, String pool) {
     AtomicReference<Response> answer = new AtomicReference<>();
     fleet.command(
-        fleet.anyCore(),
+        fleet.anyControlPlaneNode(),
         PATIENCE_MS,
         Operation.SET_CONFIGURATION,
         "bundle",
@@ -48,7 +48,7 @@
 
   @Test
   void whatIsForgottenGetsNoClearAnswerAndWhatIsRememberedADefiniteOne() {
-    simulation.processes.values().forEach(Simulation.Process::start);
+    simulation.processes.values().forEach(SimulatedProcess::start);
     simulation.runUntil(8_000);
     accept(ConfigurationConstants.MAX_REMEMBERED_REVISIONS + FORGOTTEN);
     long newest = 2L * (ConfigurationConstants.MAX_REMEMBERED_REVISIONS + FORGOTTEN);
@@ -68,7 +68,7 @@
       assertWithMessage("on top of what is in force, with an old number")
           .that(send(3, newest, "main").errorType())
           .isEqualTo("BundleConflict");
-      Simulation.Process leader = fleet.target("owner:bundle");
+      SimulatedProcess leader = fleet.target("owner:bundle");
       leader.kill(true);
       simulation.runUntil(simulation.simulatedNowMs() + 2_000);
       leader.start();
