--- a/adapters/src/main/java/applespindle/adapters/DiskWriter.java
+++ b/adapters/src/main/java/applespindle/adapters/DiskWriter.java
@@ -4,6 +4,7 @@
 import applespindle.corelogic.log.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -43,7 +44,7 @@
   /** Too little room is left for new records; read by all threads. */
   private volatile boolean full;
 
-  private volatile long wakeUps;
+  private final AtomicLong wakeUps = new AtomicLong();
 
   /** When the free space was read last, by the monotonic clock; on the disk thread once it runs. */
   private long spaceCheckedAt;
@@ -96,7 +97,7 @@
 
   /** How often the thread has looked for work. */
   long wakeUps() {
-    return wakeUps;
+    return wakeUps.get();
   }
 
   /** A job is offered before the thread is unparked, so that no wake-up is lost. */
@@ -113,7 +114,7 @@
     try {
       while (true) {
         jobs.clear();
-        wakeUps++;
+        wakeUps.incrementAndGet();
         queue.drainTo(jobs, MAX_JOBS_PER_GROUP);
         if (jobs.isEmpty()) {
           awaitWork();
--- a/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
+++ b/core-logic/src/main/java/applespindle/corelogic/configuration/RoutingConfiguration.java
@@ -114,6 +114,7 @@
   }
 
   /** The routes of proxied requests; empty if there are none. */
+  @Override
   public List<Route> routes() {
     return routes == null ? List.of() : routes;
   }
--- a/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
+++ b/core-logic/src/main/java/applespindle/corelogic/worker/PeerLoadReporter.java
@@ -17,8 +17,8 @@
  * prompts sent at the same time do not meet at one worker.
  *
  * <p>Reports are hints: receivers discount them by age, so that lost or late ones do no harm. Each
- * carries this edge's total load at a worker and is therefore safe to repeat. Invariant: at most one
- * report is scheduled. Confined to the logic thread.
+ * carries this edge's total load at a worker and is therefore safe to repeat. Invariant: at most
+ * one report is scheduled. Confined to the logic thread.
  */
 public final class PeerLoadReporter {
   private final Environment environment;
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ModelSearch.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ModelSearch.java
@@ -134,7 +134,7 @@
         successor.take(successor.enabled().get(choice));
       } catch (InvariantViolation violation) {
         brokenPath.compareAndSet(null, longer);
-        return choice + 1;
+        return choice + 1L;
       }
       if (seen.add(successor.stateHash())) {
         next.add(longer);
--- a/test-fleet/src/main/java/applespindle/testfleet/RandomFaults.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/RandomFaults.java
@@ -188,7 +188,7 @@
   }
 
   private long scheduleRepair(String repair) {
-    long delayMs = LEAST_REPAIR_DELAY_MS + simulation.random.nextInt(REPAIR_DELAY_SPREAD_MS);
+    long delayMs = (long) LEAST_REPAIR_DELAY_MS + simulation.random.nextInt(REPAIR_DELAY_SPREAD_MS);
     simulation.afterMs(
         delayMs,
         () -> {
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/CapacityProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/CapacityProgram.java
@@ -1,5 +1,7 @@
 package applespindle.testfleet.capacity;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import applespindle.testfleet.capacity.Measurements.Made;
 import applespindle.testfleet.capacity.Measurements.Row;
 import applespindle.testfleet.capacity.Measurements.Unusable;
@@ -37,7 +39,7 @@
       }
       return 0;
     } catch (ArgumentParserException fault) {
-      parser.handleError(fault, new PrintWriter(faults, true));
+      parser.handleError(fault, new PrintWriter(faults, true, UTF_8));
       return EXIT_INPUT;
     } catch (RefusedException refused) {
       refused.reasons.forEach(reason -> faults.println("capacity: " + reason));
--- a/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
@@ -239,7 +239,7 @@
   void rejectsOneEdgeThatServesNobody() {
     List<Seen> events = new ArrayList<>();
     for (int number = 0; number < 20; number++) {
-      long atMs = 1_000 + number * 1_000;
+      long atMs = 1_000 + number * 1_000L;
       events.add(liveSent(atMs, "x" + number, "", "p" + number, 2));
       events.add(liveAt(atMs, "x" + number, "edge-1"));
       events.add(liveRefused(atMs + 1, "x" + number, "NotReady", 503));
@@ -268,7 +268,7 @@
     events.add(accepted(3_500, "n", "b-3"));
     events.add(batchRead(5_000, "n", "finished", 1));
     for (int second = 2; second < 16; second++) {
-      events.add(batchRead(second * 1_000, "m", "accepted", 0));
+      events.add(batchRead(second * 1_000L, "m", "accepted", 0));
     }
     events.add(batchRead(16_000, "m", "finished", 1));
     rejects(SERVICE_NOT_BACK, events);
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -229,7 +229,7 @@
       } else if (change == 200) {
         fleet.core(0).start();
       }
-      long number = 2 + change;
+      long number = 2L + change;
       String patch =
           "{'number': "
               + number
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationReadsTest.java
@@ -70,7 +70,7 @@
     int cutBeforeCommit = 0;
     for (int step = 0; step < 40; step++) {
       double orderAfterMs = 1.2 + 0.1 * (step % 8);
-      double cutAfterMs = orderAfterMs + 1.0 + 0.2 * (step / 8);
+      double cutAfterMs = orderAfterMs + 1.0 + 0.2 * Math.floorDiv(step, 8);
       SimulatedProcess leader = fleet.target("owner:bundle");
       long sent = inForce + 2;
       AtomicReference<Response> early = read(leader);
--- a/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -119,7 +119,7 @@
     return names;
   }
 
-  private Response[] send(String core, long number, long buildsOn, String content) {
+  private Response[] send(String core, long buildsOn, String content) {
     Response[] answer = new Response[1];
     simulation.call(
         simulation.processes.get(core),
@@ -142,8 +142,8 @@
     return answer;
   }
 
-  private Response sendAndWait(String core, long number, long buildsOn, String content) {
-    Response[] answer = send(core, number, buildsOn, content);
+  private Response sendAndWait(String core, long buildsOn, String content) {
+    Response[] answer = send(core, buildsOn, content);
     simulation.runUntil(simulation.simulatedNowMs() + 3_000);
     return answer[0];
   }
@@ -251,7 +251,7 @@
   void anEdgeThatStartsAgainIsReadyAtOnce() {
     start(1, 3, 3, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
-    sendAndWait("core-0", 1, 0, bundle(1));
+    sendAndWait("core-0", 0, bundle(1));
     SimulatedProcess edge = simulation.processes.get("edge-4");
     edge.kill(false);
     simulation.runUntil(simulation.simulatedNowMs() + 700);
@@ -310,7 +310,7 @@
   void aRequestThatComesToAStartingEdgeWaitsForTheCoresNews() {
     start(1, 3, 3, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
-    sendAndWait("core-0", 1, 0, bundle(1));
+    sendAndWait("core-0", 0, bundle(1));
     Heard heard = passAtStart(simulation.processes.get("edge-4"));
     readyWithin("edge-4", 30);
     assertWithMessage("only the bundle tells that no route fits")
@@ -322,7 +322,7 @@
   void withoutTheCoreItIsRefusedAfterAMoment() {
     start(1, 3, 3, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
-    sendAndWait("core-0", 1, 0, bundle(1));
+    sendAndWait("core-0", 0, bundle(1));
     simulation.processes.values().stream()
         .filter(process -> process.role.equals("core"))
         .forEach(process -> process.kill(false));
@@ -335,7 +335,7 @@
   private void allAreBack(boolean powerLoss) {
     start(1, 3, 3, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
-    Response[] answer = send("core-0", 1, 0, bundle(1));
+    Response[] answer = send("core-0", 0, bundle(1));
     while (answer[0] == null) {
       simulation.runUntil(simulation.simulatedNowMs() + 1);
     }
@@ -372,15 +372,14 @@
   void aChangeBuildsOnTheNumberInForce() {
     start(1, 3, 6, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
-    assertThat(sendAndWait("door-4", 3, 0, bundle(3)).status()).isEqualTo(200);
-    assertThat(sendAndWait("core-1", 7, 3, bundle(7)).status()).isEqualTo(200);
-    assertThat(sendAndWait("core-2", 9, 3, bundle(9)).errorType()).isEqualTo("VersionConflict");
-    assertThat(sendAndWait("core-2", 7, 7, bundle(7, "other")).errorType())
+    assertThat(sendAndWait("door-4", 0, bundle(3)).status()).isEqualTo(200);
+    assertThat(sendAndWait("core-1", 3, bundle(7)).status()).isEqualTo(200);
+    assertThat(sendAndWait("core-2", 3, bundle(9)).errorType()).isEqualTo("VersionConflict");
+    assertThat(sendAndWait("core-2", 7, bundle(7, "other")).errorType())
         .isEqualTo("BundleConflict");
-    assertThat(sendAndWait("core-2", 8, 7, "{\"number\": 8").errorType())
-        .isEqualTo("InvalidBundle");
+    assertThat(sendAndWait("core-2", 7, "{\"number\": 8").errorType()).isEqualTo("InvalidBundle");
     assertWithMessage("taken earlier, another in force now")
-        .that(sendAndWait("door-0", 3, 0, bundle(3)).status())
+        .that(sendAndWait("door-0", 0, bundle(3)).status())
         .isEqualTo(200);
     assertThat(core("core-0").status().path("bundle").asLong()).isEqualTo(7);
   }
@@ -389,8 +388,8 @@
   void ofTwoChangesAtOnceOnOneBaseOneWins() {
     start(1, 3, 6, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
-    Response[] one = send("door-0", 1, 0, bundle(1));
-    Response[] other = send("core-2", 2, 0, bundle(2));
+    Response[] one = send("door-0", 0, bundle(1));
+    Response[] other = send("core-2", 0, bundle(2));
     simulation.runUntil(9_000);
     assertThat(List.of(one[0].status(), other[0].status())).containsExactly(200, 409);
   }
@@ -410,7 +409,7 @@
       }
     }
     simulation.runUntil(9_000);
-    Response[] answer = send("core-1", 1, 0, bundle(1));
+    Response[] answer = send("core-1", 0, bundle(1));
     simulation.runUntil(10_500);
     assertThat(answer[0]).isNotNull();
     assertThat(answer[0].status()).isEqualTo(200);
@@ -423,7 +422,7 @@
     start(1, 3, 0, 3, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
     simulation.isolate("core-0");
-    Response[] answer = send("core-0", 1, 0, bundle(1));
+    Response[] answer = send("core-0", 0, bundle(1));
     simulation.runUntil(16_000);
     assertThat(answer[0].isSuccess()).isFalse();
   }
@@ -622,7 +621,7 @@
   void oneCoreMemberAfterTheOtherLosesItsDisk() {
     start(1, 3, 3, 3, 3, 500, SEEDS);
     simulation.runUntil(12_000);
-    assertThat(sendAndWait("door-0", 1, 0, bundle(1)).status()).isEqualTo(200);
+    assertThat(sendAndWait("door-0", 0, bundle(1)).status()).isEqualTo(200);
     for (String name : SEEDS) {
       loseDisk(name, 2_000);
       run(2_000 + 4_000);
@@ -631,7 +630,7 @@
       assertWithMessage(name).that(ids).contains(idOf(name));
       assertThat(core().at("/roster/next")).isEmpty();
     }
-    assertThat(sendAndWait("door-1", 2, 1, bundle(2)).status()).isEqualTo(200);
+    assertThat(sendAndWait("door-1", 1, bundle(2)).status()).isEqualTo(200);
     simulation.checkNothingVanished();
   }
 
