--- a/adapters/src/test/java/applespindle/adapters/DiskCheckpointTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskCheckpointTest.java
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void aDiskThatRefusesACheckpointKeepsAllAndTakesTheNext() throws IOException {
+  void aDiskThatFailsASnapshotKeepsEverythingAndWritesTheNext() throws IOException {
     for (int refusals = 1; refusals <= 3; refusals++) {
       VolatileLogFolder folder = new VolatileLogFolder(new Random(refusals));
       DiskLog log = new Opened(folder).log;
--- a/adapters/src/test/java/applespindle/adapters/DiskLogTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskLogTest.java
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void comesBackWithItsIdentityAndARisenIncarnation() {
+  void restartsWithItsIdentityAndAHigherIncarnation() {
     DiskLog first = open().log();
     first.append(List.of(record(1), record(2)));
     first.close();
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void aCheckpointStandsForTheSegmentsBeforeIt() throws IOException {
+  void aSnapshotReplacesTheSegmentsBeforeIt() throws IOException {
     try (DiskLog log = open().log()) {
       log.append(List.of(record(1), record(2)));
       log.checkpoint(List.of(record(2)));
--- a/adapters/src/test/java/applespindle/adapters/DiskLossSweepTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskLossSweepTest.java
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void theIdentityOfAnEarlierVersionIsTakenOver() throws IOException {
+  void theIdentityOfAnEarlierVersionIsAdopted() throws IOException {
     Lives lives = new Lives(1, "former");
     try (LogFolder.DiskFile former = lives.folder.create("identity.json")) {
       byte[] bytes = "{\"id\":\"abc\",\"incarnation\":4}".getBytes(UTF_8);
--- a/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
+++ b/adapters/src/test/java/applespindle/adapters/DiskPowerLossTest.java
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void triesARefusedWriteAgainUntilItIsTaken() throws IOException {
+  void retriesARefusedWriteUntilItIsAccepted() throws IOException {
     VolatileLogFolder folder = new VolatileLogFolder(new Random(1));
     List<DiskLog> opened = new ArrayList<>();
     replay(folder, opened);
--- a/adapters/src/test/java/applespindle/adapters/FrameDeflationTest.java
+++ b/adapters/src/test/java/applespindle/adapters/FrameDeflationTest.java
@@ -16,7 +16,7 @@
   private final byte[] frame = "{\"id\":\"a\",\"body\":\"x\"}".repeat(1_000).getBytes(UTF_8);
 
   @Test
-  void comesBackAsItWas() throws UnreadableFrameException {
+  void decodesToAnEqualValue() throws UnreadableFrameException {
     for (int round = 0; round < 3; round++) {
       byte[] deflated = deflation.deflate(frame);
       assertThat(deflated.length).isLessThan(frame.length / 4);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aLengthThatTheBytesCannotStandForTakesNoMemory() {
+  void anImpossibleLengthAllocatesNoMemory() {
     byte[] claims = new byte[100];
     for (int length :
         new int[] {
--- a/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
+++ b/adapters/src/test/java/applespindle/adapters/PeerCodecTest.java
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void understandsTheNextVersionWithAFieldMore() throws UnreadableFrameException {
+  void decodesAnAdditionalFieldOfALaterVersion() throws UnreadableFrameException {
     ByteBuffer old = frame();
     int body = bodyAt(old);
     ByteBuffer newer = ByteBuffer.allocate(old.limit() + 8).order(ByteOrder.LITTLE_ENDIAN);
--- a/adapters/src/test/java/applespindle/adapters/PeerTransportTest.java
+++ b/adapters/src/test/java/applespindle/adapters/PeerTransportTest.java
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void asksASilentPeerForASignOfLifeAndConnectsAnewWithoutOne() throws IOException {
+  void probesASilentPeerAndReconnectsIfItDoesNotAnswer() throws IOException {
     try (Side side = new Side()) {
       side.start();
       side.send(new AppliedPositionsRequest(1));
@@ -170,7 +170,7 @@
   }
 
   @Test
-  void keepsTheConnectionToAPeerThatGivesASignOfLife() throws IOException {
+  void keepsTheConnectionToAPeerThatAnswersAProbe() throws IOException {
     try (Side side = new Side()) {
       side.start();
       side.send(new AppliedPositionsRequest(1));
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void givesASignOfLifeWhenAsked() throws IOException {
+  void answersAKeepaliveProbe() throws IOException {
     try (Side side = new Side()) {
       String address;
       try (ServerSocket free = new ServerSocket(0)) {
--- a/adapters/src/test/java/applespindle/adapters/ResponseParserFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/ResponseParserFuzzTest.java
@@ -113,7 +113,7 @@
   }
 
   @Property(seed = "2")
-  void whatIsTakenForCompleteIsSoByASecondReading(@ForAll("texts") String text) {
+  void whatIsReadAsCompleteIsSoByASecondParser(@ForAll("texts") String text) {
     Outcome outcome = read(List.of(text));
     if (outcome.end() == End.COMPLETE || outcome.end() == End.SURPLUS) {
       Optional<ReferenceResponse> reference = ReferenceResponse.parse(text);
--- a/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredDataFixturesTest.java
@@ -112,7 +112,7 @@
 
   @ParameterizedTest
   @CsvSource({"torn-tail, 305", "corrupt-tail, 310"})
-  void keepsWhatStandsBeforeABrokenTail(String name, long storedBytes) throws IOException {
+  void keepsTheRecordsBeforeACorruptTail(String name, long storedBytes) throws IOException {
     Path folder = copy(name);
     assertThat(Files.size(secondSegment(folder))).isEqualTo(storedBytes);
     Opened opened = open(folder);
--- a/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
+++ b/adapters/src/test/java/applespindle/adapters/StoredFleetStartTest.java
@@ -230,7 +230,7 @@
   }
 
   @Test
-  void knowsThatAStorageNodeWasEmptied() {
+  void reportsADrainedStorageNode() {
     JsonNode place = ok(then -> fleet.core("core-2").isStorageNodeDrained("storage-1", then));
     assertThat(place.get("complete").asBoolean()).isTrue();
     JsonNode other = ok(then -> fleet.core("core-2").isStorageNodeDrained("storage-2", then));
--- a/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientTest.java
@@ -314,7 +314,7 @@
   }
 
   @Test
-  void takesAWorkersWordThatItHasNotRunAndKeepsTheConnection() throws Exception {
+  void trustsAWorkerThatStatesItHasNotRunAndKeepsTheConnection() throws Exception {
     RecordingExchangeListener first = send(request("1"));
     try (Socket socket = accept()) {
       read(socket);
--- a/core-logic/src/test/java/applespindle/corelogic/batch/RecordFormatTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/RecordFormatTest.java
@@ -58,12 +58,12 @@
   private static final int DEFLATED_ITEMS = 100;
 
   @Test
-  void coreValuesReadAsWritten() throws IOException {
+  void metadataValuesReadAsWritten() throws IOException {
     JsonFixtures.assertTextsMatch(JsonFixtures.read(RECORDS), records());
   }
 
   @Test
-  void everyCoreValueHasAFixture() {
+  void everyMetadataValueHasAFixture() {
     Set<Class<?>> read = new HashSet<>();
     records().values().forEach(value -> read.add(value.getClass()));
     assertThat(read)
--- a/core-logic/src/test/java/applespindle/corelogic/controlplane/DrainPlannerTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/controlplane/DrainPlannerTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void saysWhatWaitsForAnotherNode() throws Exception {
+  void listsRequestsThatWaitForAnotherNode() throws Exception {
     fixture.registerLive("a", "b", "c");
     fixture.assign("a", "b", "c");
     assertThat(JSON.writeValueAsString(planner.plan("a")))
--- a/core-logic/src/test/java/applespindle/corelogic/controlplane/ShardRepairPolicyTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/controlplane/ShardRepairPolicyTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void startsTheDelayAnewWhenANodeCameBackMeanwhile() {
+  void restartsTheDelayWhenANodeReturnedMeanwhile() {
     fixture.registerLive("a", "b", "c", "d");
     ShardAssignment shard = fixture.assign("a", "b", "c");
     fixture.end("b");
--- a/core-logic/src/test/java/applespindle/corelogic/dataplane/BatchLeaderPlacementTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/dataplane/BatchLeaderPlacementTest.java
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void onlyEdgesWithRoomAreFit() {
+  void onlyEdgesWithCapacityAreEligible() {
     assertThat(fit(REPLICAS, mixed()))
         .containsExactly(
             "a-large-0", "a-large-1", "b-large-0", "b-large-1", "c-large-0", "c-large-1");
--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasTest.java
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void aPartialSnapshotIsTakenOnlyIfItFollowsOnTheLog() {
+  void aPartialSnapshotIsInstalledOnlyIfItContinuesTheLog() {
     append(FIRST, 0, Epoch.NONE, 0, event(1, FIRST), event(2, FIRST));
     var follows =
         new ReplicaSnapshot(KEY, FIRST, 2, true, List.of(event(2, FIRST), event(3, FIRST)));
--- a/data-plane/src/test/java/applespindle/dataplane/ClientConnectionTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ClientConnectionTest.java
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void writesOfTheTasksThatWaitGoOutTogether() {
+  void writesOfWaitingTasksAreSentTogether() {
     loop.postLast(
         () -> {
           write("head ");
--- a/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
@@ -128,7 +128,7 @@
   }
 
   @Property(seed = "5")
-  void onlyASoundRequestIsPassedOnAndByItsOwnBytes(
+  void onlyAValidRequestIsForwardedAndByItsOwnBytes(
       @ForAll("texts") String text, @ForAll("splits") List<Integer> places) throws IOException {
     Outcome outcome = send(WIDE, SpoiledTexts.split(text, places));
     Optional<ReferenceRequest> reference = ReferenceRequest.parse(text);
--- a/data-plane/src/test/java/applespindle/dataplane/ProxyResponsesTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyResponsesTest.java
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void aCutStreamDoesNotLookWhole() throws Exception {
+  void aTruncatedStreamDoesNotLookComplete() throws Exception {
     try (Socket socket = endpoint.connect()) {
       send(socket, post("/x", "", "abc"));
       ProxiedResponseListener listener = endpoint.nextPassed().listener();
--- a/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/BadInputTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void namesEveryFaultyFieldOfABatch() {
+  void namesEveryInvalidFieldOfABatch() {
     refuses(submit("a", "{"), 400, "InvalidInput", "$");
     refuses(submit("a", "[]"), 400, "InvalidInput", "$");
     refuses(submit("", "{}"), 400, "InvalidInput", "header Idempotency-Key");
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void refusesBundlesByTheirFault() {
+  void rejectsConfigurationsWithTheirError() {
     refuses(
         fleet.caller.post(
             core,
--- a/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/CheckerTest.java
@@ -284,7 +284,7 @@
   }
 
   @Test
-  void rejectsNoRoomWhereThereIsRoom() {
+  void rejectsACapacityRefusalWhereCapacityIsFree() {
     rejects(
         SERVICE_NOT_BACK, submitSent(20_000, "m", 2), refused(20_010, "m", "NoRoom", "b-2", 429));
   }
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void whatResultsIsWholeAndReadBack() {
+  void theResultIsCompleteAndReadsBack() {
     CoreFleet fleet = new CoreFleet(1);
     assertThat(fleet.await(fleet.patch(1, 1, adds(4, "a"))).status()).isEqualTo(200);
     assertThat(fleet.await(fleet.patch(2, 4, adds(6, "b"))).status()).isEqualTo(200);
--- a/test-fleet/src/test/java/applespindle/testfleet/ControlPlaneIdleCostTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ControlPlaneIdleCostTest.java
@@ -41,7 +41,7 @@
    * megabytes each time.
    */
   @Test
-  void withoutTheCoreEdgesThatKnowTheSameSendNoTables() {
+  void withoutTheControlPlaneEdgesWithEqualTablesSendNone() {
     Simulation simulation = new Simulation(1, Map.of(), Deployment.AUTHORITY.pace);
     simulation.settings =
         new NodeSettings(
--- a/test-fleet/src/test/java/applespindle/testfleet/LinearizabilityCheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/LinearizabilityCheckerTest.java
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void rejectsTheRefusalOfAResendOfATakenOrder() {
+  void rejectsTheRefusalOfARetryOfAnAcceptedCommand() {
     first();
     sent(30, "b", 5, 7);
     answered(30, 50, "b", 200);
@@ -181,7 +181,7 @@
   }
 
   @Test
-  void acceptsAnOrderWithoutAClearAnswerThatTakesEffectMuchLater() {
+  void acceptsACommandWithUnknownOutcomeThatTakesEffectMuchLater() {
     first();
     sent(30, "b", 5, 7);
     answered(30, 1_030, "b", 0);
--- a/test-fleet/src/test/java/applespindle/testfleet/MembershipStepsTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/MembershipStepsTest.java
@@ -48,7 +48,7 @@
   /** The process that sends or takes the message falls right then, and is back 3 s later. */
   @ParameterizedTest(name = "{0}")
   @MethodSource("steps")
-  void aLossAtAStepOfAChangeTakesNothing(Case step) throws IOException {
+  void aLossAtAStepOfAChangeLosesNoData(Case step) throws IOException {
     Scenario.Outcome outcome = step.run(scenario(Files.readString(STEPS)), 1);
     assertWithMessage(step.toString()).that(outcome.faults()).isEmpty();
   }
@@ -106,7 +106,7 @@
   /** The second machine's disk comes back with it, so nothing may be lost. */
   @ParameterizedTest
   @MethodSource("pairs")
-  void aSecondLossAfterAWipeOrAReplacementTakesNothing(String text) {
+  void aSecondLossAfterAWipeOrAReplacementLosesNoData(String text) {
     assertWithMessage(text).that(scenario(text).run(1, false).faults()).isEmpty();
   }
 
--- a/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ProxyCheckerTest.java
@@ -210,7 +210,7 @@
   }
 
   @Test
-  void acceptsARunAtALeavingWorkerWhileTheListWasAwayOrTheNodeOutOfTouch() {
+  void acceptsARunAtALeavingWorkerWhileTheListOrTheNodeWasUnreachable() {
     accepts(
         history -> {
           add(history, 6_000, WORKER_LISTED, "i-1", "alpha", "leaving", 0);
--- a/test-fleet/src/test/java/applespindle/testfleet/QuorumBootstrapTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/QuorumBootstrapTest.java
@@ -143,7 +143,7 @@
 
   /** Any start order within 0.3 s, with later seeds that are stale, cut off or down. */
   @Test
-  void everyoneKnowsTheCoreWhateverTheSeedsOfALaterStartAre() {
+  void everyNodeFindsTheControlPlaneWhateverTheSeedsOfALaterStart() {
     for (int seed = 1; seed <= 5; seed++) {
       start(seed, 1, SEEDS_WITHOUT_DISKS);
       simulation.runUntil(5_000);
--- a/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SeedDiscoveryTest.java
@@ -159,7 +159,7 @@
   // ---- founding
 
   @Test
-  void votersOfAllZonesFoundTheCoreAndEveryoneFindsIt() {
+  void votersOfAllZonesBootstrapTheControlPlaneAndEveryNodeFindsIt() {
     start(1, 3, 6, 9, 3, 1_500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(5_000);
     assertThat(rosterNames("core-0")).containsExactly("core-0", "core-1", "core-2");
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void afterAllLosePowerTheCoreIsBackAndSeedsWithoutDisksKnowIt() {
+  void afterAPowerLossOfAllTheControlPlaneRecoversAndSeedsWithoutDisksFindIt() {
     start(1, 3, 3, 3, 3, 500, List.of("door-0", "door-1", "door-2"));
     simulation.runUntil(6_000);
     simulation.processes.values().forEach(process -> process.kill(true));
@@ -307,7 +307,7 @@
   }
 
   @Test
-  void aRequestThatComesToAStartingEdgeWaitsForTheCoresNews() {
+  void aRequestToAStartingEdgeWaitsForItsFirstUpdate() {
     start(1, 3, 3, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
     sendAndWait("core-0", 0, bundle(1));
@@ -319,7 +319,7 @@
   }
 
   @Test
-  void withoutTheCoreItIsRefusedAfterAMoment() {
+  void withoutTheControlPlaneItIsRejectedAfterTheTimeout() {
     start(1, 3, 3, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
     sendAndWait("core-0", 0, bundle(1));
@@ -357,12 +357,12 @@
   }
 
   @Test
-  void afterAllProcessesAreKilledEdgesAreReadySoonAfterTheCoreIs() {
+  void afterAKillOfAllProcessesEdgesAreReadySoonAfterTheControlPlane() {
     allAreBack(false);
   }
 
   @Test
-  void afterAllMachinesLosePowerEdgesAreReadySoonAfterTheCoreIs() {
+  void afterAPowerLossOfAllEdgesAreReadySoonAfterTheControlPlane() {
     allAreBack(true);
   }
 
@@ -395,7 +395,7 @@
   }
 
   @Test
-  void edgesThatAreDownFrozenOrCutOffHoldNoYesBack() {
+  void acknowledgementsDoNotWaitForEdgesThatAreDownFrozenOrCutOff() {
     start(1, 3, 6, 9, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
     for (int index = 0; index < 7; index++) {
@@ -418,7 +418,7 @@
   }
 
   @Test
-  void aCoreWithoutAMajorityGivesNoYes() {
+  void aControlPlaneWithoutAMajorityAcknowledgesNothing() {
     start(1, 3, 0, 3, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
     simulation.isolate("core-0");
@@ -460,7 +460,7 @@
   }
 
   @Test
-  void theListIsKnownBeforeAnyBundleAndFollowed() {
+  void theWorkerListIsFollowedBeforeAnyConfiguration() {
     listOf(8);
     start(1, 3, 3, 3, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(5_000);
@@ -478,7 +478,7 @@
   }
 
   @Test
-  void callsAreFewInCalm() {
+  void fewCallsAreSentWithoutFaults() {
     listOf(8);
     start(1, 3, 3, 3, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(10_000);
@@ -488,7 +488,7 @@
   }
 
   @Test
-  void aReadThatIsNotWholeChangesNothing() {
+  void anIncompleteReadChangesNothing() {
     pageSize = 3;
     listOf(8);
     start(1, 3, 3, 3, 3, 500, List.of("core-0", "core-1", "core-2"));
@@ -532,7 +532,7 @@
   }
 
   @Test
-  void aLeavingWorkerIsKnownInTimeWhateverHappensToTheOneOnDuty() {
+  void edgesLearnOfALeavingWorkerInTimeWhateverFailsAtTheSynchronizer() {
     listOf(8);
     start(1, 3, 3, 3, 3, 500, List.of("core-0", "core-1", "core-2"));
     simulation.runUntil(6_000);
@@ -648,7 +648,7 @@
   }
 
   @Test
-  void aStorageNodeAtAnotherAddressTakesTheLostOnesPlace() {
+  void aStorageNodeAtAnotherAddressReplacesTheLostOne() {
     start(1, 3, 3, 3, 3, 500, SEEDS);
     simulation.runUntil(12_000);
     SimulatedProcess lost = simulation.processes.get("storage-1");
@@ -660,7 +660,7 @@
   }
 
   @Test
-  void aCoreMemberAtAnotherAddressTakesTheLostOnesPlace() {
+  void aControlPlaneMemberAtAnotherAddressReplacesTheLostOne() {
     start(1, 3, 3, 3, 3, 500, SEEDS);
     simulation.runUntil(12_000);
     simulation.processes.get("core-1").kill(true);
@@ -706,7 +706,7 @@
   }
 
   @Test
-  void aStorageNodeIsEmptiedOntoOthersAndThenTakenAway() {
+  void aStorageNodeIsDrainedAndThenRemoved() {
     start(1, 3, 3, 3, 3, 500, SEEDS);
     simulation.runUntil(12_000);
     assertThat(
--- a/test-fleet/src/test/java/applespindle/testfleet/SimulatedProcessorTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SimulatedProcessorTest.java
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aNewLifeBeginsColdAndWithoutWhatWaited() {
+  void aNewIncarnationStartsColdAndWithoutQueuedWork() {
     processor.share(SHARE);
     long first = usedBy(() -> writeDocument(100_000));
     processor.run(() -> processor.output(() -> see("lost output")));
--- a/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/SubmissionAcrossEdgesTest.java
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aBatchHandedInAtASmallEdgeIsTaken() {
+  void aBatchSubmittedAtASmallEdgeIsAccepted() {
     SimulatedResponse answer = submit("small", "c1", 1_000);
     simulation.runUntil(simulation.simulatedNowMs() + 1_000);
 
@@ -127,7 +127,7 @@
 
   /** The core, the replicas and the small edge hear each other all the time. */
   @Test
-  void anEdgeCutOffFromAllFitLeadersTakesABatchItself() {
+  void anEdgeCutOffFromAllPreferredLeadersLeadsABatchItself() {
     for (int index = 0; index < LARGE_EDGES; index++) {
       simulation.cutLink("small", "large-" + index);
     }
@@ -139,7 +139,7 @@
 
   /** What a leader said of its work counts no longer once it is silent. */
   @Test
-  void aBatchWhoseLeaderDiesAtWorkIsTakenByAnother() {
+  void aBatchWhoseLeaderDiesWhileRunningIsLedByAnother() {
     List<SimulatedProcess> core = List.of(process("core-0"), process("core-1"));
     core.forEach(SimulatedProcess::freeze);
     SimulatedResponse answer = submit("small", "c1", 100_000);
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/CapacityProgramTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/CapacityProgramTest.java
@@ -233,7 +233,7 @@
   }
 
   @Test
-  void leavesAnOldFileWholeWhenANewOneFails() throws IOException {
+  void keepsTheOldFileIntactWhenANewOneFails() throws IOException {
     Path file = folder.resolve("old.json");
     Files.writeString(file, "old");
     Path blocked = folder.resolve("folder.json");
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/LargeFleetTest.java
@@ -65,7 +65,7 @@
    * all are without the core.
    */
   @Test
-  void withoutTheCoreForAMomentEdgesDoNotFloodEachOther() {
+  void withoutTheControlPlaneForAMomentEdgesDoNotFloodEachOther() {
     Set<Machine> half = Set.copyOf(fleet.edges.subList(0, EDGES / 2));
     fleet.cut = link -> half.contains(link.from()) || half.contains(link.to());
     fleet.add("edge-new", 0, "edge").start();
--- a/test-fleet/src/test/java/applespindle/testfleet/capacity/SimulatedScaleTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/capacity/SimulatedScaleTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void everyChangeIsKnownToEveryNodeInTimeWhateverFalls() {
+  void everyChangeReachesEveryNodeInTimeWhateverFails() {
     for (String phase : List.of("changes", "machines", "rack", "zone")) {
       assertThat(figure(phase, "edge", "never known by then")).isEqualTo(0);
       assertThat(figure(phase, "edge", "known after, slowest")).isLessThan(IN_FORCE_MS);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void machinesThatComeBackAreReadySoon() {
+  void restartedMachinesAreReadySoon() {
     for (String phase : List.of("machines", "rack", "zone")) {
       assertThat(figure(phase, "edge", "ready again after, slowest")).isLessThan(IN_FORCE_MS);
     }
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/InvariantCountersTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/InvariantCountersTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void whatOneLifeCountedIsNotForgottenInTheNext() {
+  void countsOfOneIncarnationAreKeptByTheNext() {
     metrics = "applespindle_invariant_position_changed_total 2.0\n";
     assertThat(counters.read(FIRST, http)).isTrue();
     metrics = "applespindle_invariant_position_changed_total 0.0\n";
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/RelaysTest.java
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void cutsOfAllOthersLeaveClientsAlone() throws IOException {
+  void partitionsOfAllOtherNodesDoNotAffectClients() throws IOException {
     links.begin(fault(Kind.DROP_BOTH, "edge-1", SoakFault.ALL));
     send(client, "ask");
     assertThat(read(served, 3)).isEqualTo("ask");
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void theSenderOfAFrameThatIsNotWholeIsNotKnownYet() {
+  void theSenderOfAnIncompleteFrameIsNotKnownYet() {
     PeerSender sender = new PeerSender(Map.of());
     assertThat(sender.name(new byte[] {0, 0})).isNull();
     assertThat(sender.name(new byte[] {0, 0, 0, 9, 1})).isNull();
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/SoakPlanTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/SoakPlanTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void everyKindOfTroubleIsDrawnAndAllIsHealedInTheEnd() {
+  void everyKindOfFaultIsInjectedAndAllAreHealedInTheEnd() {
     Set<Kind> drawn = EnumSet.noneOf(Kind.class);
     for (SoakPlan plan : plans()) {
       for (SoakFault fault : plan.faults()) {
--- a/test-fleet/src/test/java/applespindle/testfleet/soak/SoakTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/soak/SoakTest.java
@@ -20,7 +20,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {10, 33})
-  void outlivesTheTroublesOfASeed(long seed, @TempDir Path folder)
+  void survivesTheFaultsOfASeed(long seed, @TempDir Path folder)
       throws IOException, InterruptedException {
     String classPath =
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
