--- a/core-logic/src/test/java/applespindle/corelogic/environment/FakeEnvironment.java
+++ b/core-logic/src/test/java/applespindle/corelogic/environment/FakeEnvironment.java
@@ -22,11 +22,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Simulated time and workers of opaque requests that the test plays; nothing else of the world may
- * be used.
+ * Simulated time, and workers of proxied requests that the test acts as. Calls that a test does not
+ * expect fail it.
  */
 public abstract class FakeEnvironment implements Environment {
-  /** One send as a worker sees it. */
+  /** One request as a worker sees it. */
   public static final class Sent {
     public final WorkerExchange call;
     public final ExchangeListener worker;
@@ -43,11 +43,12 @@
     }
   }
 
-  private record Planned(long at, long order, Runnable task) {}
+  private record Scheduled(long at, long order, Runnable task) {}
 
   public final List<Sent> sent = new ArrayList<>();
-  private final PriorityQueue<Planned> plan =
-      new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+  private final PriorityQueue<Scheduled> queue =
+      new PriorityQueue<>(
+          Comparator.comparingLong(Scheduled::at).thenComparingLong(Scheduled::order));
   private final RandomGenerator random = new SplittableRandom(7);
   private long now;
   private long order;
@@ -58,8 +59,8 @@
 
   public void run(long millis) {
     long until = now + millis;
-    while (!plan.isEmpty() && plan.peek().at() <= until) {
-      Planned due = plan.poll();
+    while (!queue.isEmpty() && queue.peek().at() <= until) {
+      Scheduled due = queue.poll();
       now = Math.max(now, due.at());
       due.task().run();
     }
@@ -78,9 +79,9 @@
 
   @Override
   public ScheduledTask schedule(long millis, Runnable task) {
-    Planned planned = new Planned(now + millis, order++, task);
-    plan.add(planned);
-    return () -> plan.remove(planned);
+    Scheduled scheduled = new Scheduled(now + millis, order++, task);
+    queue.add(scheduled);
+    return () -> queue.remove(scheduled);
   }
 
   @Override
@@ -103,7 +104,7 @@
 
   @Override
   public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
-    throw new AssertionError("no such run");
+    throw new AssertionError("unexpected call of a worker");
   }
 
   @Override
--- a/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/worker/WorkerRegistryTest.java
@@ -4,33 +4,23 @@
 
 import applespindle.corelogic.api.ApiError;
 import applespindle.corelogic.constants.WorkerConstants;
-import applespindle.corelogic.environment.Environment;
 import applespindle.corelogic.environment.Environment.ScheduledTask;
-import applespindle.corelogic.environment.Environment.WorkerCall;
-import applespindle.corelogic.environment.Environment.WorkerCallHandle;
-import applespindle.corelogic.environment.Environment.WorkerCallListener;
 import applespindle.corelogic.environment.Environment.WorkerLoad;
-import applespindle.corelogic.log.LogRecord;
+import applespindle.corelogic.environment.FakeEnvironment;
 import applespindle.corelogic.metadata.WorkerRegistration;
-import applespindle.corelogic.protocol.Envelope;
-import java.util.List;
 import java.util.Map;
-import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
 /** Duration of ejections, and decay of the peak of live calls. */
 final class WorkerRegistryTest {
-  /** An environment whose time, load and polls the test controls. */
-  private static final class ControlledEnvironment implements Environment {
-    long now = 10_000;
+  /** An environment whose load and polls the test controls; time passes by {@link #freeze}. */
+  private static final class ControlledEnvironment extends FakeEnvironment {
     int running;
     Runnable scheduledTask;
 
-    @Override
-    public long nowMs() {
-      return now;
+    ControlledEnvironment() {
+      super(10_000);
     }
 
     @Override
@@ -39,35 +29,11 @@
       return () -> {};
     }
 
-    @Override
-    public void send(String peerAddress, Envelope envelope) {}
-
-    @Override
-    public void write(List<LogRecord> records, Runnable whenSynced) {}
-
-    @Override
-    public boolean acceptsWrites() {
-      return true;
-    }
-
-    @Override
-    public WorkerCallHandle callWorker(WorkerCall call, WorkerCallListener listener) {
-      throw new AssertionError("unexpected call of a worker");
-    }
-
     @Override
     public void readLoad(
         String workerAddress, Consumer<WorkerLoad> whenRead, Consumer<ApiError> whenFaulty) {
       whenRead.accept(new WorkerLoad(running, 0, 8, false));
     }
-
-    @Override
-    public RandomGenerator random() {
-      return new SplittableRandom(7);
-    }
-
-    @Override
-    public void log(String part, String sentence) {}
   }
 
   private final ControlledEnvironment environment = new ControlledEnvironment();
@@ -87,9 +53,9 @@
     for (int number = 0; number < 8; number++) {
       registry.recordRejection(worker);
     }
-    environment.now += WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
+    environment.freeze(WorkerConstants.LOAD_POLL_INTERVAL_MS - 1);
     assertThat(registry.isUsable(worker)).isFalse();
-    environment.now++;
+    environment.freeze(1);
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
@@ -97,11 +63,11 @@
   void aRejectionAfterAnEjectionCausesALongerOne() {
     WorkerState worker = worker(0);
     registry.recordRejection(worker);
-    environment.now += WorkerConstants.LOAD_POLL_INTERVAL_MS;
+    environment.freeze(WorkerConstants.LOAD_POLL_INTERVAL_MS);
     registry.recordRejection(worker);
-    environment.now += 2 * WorkerConstants.LOAD_POLL_INTERVAL_MS - 1;
+    environment.freeze(2 * WorkerConstants.LOAD_POLL_INTERVAL_MS - 1);
     assertThat(registry.isUsable(worker)).isFalse();
-    environment.now++;
+    environment.freeze(1);
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
@@ -111,9 +77,9 @@
     for (int number = 0; number < 8; number++) {
       registry.recordConnectionFailure(worker);
     }
-    environment.now += WorkerConstants.BASE_EJECTION_MS - 1;
+    environment.freeze(WorkerConstants.BASE_EJECTION_MS - 1);
     assertThat(registry.isUsable(worker)).isFalse();
-    environment.now++;
+    environment.freeze(1);
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
@@ -121,11 +87,11 @@
   void aFailureAfterAnEjectionCausesALongerOne() {
     WorkerState worker = worker(8);
     registry.recordConnectionFailure(worker);
-    environment.now += WorkerConstants.BASE_EJECTION_MS;
+    environment.freeze(WorkerConstants.BASE_EJECTION_MS);
     registry.recordConnectionFailure(worker);
-    environment.now += 2 * WorkerConstants.BASE_EJECTION_MS - 1;
+    environment.freeze(2 * WorkerConstants.BASE_EJECTION_MS - 1);
     assertThat(registry.isUsable(worker)).isFalse();
-    environment.now++;
+    environment.freeze(1);
     assertThat(registry.isUsable(worker)).isTrue();
   }
 
@@ -134,10 +100,10 @@
     environment.running = 8;
     WorkerState worker = worker(0);
     environment.running = 0;
-    environment.now += WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
+    environment.freeze(WorkerConstants.LIVE_PEAK_HALF_LIFE_MS);
     environment.scheduledTask.run();
     assertThat(worker.peakLiveCalls).isWithin(0.01).of(4);
-    environment.now += 2 * WorkerConstants.LIVE_PEAK_HALF_LIFE_MS;
+    environment.freeze(2 * WorkerConstants.LIVE_PEAK_HALF_LIFE_MS);
     environment.scheduledTask.run();
     assertThat(worker.peakLiveCalls).isWithin(0.01).of(1);
   }
