--- a/adapters/src/main/java/applespindle/adapters/WorkerConnection.java
+++ b/adapters/src/main/java/applespindle/adapters/WorkerConnection.java
@@ -160,7 +160,7 @@
   }
 
   /**
-   * A worker in trouble may answer a request twice; only a connection that has served one can bring
+   * A faulty worker may answer a request twice; only a connection that has served one can bring
    * that.
    */
   boolean mayBringLateResponse() {
--- a/adapters/src/test/java/applespindle/adapters/ResponseTexts.java
+++ b/adapters/src/test/java/applespindle/adapters/ResponseTexts.java
@@ -5,7 +5,7 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/** Responses as workers may send them, sound and spoiled; one character is one byte. */
+/** Responses as workers may send them, valid and corrupted; one character is one byte. */
 final class ResponseTexts {
   private static final int MAX_EDITS = 3;
   private static final int MAX_GARBAGE_LENGTH = 200;
--- a/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
+++ b/adapters/src/test/java/applespindle/adapters/WorkerHttpClientFuzzTest.java
@@ -30,7 +30,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Workers on real sockets that answer with sound and spoiled bytes, split in any way. */
+/** Workers on real sockets that answer with valid and corrupted bytes, split in any way. */
 final class WorkerHttpClientFuzzTest {
   private static final long LIMIT_S = 20;
   private static final String ID = "1";
--- a/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/batch/SampleBatchTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The made-up batch that a new process warms its code up with is a sound one. */
+/** The sample batch that warms up the code of a new process is valid. */
 class SampleBatchTest {
   @Test
   void theSampleIsReadWithoutError() {
--- a/core-logic/src/test/java/applespindle/corelogic/common/JsonSizeObserverTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/common/JsonSizeObserverTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which documents an observer is told of. */
+/** The documents that an observer is notified of. */
 class JsonSizeObserverTest {
   private final List<Integer> sizes = new ArrayList<>();
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/InvariantViolation.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/InvariantViolation.java
@@ -1,6 +1,6 @@
 package applespindle.corelogic.replication;
 
-/** A run of the model reached a state that the replicated register must never be in. */
+/** A run of the model reached a state that a replicated log must never be in. */
 final class InvariantViolation extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/LogReplicasDiskTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A replica on a disk that syncs only when told to and may lose power after any record: replies
- * wait for the records that they depend on, and every prefix of what was written is a valid state.
+ * A replica on a disk that syncs only when the test says so and may lose power after any record:
+ * replies wait for the records that they depend on, and every prefix of what was written is a valid
+ * state.
  */
 final class LogReplicasDiskTest {
   private static final String KEY = "batch/1";
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModel.java
@@ -18,9 +18,9 @@
 import java.util.function.Supplier;
 
 /**
- * One run of the replicated register over the real classes: three replicas, one joining replica,
- * two candidates, the messages in flight. The run is a sequence of steps, each chosen from those
- * that are enabled; the same choices give the same run.
+ * One run of a replicated log over the real classes: three replicas, one joining replica, two
+ * candidates, the messages in flight. The run is a sequence of steps, each chosen from those that
+ * are enabled; the same choices give the same run.
  */
 final class ReplicatedLogModel implements StateText.Named {
   /**
--- a/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelTest.java
+++ b/core-logic/src/test/java/applespindle/corelogic/replication/ReplicatedLogModelTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * No invariant of the replicated register breaks in any plan, searched for a short while. The large
+ * No invariant of the replicated log breaks in any plan, searched for a short while. The large
  * searches are run by {@link ReplicatedLogModelProgram}.
  */
 final class ReplicatedLogModelTest {
--- a/data-plane/src/main/java/applespindle/dataplane/RequestFormat.java
+++ b/data-plane/src/main/java/applespindle/dataplane/RequestFormat.java
@@ -61,6 +61,6 @@
   /** A request on a route for batches; its body is left as it came. */
   BatchSubmission submission(Arrived arrived);
 
-  /** The response to a batch that was handed in, to a call about one, or a refusal. */
+  /** The response to the submission of a batch, to a call about one, or a rejection. */
   Response show(BatchCall call, Response response);
 }
--- a/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
+++ b/data-plane/src/test/java/applespindle/dataplane/ProxyEndpointFuzzTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Clients on real sockets that send sound and spoiled bytes, split in any way. */
+/** Clients on real sockets that send valid and corrupted bytes, split in any way. */
 final class ProxyEndpointFuzzTest {
   private static final ClientLimits WIDE = new ClientLimits(16_384, 1 << 20, 60_000, 60_000);
   private static final String LAST = "/last";
--- a/data-plane/src/test/java/applespindle/dataplane/RequestTexts.java
+++ b/data-plane/src/test/java/applespindle/dataplane/RequestTexts.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/** Requests as clients may send them, sound and spoiled; one character is one byte. */
+/** Requests as clients may send them, valid and corrupted; one character is one byte. */
 final class RequestTexts {
   private static final int MAX_EDITS = 2;
   private static final int MAX_GARBAGE_LENGTH = 100;
--- a/test-fleet/mutations/run-model.sh
+++ b/test-fleet/mutations/run-model.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Takes out one check of the replicated register after the other and demands that the model check finds it: each patch
+# Takes out one check of the replicated log after the other and demands that the model check finds it: each patch
 # names the plan and the search, and the invariants of which one must break. Needs compiled classes and tests
 # (mvn -B -pl core-logic test-compile). Usage: test-fleet/mutations/run-model.sh [NAME...]
 # SECONDS_MOST: time for each search, 120 if not set. JOBS: searches at once, 2 if not set.
--- a/test-fleet/src/main/java/applespindle/testfleet/capacity/Measurements.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/capacity/Measurements.java
@@ -17,7 +17,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Rows of figures and where they come from; a file of them is written whole or not at all. */
+/** Rows of figures and where they come from; a file of them is written completely or not at all. */
 final class Measurements {
   /** Where, when and on what the figures were made. */
   record Made(String commit, String at, String java, int processors, String command) {}
--- a/test-fleet/src/main/java/applespindle/testfleet/soak/SoakProgram.java
+++ b/test-fleet/src/main/java/applespindle/testfleet/soak/SoakProgram.java
@@ -14,7 +14,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 
 /**
- * Soaks a fleet of real processes seed by seed. Exit status: 0 if all were sound, 1 if a rule was
+ * Soaks a fleet of real processes seed by seed. Exit status: 0 if all passed, 1 if a rule was
  * broken, 2 on wrong use.
  */
 public final class SoakProgram {
@@ -75,7 +75,7 @@
     return allSound;
   }
 
-  /** A fleet that does not start, or that can not get its planned faults, is not sound either. */
+  /** A fleet that does not start, or that cannot get its planned faults, has failed too. */
   private static boolean soak(Deployment deployment, Path folder, SoakPlan plan)
       throws IOException, InterruptedException {
     try {
--- a/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
+++ b/test-fleet/src/test/java/applespindle/testfleet/ConfigurationPatchesTest.java
@@ -20,7 +20,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Changes of a configuration by names: known again, one of two, whole after any loss. */
+/**
+ * Patches of a configuration: retries are recognised, one of two concurrent ones wins, and no loss
+ * leaves half of one.
+ */
 class ConfigurationPatchesTest {
   private static final int SEEDS = 20;
   private static final int CORES = 3;
