--- a/core-logic/src/main/java/applespindle/corelogic/constants/WorkerConstants.java
+++ b/core-logic/src/main/java/applespindle/corelogic/constants/WorkerConstants.java
@@ -33,8 +33,8 @@
   public static final long LOAD_REPORT_DECAY_MS = 1_000;
 
   /**
-   * Time in which the weight of a worker's past failures decays to a third: as long as a faulty machine
-   * usually needs to recover.
+   * Time in which the weight of a worker's past failures decays to a third: as long as a faulty
+   * machine usually needs to recover.
    */
   public static final long FAILURE_DECAY_MS = 5_000;
 
